--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -7,9 +7,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The refusals that don't depend on the command's content.
+// Refusals that don't depend on the command's content.
 const (
-	refusedStepBack    Refusal = "the index was applied before"
+	refusedStaleIndex  Refusal = "the index was applied before"
 	refusedUndecodable Refusal = "the command can't be decoded by this build"
 	refusedNoID        Refusal = "the command has no ID"
 	refusedEmpty       Refusal = "the command holds no change"
@@ -22,13 +22,14 @@
 	return Refusal(fmt.Sprintf(format, args...))
 }
 
-// applyEntry applies the entry at index. Indexes only grow: an entry that
-// comes again, from a restart or another peer, must not take effect twice.
+// applyEntry applies the log entry at index. Applied indexes strictly
+// increase: an entry that is delivered again, after a restart or by another
+// peer, must not take effect twice.
 func (c *core) applyEntry(index uint64, data []byte) Result {
 	if index <= c.index {
 		c.guard(c.rules.SkipStepBack, "index-grows", "index %d came after %d", index, c.index)
 		if !c.rules.SkipStepBack {
-			return Result{Index: index, Refused: refusedStepBack}
+			return Result{Index: index, Refused: refusedStaleIndex}
 		}
 	}
 	c.index = index
@@ -46,10 +47,11 @@
 	return c.applyOnce(&command)
 }
 
-// applyBatch applies the commands one after the other; each stands for itself.
+// applyBatch applies the commands in order; a refused command does not affect
+// the others.
 func (c *core) applyBatch(batch *Command) Result {
 	if c.fenced(batch) {
-		return Result{Index: c.index, Refused: c.refusedTerm(batch)}
+		return Result{Index: c.index, Refused: c.staleTermRefusal(batch)}
 	}
 	result := Result{Index: c.index, Batch: make([]Result, 0, len(batch.Batch))}
 	for i := range batch.Batch {
@@ -64,43 +66,45 @@
 }
 
 // applyOnce applies a command unless its ID is known: a caller that lost the
-// answer sends again, and must get the first answer without a second change.
+// reply resends, and must get the first result without a second change.
 func (c *core) applyOnce(command *Command) Result {
 	if command.ID == "" {
 		return Result{Index: c.index, Refused: refusedNoID}
 	}
-	if first, known := c.commands.find(command.ID); known && !c.rules.SkipCommandMemory {
-		return c.again(command, first)
+	if first, known := c.dedup.lookup(command.ID); known && !c.rules.SkipCommandMemory {
+		return c.duplicateResult(command, first)
 	}
 	result := c.applyFenced(command)
 	result.Index = c.index
-	c.commands.remember(&c.hasher, command.ID, forMemory(result))
+	c.dedup.add(&c.hasher, command.ID, withoutExistingClaim(result))
 	return result
 }
 
+// applyFenced applies a command unless its term is stale.
 func (c *core) applyFenced(command *Command) Result {
 	if c.fenced(command) {
-		return Result{Refused: c.refusedTerm(command)}
+		return Result{Refused: c.staleTermRefusal(command)}
 	}
 	return c.applyCommand(command)
 }
 
-// fenced reports whether the command comes from a leader that was replaced.
-// Such a leader, back from a partition, would act on what it saw long ago.
+// fenced reports whether the command comes from a leader that was replaced, and
+// records the command's term otherwise. A replaced leader that returns from a
+// partition would act on outdated state.
 func (c *core) fenced(command *Command) bool {
 	if command.Term == 0 {
 		return false
 	}
-	old := command.Term < c.head.Term
-	c.guard(old && c.rules.SkipTerm, "term-fence", "term %d acted after term %d", command.Term, c.head.Term)
-	if old && !c.rules.SkipTerm {
+	stale := command.Term < c.head.Term
+	c.guard(stale && c.rules.SkipTerm, "term-fence", "term %d acted after term %d", command.Term, c.head.Term)
+	if stale && !c.rules.SkipTerm {
 		return true
 	}
 	c.head.Term = max(c.head.Term, command.Term)
 	return false
 }
 
-func (c *core) refusedTerm(command *Command) Refusal {
+func (c *core) staleTermRefusal(command *Command) Refusal {
 	return refusef("term %d is over; term %d has begun", command.Term, c.head.Term)
 }
 
@@ -135,7 +139,7 @@
 	}
 	before := string(c.head.Leader)
 	c.head.Leader = leader
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  "start-term",
 		subject: fmt.Sprintf("term %d", command.Term),
 		before:  before,
@@ -144,8 +148,8 @@
 	return Result{}
 }
 
-// applyPlan checks each action against the tables as they are now: since the
-// controller looked, an operator or a failure may have changed them.
+// applyPlan checks each action against the current tables: an operator or a
+// failure may have changed them since the controller took its view.
 func (c *core) applyPlan(command *Command, actions []Action) Result {
 	if command.Term == 0 {
 		return Result{Refused: refusedNoTerm}
@@ -188,14 +192,16 @@
 	}
 }
 
-// clip bounds a text that is kept and makes it valid UTF-8: the audit files
-// hold it as JSON, which would otherwise change it and break the chain.
-func clip(s string) string {
+// truncateText limits a stored text to MaxText bytes and makes it valid UTF-8:
+// the audit files store it as JSON, which would otherwise change invalid bytes
+// and break the digest chain.
+func truncateText(s string) string {
 	return strings.ToValidUTF8(s[:min(len(s), MaxText)], "")
 }
 
-// badID says why an identifier can't be kept, empty when it can.
-func badID(what, id string) Refusal {
+// validateID returns why an identifier can't be stored, empty if it can. The
+// other validate functions likewise return an empty Refusal for valid input.
+func validateID(what, id string) Refusal {
 	if id == "" || len(id) > MaxText {
 		return refusef("the %s must have 1 to %d bytes", what, MaxText)
 	}
--- a/internal/state/apply_claim.go
+++ b/internal/state/apply_claim.go
@@ -6,45 +6,46 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// claimRequest grants a key to the first process that asks. The grant is
-// committed before the first byte of the request leaves, so a resend through
-// any other entry VM, or after a crash, finds the claim and never runs it
-// again. A claim settled as not-run frees its key for the same request.
-func (c *core) claimRequest(command *Command, asked model.Claim) Result {
-	if refused := badID("request key", string(asked.Key)); refused != "" {
+// claimRequest grants a key to the first process that claims it. The grant is
+// committed before the first byte of the request is sent, so a resend through
+// another entry VM, or after a crash, finds the claim and does not run the
+// request again. A claim settled as not-run frees its key for the same request.
+func (c *core) claimRequest(command *Command, claim model.Claim) Result {
+	if refused := validateID("request key", string(claim.Key)); refused != "" {
 		return Result{Refused: refused}
 	}
-	existing := c.claims.get(asked.Key)
-	if existing != nil && !bytes.Equal(existing.Digest, asked.Digest) {
+	existing := c.claims.get(claim.Key)
+	if existing != nil && !bytes.Equal(existing.Digest, claim.Digest) {
 		return Result{
 			Refused: "the key was used for another request",
 			Claim:   &ClaimResult{Existing: existing},
 		}
 	}
-	free := existing == nil || settledNotRun(existing)
+	free := existing == nil || isSettledNotRun(existing)
 	if !free && !c.rules.SkipClaimOnce {
 		return Result{Claim: &ClaimResult{Existing: existing}}
 	}
 	if existing == nil && c.claims.len() >= MaxClaims {
 		return Result{Refused: refusef("%d request keys are claimed, which is the most", MaxClaims)}
 	}
-	asked.State = model.ClaimRunning
-	asked.Verdict = model.MayHaveRun
-	asked.Claimed = command.At
-	asked.Answer = nil
-	c.putClaim(&asked)
+	claim.State = model.ClaimRunning
+	claim.Verdict = model.MayHaveRun
+	claim.Claimed = command.At
+	claim.Answer = nil
+	c.putClaim(&claim)
 	return Result{Claim: &ClaimResult{Granted: true}}
 }
 
-func settledNotRun(claim *model.Claim) bool {
+// isSettledNotRun reports whether the request surely did not run.
+func isSettledNotRun(claim *model.Claim) bool {
 	return claim.State == model.ClaimSettled && claim.Verdict == model.NotRun
 }
 
 // settleRequest records how a claimed request ended. Only the process that
-// claimed knows; others may only say that the outcome can't be learned.
+// claimed it knows the outcome; others may only settle it as unknown.
 func (c *core) settleRequest(s *SettleRequest) Result {
 	claim := c.claims.get(s.Key)
-	if refused := c.badSettle(claim, s); refused != "" {
+	if refused := c.validateSettle(claim, s); refused != "" {
 		return Result{Refused: refused}
 	}
 	settled := *claim
@@ -60,7 +61,7 @@
 	return Result{}
 }
 
-func (c *core) badSettle(claim *model.Claim, s *SettleRequest) Refusal {
+func (c *core) validateSettle(claim *model.Claim, s *SettleRequest) Refusal {
 	if claim == nil {
 		return "the key is not claimed"
 	}
@@ -73,8 +74,8 @@
 	if c.rules.SkipClaimOwner {
 		return ""
 	}
-	owner := claim.Owner == s.Owner && claim.Incarnation == s.Incarnation
-	if !owner && !s.Takeover {
+	isOwner := claim.Owner == s.Owner && claim.Incarnation == s.Incarnation
+	if !isOwner && !s.Takeover {
 		return refusef("the claim belongs to %s, incarnation %d", claim.Owner, claim.Incarnation)
 	}
 	if claim.State != model.ClaimRunning {
@@ -83,8 +84,9 @@
 	return ""
 }
 
-// forgetClaims drops ended claims whose deadline passed. A claim that is still
-// running becomes unknown first: dropping it would let its key run again.
+// forgetClaims drops settled claims whose deadline lies before the instant. A
+// claim that is still running becomes unknown instead: dropping it would let
+// its key run again.
 func (c *core) forgetClaims(before model.Instant) Result {
 	for _, claim := range c.claims.sorted() {
 		if claim.Deadline >= before {
@@ -98,46 +100,46 @@
 		unknown.State = model.ClaimUnknown
 		c.putClaim(&unknown)
 	}
-	c.kept.compact(c.claims.get)
+	c.answers.compact(c.claims.get)
 	return Result{}
 }
 
 func (c *core) putClaim(claim *model.Claim) {
 	old := c.claims.get(claim.Key)
 	c.guardClaim(old, claim)
-	c.derived.keptBody += bodySize(claim) - bodySize(old)
+	c.derived.answerBytes += bodySize(claim) - bodySize(old)
 	if bodySize(claim) > 0 {
-		c.kept.keys = append(c.kept.keys, claim.Key)
+		c.answers.keys = append(c.answers.keys, claim.Key)
 	}
 	c.claims.put(claim.Key, claim)
 }
 
 func (c *core) removeClaim(claim *model.Claim) {
-	c.derived.keptBody -= bodySize(claim)
+	c.derived.answerBytes -= bodySize(claim)
 	c.claims.remove(claim.Key)
 }
 
-// keptAnswers lists the keys whose answers have a body, in the order in which
-// they settled; it may hold keys that were dropped since.
-type keptAnswers struct{ keys []model.RequestKey }
+// answerQueue lists the keys whose answers have a body, in the order in which
+// they settled. It may hold keys whose body or claim was dropped since.
+type answerQueue struct{ keys []model.RequestKey }
 
-// compact removes the keys that have no body any more.
-func (k *keptAnswers) compact(claim func(model.RequestKey) *model.Claim) {
-	keys := make([]model.RequestKey, 0, len(k.keys))
-	for _, key := range k.keys {
+// compact removes the keys whose answers no longer have a body.
+func (q *answerQueue) compact(claim func(model.RequestKey) *model.Claim) {
+	keys := make([]model.RequestKey, 0, len(q.keys))
+	for _, key := range q.keys {
 		if bodySize(claim(key)) > 0 {
 			keys = append(keys, key)
 		}
 	}
-	k.keys = keys
+	q.keys = keys
 }
 
-// dropOldAnswers drops the bodies of the oldest answers until the rest fits.
-// The claims stay, so that no request runs again for lack of memory.
+// dropOldAnswers drops the bodies of the oldest answers until the rest fit in
+// MaxKeptBytes. The claims stay, so no request runs again because of this bound.
 func (c *core) dropOldAnswers() {
-	for c.derived.keptBody > MaxKeptBytes && len(c.kept.keys) > 0 {
-		key := c.kept.keys[0]
-		c.kept.keys = c.kept.keys[1:]
+	for c.derived.answerBytes > MaxKeptBytes && len(c.answers.keys) > 0 {
+		key := c.answers.keys[0]
+		c.answers.keys = c.answers.keys[1:]
 		claim := c.claims.get(key)
 		if bodySize(claim) == 0 {
 			continue
@@ -148,7 +150,7 @@
 	}
 }
 
-// boundAnswer returns the answer as it is kept.
+// boundAnswer returns the answer, without its body if that exceeds MaxKeptAnswer.
 func boundAnswer(a *model.KeptAnswer) *model.KeptAnswer {
 	if a == nil || len(a.Body) <= MaxKeptAnswer {
 		return a
--- a/internal/state/apply_end.go
+++ b/internal/state/apply_end.go
@@ -7,19 +7,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// endTask removes a task and decides what becomes of its job.
+// endTask removes a task and updates the state of its job.
 func (c *core) endTask(command *Command, a *Action, e *EndTask) Refusal {
 	task := c.tasks.get(e.Task)
 	if task == nil {
 		return "no such task"
 	}
-	if refused := c.badEnd(command, task, e.Outcome); refused != "" {
+	if refused := c.validateEnd(command, task, e.Outcome); refused != "" {
 		return refused
 	}
 	c.guardEnd(command, task, e.Outcome)
 	c.removeTask(task)
 	if task.Job == "" {
-		c.record(command, entry{
+		c.record(command, auditEntry{
 			action:  "end-instance",
 			subject: fmt.Sprintf("%s/%d", task.Service, task.Ordinal),
 			before:  fmt.Sprintf("task %s on VM %s", task.ID, task.VM),
@@ -32,7 +32,7 @@
 	return ""
 }
 
-func (c *core) badEnd(command *Command, task *model.Task, o TaskOutcome) Refusal {
+func (c *core) validateEnd(command *Command, task *model.Task, o TaskOutcome) Refusal {
 	switch o {
 	case OutcomeSucceeded, OutcomeFailed, OutcomeStopped:
 		return ""
@@ -56,7 +56,7 @@
 
 func outcomeName(o TaskOutcome) string { return outcomeNames[o] }
 
-// settleJob moves the job on after its task ended.
+// settleJob updates the job after its task ended.
 func (c *core) settleJob(command *Command, task *model.Task, e *EndTask) {
 	job := c.jobs.get(task.Job)
 	if job == nil {
@@ -73,9 +73,9 @@
 	}
 }
 
-// afterEnd returns the job as it is after its task ended. A job that is not
-// idempotent goes back to the queue only if its attempt surely did not start:
-// anything else could run it twice.
+// afterEnd returns the job in its state after its task ended. A job that is not
+// idempotent returns to the queue only if its attempt surely did not start:
+// otherwise it could run twice.
 func afterEnd(job *model.Job, task *model.Task, e *EndTask) model.Job {
 	after := *job
 	if e.Moved {
@@ -93,7 +93,7 @@
 	case OutcomeNeverStarted:
 		after.Attempts--
 	}
-	sure := e.Outcome == OutcomeNeverStarted
+	neverStarted := e.Outcome == OutcomeNeverStarted
 	switch {
 	case job.Cancelled && e.Outcome != OutcomeLapsed:
 		after.State = model.JobCancelled
@@ -101,7 +101,7 @@
 	case job.Cancelled && job.Spec.Idempotent:
 		after.State = model.JobCancelled
 		after.Reason = "cancelled; its attempt may have run to its end"
-	case job.Spec.Idempotent || sure:
+	case job.Spec.Idempotent || neverStarted:
 		after.State = model.JobQueued
 		after.Reason = fmt.Sprintf("queued again: its attempt on VM %s %s", task.VM, outcomeName(e.Outcome))
 	case e.Outcome == OutcomeFailed:
--- a/internal/state/apply_job.go
+++ b/internal/state/apply_job.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// submitJob enters a job. A job is known by its ID until ForgetJobs drops it,
-// so a doubled submission finds the first one and starts nothing.
+// submitJob stores a new job. The job keeps its ID until ForgetJobs drops it, so
+// a repeated submission finds the first one and starts nothing.
 func (c *core) submitJob(command *Command, spec model.JobSpec) Result {
 	digest := specDigest(spec)
 	if existing := c.jobs.get(spec.ID); existing != nil {
@@ -18,7 +18,7 @@
 		}
 		return Result{Job: withoutPayload(existing)}
 	}
-	if refused := c.badJob(spec); refused != "" {
+	if refused := c.validateJob(spec); refused != "" {
 		return Result{Refused: refused}
 	}
 	job := &model.Job{
@@ -33,19 +33,19 @@
 	return Result{Job: withoutPayload(job)}
 }
 
-func (c *core) badJob(spec model.JobSpec) Refusal {
-	if refused := badID("job ID", string(spec.ID)); refused != "" {
+func (c *core) validateJob(spec model.JobSpec) Refusal {
+	if refused := validateID("job ID", string(spec.ID)); refused != "" {
 		return refused
 	}
 	if len(spec.Kind) > MaxText {
 		return refusef("the kind has more than %d bytes", MaxText)
 	}
 	if c.site.pools[spec.Pool] == nil {
-		return refusef("the manifest has no pool %q", clip(string(spec.Pool)))
+		return refusef("the manifest has no pool %q", truncateText(string(spec.Pool)))
 	}
 	team := c.site.teams[spec.Team]
 	if team == nil {
-		return refusef("the manifest has no team %q", clip(string(spec.Team)))
+		return refusef("the manifest has no team %q", truncateText(string(spec.Team)))
 	}
 	if team.MaxJobs > 0 && c.derived.teamJobs[spec.Team] >= team.MaxJobs {
 		return refusef("team %s has %d jobs queued or running, which is its most", team.ID, team.MaxJobs)
@@ -56,14 +56,14 @@
 	if len(spec.Payload) > MaxPayload {
 		return refusef("the payload has more than %d bytes", MaxPayload)
 	}
-	if c.derived.payload+int64(len(spec.Payload)) > MaxPayloadBytes {
+	if c.derived.payloadBytes+int64(len(spec.Payload)) > MaxPayloadBytes {
 		return "the payloads of the waiting jobs have used up their room"
 	}
 	return ""
 }
 
-// cancelJobs cancels each job by itself, at a cost that does not depend on
-// the others. A queued job ends here and never starts.
+// cancelJobs cancels each job independently; the cost per job does not depend
+// on their number. A queued job ends here and never starts.
 func (c *core) cancelJobs(command *Command, ids []model.JobID) Result {
 	result := Result{Actions: make([]Refusal, len(ids))}
 	cancelled := 0
@@ -77,7 +77,7 @@
 		result.Job = withoutPayload(c.jobs.get(ids[0]))
 	}
 	if cancelled > 0 {
-		c.record(command, entry{
+		c.record(command, auditEntry{
 			action:  "cancel-jobs",
 			subject: firstOf(ids),
 			after:   fmt.Sprintf("%d of %d cancelled", cancelled, len(ids)),
@@ -86,6 +86,7 @@
 	return result
 }
 
+// firstOf describes a list of jobs by its first one.
 func firstOf(ids []model.JobID) string {
 	if len(ids) == 1 {
 		return string(ids[0])
@@ -126,7 +127,7 @@
 	return Result{}
 }
 
-// ended reports whether nothing can make the job run any more.
+// ended reports whether the state is final: the job can't run again.
 func ended(s model.JobState) bool {
 	switch s {
 	case model.JobDone, model.JobFailed, model.JobCancelled, model.JobOutcomeUnknown:
@@ -136,7 +137,8 @@
 	}
 }
 
-// setJob changes a job without a task. An ended job stays as it is.
+// setJob changes the state of a job that has no task. Jobs that ended are not
+// changed.
 func (c *core) setJob(command *Command, s *SetJob) Refusal {
 	job := c.jobs.get(s.Job)
 	if job == nil {
@@ -148,7 +150,7 @@
 	if task := c.derived.jobTasks[s.Job]; task != "" {
 		return refusef("task %s of the job is still recorded", task)
 	}
-	reason := clip(s.Reason)
+	reason := truncateText(s.Reason)
 	switch s.State {
 	case model.JobQueued, model.JobHeld, model.JobUnplaceable:
 		if job.State == s.State && job.Reason == reason {
@@ -171,7 +173,7 @@
 }
 
 func (c *core) recordJob(command *Command, id model.JobID, from, to model.JobState, reason string) {
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  "set-job",
 		subject: string(id),
 		before:  from.String(),
@@ -180,11 +182,11 @@
 	})
 }
 
-// endJob ends a job and drops its payload, which nobody needs any more.
+// endJob ends a job and drops its payload, which is no longer needed.
 func (c *core) endJob(command *Command, job *model.Job, s model.JobState, reason string) {
 	changed := *job
 	changed.State = s
-	changed.Reason = clip(reason)
+	changed.Reason = truncateText(reason)
 	changed.Changed = command.At
 	changed.Spec.Payload = nil
 	c.changeJob(job, &changed)
@@ -198,13 +200,13 @@
 func specDigest(spec model.JobSpec) string {
 	data, err := codec.Marshal(spec)
 	if err != nil {
-		panic(err) // a JobSpec holds only numbers, texts and bytes
+		panic(err) // can't happen: a JobSpec holds only numbers, strings and bytes
 	}
 	sum := sha256.Sum256(data)
 	return string(sum[:16])
 }
 
-// withoutPayload returns the job as answers carry it.
+// withoutPayload returns the job as results contain it.
 func withoutPayload(j *model.Job) *model.Job {
 	if j == nil || j.Spec.Payload == nil {
 		return j
--- a/internal/state/apply_manifest.go
+++ b/internal/state/apply_manifest.go
@@ -10,12 +10,12 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// applyManifest makes a manifest the desired state. Revisions only grow, and
-// of two manifests with the same revision the first in the log wins: operators
-// who race with equal numbers learn who won, and nobody's accepted manifest is
-// silently replaced.
+// applyManifest makes a manifest the desired state. Revisions strictly increase,
+// and of two manifests with the same revision the first in the log wins: if two
+// operators race with the same revision, the loser gets a conflict, and no
+// accepted manifest is silently replaced.
 func (c *core) applyManifest(command *Command, a *ApplyManifest) Result {
-	if refused := c.badManifest(a); refused != "" {
+	if refused := c.validateManifest(a); refused != "" {
 		return Result{Refused: refused}
 	}
 	outcome := c.manifestOutcome(a)
@@ -26,8 +26,8 @@
 	before := describeManifest(c.head.Manifest)
 	c.head.Manifest = manifest{Text: a.Text, Digest: a.Digest, Index: c.index, Site: a.Site}
 	c.site = newSiteIndex(a.Site)
-	c.remember(a)
-	c.record(command, entry{
+	c.addToHistory(a)
+	c.record(command, auditEntry{
 		action:  "apply-manifest",
 		subject: a.Site.Name,
 		before:  before,
@@ -36,8 +36,8 @@
 	return Result{Manifest: c.manifestResult(ManifestAccepted)}
 }
 
-// badManifest refuses what the proposer should have refused already.
-func (c *core) badManifest(a *ApplyManifest) Refusal {
+// validateManifest checks again what the proposer should have checked already.
+func (c *core) validateManifest(a *ApplyManifest) Refusal {
 	if a.Site == nil || a.Revision == 0 || a.Site.Revision != a.Revision {
 		return "the manifest's parsed form does not belong to its revision"
 	}
@@ -52,24 +52,24 @@
 	if current != nil && current.Name != a.Site.Name {
 		return refusef("the site is %q, not %q", current.Name, a.Site.Name)
 	}
-	return namedTwice(a.Site)
+	return validateUniqueIDs(a.Site)
 }
 
-// namedTwice refuses a site that gives one ID to two parts. Everything else
-// finds a part by its ID: of two pools under one ID each would be filled up to
-// the size of its own while only one of the two is counted, so that VMs are
-// moved beyond the largest size.
-func namedTwice(s *model.Site) Refusal {
+// validateUniqueIDs refuses a site in which two parts of a kind have the same
+// ID. All other code finds a part by its ID: two pools with the same ID would
+// each be filled up to their own size while only one of them is counted, so VMs
+// would be moved in beyond the largest size.
+func validateUniqueIDs(s *model.Site) Refusal {
 	return cmp.Or(
-		sharedID("pool", s.Pools, func(p *model.Pool) model.PoolID { return p.ID }),
-		sharedID("service", s.Services, func(s *model.Service) model.ServiceID { return s.ID }),
-		sharedID("team", s.Teams, func(t *model.Team) model.TeamID { return t.ID }),
-		sharedID("wave", s.Waves, func(w *model.Wave) model.WaveID { return w.ID }),
+		findDuplicateID("pool", s.Pools, func(p *model.Pool) model.PoolID { return p.ID }),
+		findDuplicateID("service", s.Services, func(s *model.Service) model.ServiceID { return s.ID }),
+		findDuplicateID("team", s.Teams, func(t *model.Team) model.TeamID { return t.ID }),
+		findDuplicateID("wave", s.Waves, func(w *model.Wave) model.WaveID { return w.ID }),
 	)
 }
 
-// sharedID names the first ID that two of the parts have.
-func sharedID[P any, ID ~string](kind string, parts []P, id func(*P) ID) Refusal {
+// findDuplicateID refuses the first ID that two of the parts have in common.
+func findDuplicateID[P any, ID ~string](kind string, parts []P, id func(*P) ID) Refusal {
 	seen := make(map[ID]bool, len(parts))
 	for i := range parts {
 		name := id(&parts[i])
@@ -99,16 +99,17 @@
 	}
 }
 
-// acceptedBefore reports whether this very manifest was accepted, also when a
-// later one replaced it meanwhile: an operator who lost the answer and sends
-// again must not be told that the manifest was refused.
+// acceptedBefore reports whether this manifest was accepted before, even if a
+// later one has replaced it since: an operator who lost the reply and resends
+// must not be told that the manifest was refused.
 func (c *core) acceptedBefore(a *ApplyManifest) bool {
 	return slices.ContainsFunc(c.head.History, func(h acceptedManifest) bool {
 		return h.Revision == a.Revision && h.Digest == a.Digest
 	})
 }
 
-func (c *core) remember(a *ApplyManifest) {
+// addToHistory records that the manifest was accepted.
+func (c *core) addToHistory(a *ApplyManifest) {
 	history := append(slices.Clone(c.head.History), acceptedManifest{a.Revision, a.Digest, c.index})
 	c.head.History = history[max(0, len(history)-ManifestHistory):]
 }
--- a/internal/state/apply_owner.go
+++ b/internal/state/apply_owner.go
@@ -7,29 +7,31 @@
 )
 
 // A VM moves in two committed steps, so that it is never in two pools: first
-// its pool loses it for new work, then, once no task of the old pool is
-// recorded any more, the other pool gets it. There is one entry throughout.
+// its pool can't place new work on it, then, once no task of the old pool is
+// recorded on it, the other pool gets it. The VM has a single ownership entry
+// throughout the move.
 
-// stale says why a decision that saw a generation can't be carried out.
-func (c *core) stale(vm model.VMID, inForce, seen uint64) Refusal {
-	if inForce == seen {
+// validateGeneration refuses a decision that was based on another generation of
+// the VM than the current one.
+func (c *core) validateGeneration(vm model.VMID, current, seen uint64) Refusal {
+	if current == seen {
 		return ""
 	}
 	if c.rules.SkipGeneration {
 		return ""
 	}
-	return refusef("VM %s is at generation %d, the decision saw %d", vm, inForce, seen)
+	return refusef("VM %s is at generation %d, the decision saw %d", vm, current, seen)
 }
 
 func (c *core) beginMove(command *Command, a *Action, b *BeginMove) Refusal {
-	if refused := c.badTarget(b.Target); refused != "" {
+	if refused := c.validateTarget(b.Target); refused != "" {
 		return refused
 	}
 	owner := c.owners.get(b.VM)
 	if owner == nil {
 		return c.enterVM(command, a, b)
 	}
-	if refused := c.stale(b.VM, owner.Generation, b.Generation); refused != "" {
+	if refused := c.validateGeneration(b.VM, owner.Generation, b.Generation); refused != "" {
 		return refused
 	}
 	if c.permits.get(b.VM) != nil && !c.rules.SkipPermit {
@@ -48,13 +50,14 @@
 	return ""
 }
 
-// enterVM enters a VM that has no entry yet. Its generation starts above that
-// of every VM ever forgotten: an old command for its name can't fit.
+// enterVM creates the ownership entry of a new VM. Its generation starts above
+// that of every forgotten VM, so that an old command for the same VM ID never
+// matches.
 func (c *core) enterVM(command *Command, a *Action, b *BeginMove) Refusal {
-	if refused := badID("VM", string(b.VM)); refused != "" {
+	if refused := validateID("VM", string(b.VM)); refused != "" {
 		return refused
 	}
-	if refused := c.stale(b.VM, 0, b.Generation); refused != "" {
+	if refused := c.validateGeneration(b.VM, 0, b.Generation); refused != "" {
 		return refused
 	}
 	if c.owners.len() >= MaxVMs {
@@ -69,8 +72,9 @@
 	return ""
 }
 
-// badTarget refuses a pool that the manifest does not have or that is full.
-func (c *core) badTarget(target model.PoolID) Refusal {
+// validateTarget refuses a pool that the manifest does not define or that has its
+// maximum number of VMs.
+func (c *core) validateTarget(target model.PoolID) Refusal {
 	if target == "" {
 		return "" // the shared spares
 	}
@@ -89,13 +93,13 @@
 	if owner == nil {
 		return "no such VM"
 	}
-	if refused := c.stale(f.VM, owner.Generation, f.Generation); refused != "" {
+	if refused := c.validateGeneration(f.VM, owner.Generation, f.Generation); refused != "" {
 		return refused
 	}
 	if !owner.Moving {
 		return refusef("VM %s is not moving", f.VM)
 	}
-	if refused := c.inUse(f.VM); refused != "" {
+	if refused := c.validateUnused(f.VM); refused != "" {
 		return refused
 	}
 	if owner.Target != "" && c.site.pools[owner.Target] == nil {
@@ -109,8 +113,9 @@
 	return ""
 }
 
-// inUse says why the old pool still holds on to a VM.
-func (c *core) inUse(vm model.VMID) Refusal {
+// validateUnused refuses a VM that its pool still uses: it has tasks or is under
+// maintenance.
+func (c *core) validateUnused(vm model.VMID) Refusal {
 	if c.rules.SkipSingleOwner {
 		return ""
 	}
@@ -128,10 +133,10 @@
 	if owner == nil {
 		return "no such VM"
 	}
-	if refused := c.stale(f.VM, owner.Generation, f.Generation); refused != "" {
+	if refused := c.validateGeneration(f.VM, owner.Generation, f.Generation); refused != "" {
 		return refused
 	}
-	if refused := c.inUse(f.VM); refused != "" {
+	if refused := c.validateUnused(f.VM); refused != "" {
 		return refused
 	}
 	c.head.RetiredGeneration = max(c.head.RetiredGeneration, owner.Generation)
@@ -142,7 +147,7 @@
 			c.quarantines.remove(quarantine.Worker)
 		}
 	}
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  "forget-vm",
 		subject: string(f.VM),
 		before:  describeOwner(owner),
@@ -151,14 +156,14 @@
 	return ""
 }
 
-// changeOwner commits an entry under the next generation.
+// changeOwner stores an ownership entry with the next generation.
 func (c *core) changeOwner(command *Command, a *Action, action string, from, to *model.Ownership) {
 	to.Generation++
 	to.Since = command.At
-	to.Reason = clip(a.Reason)
+	to.Reason = truncateText(a.Reason)
 	c.guardOwner(from, to)
 	c.putOwner(to)
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  action,
 		subject: string(to.VM),
 		before:  describeOwner(from),
--- a/internal/state/apply_permit.go
+++ b/internal/state/apply_permit.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// grant commits that one VM may be unavailable, before any command is sent
-// for it: a leader that takes over sees every VM which may be on its way down.
+// grant commits a permit for one VM to be unavailable, before any command is
+// sent for the VM: a new leader sees every VM that may be going down.
 func (c *core) grant(command *Command, a *Action, g *Grant) Refusal {
 	owner := c.owners.get(g.VM)
 	if owner == nil {
@@ -21,7 +21,7 @@
 		return refusef("VM %s is moving", g.VM)
 	}
 	wave := c.site.waves[g.Wave]
-	if refused := c.badWave(command, wave, owner); refused != "" {
+	if refused := c.validateWave(command, wave, owner); refused != "" {
 		return refused
 	}
 	c.head.PermitGeneration++
@@ -31,7 +31,7 @@
 		Pool:       owner.Pool,
 		Phase:      model.PhaseGranted,
 		Since:      command.At,
-		BootID:     clip(g.BootID),
+		BootID:     truncateText(g.BootID),
 		Generation: c.head.PermitGeneration,
 	}
 	c.putPermit(permit)
@@ -39,7 +39,7 @@
 	return ""
 }
 
-func (c *core) badWave(command *Command, wave *model.Wave, owner *model.Ownership) Refusal {
+func (c *core) validateWave(command *Command, wave *model.Wave, owner *model.Ownership) Refusal {
 	if wave == nil {
 		return "the manifest has no such wave"
 	}
@@ -58,13 +58,13 @@
 	return ""
 }
 
-// WaveDone reports whether a VM, last maintained as m says (nil for never),
-// needs nothing more from the wave. Only the time counts. Maintenance after the
-// wave's start counts whichever wave did it: with two waves over one pool, a VM
-// would otherwise be rebooted by turns without end, since only its last wave is
-// kept. Maintenance before it does not count even under the wave's own name:
-// operators write the next month's wave by a later start, and every VM would
-// silently be taken for done.
+// WaveDone reports whether the wave is done for a VM whose last maintenance is m
+// (nil if it had none). Only the time of the maintenance matters. Maintenance
+// after the wave's start counts whichever wave did it: only the last wave of a
+// VM is stored, so two waves over one pool would otherwise reboot it alternately
+// without end. Maintenance before the start does not count, even if it was done
+// by a wave of the same name: operators define the next month's wave by a later
+// start, and every VM would silently be considered done.
 func WaveDone(wave *model.Wave, m *model.Maintained) bool {
 	if m == nil {
 		return false
@@ -72,13 +72,14 @@
 	return m.At >= wave.Start
 }
 
-// permitAt returns the permit of a VM if the decision saw it.
+// permitAt returns the permit of a VM, or a refusal if it has none or the
+// decision was based on another generation of it.
 func (c *core) permitAt(vm model.VMID, generation uint64) (*model.Permit, Refusal) {
 	permit := c.permits.get(vm)
 	if permit == nil {
 		return nil, refusef("VM %s has no permit", vm)
 	}
-	return permit, c.stale(vm, permit.Generation, generation)
+	return permit, c.validateGeneration(vm, permit.Generation, generation)
 }
 
 func (c *core) setPhase(command *Command, a *Action, s *SetPhase) Refusal {
@@ -106,7 +107,7 @@
 		return refused
 	}
 	if r.Done {
-		if refused := c.notSoaked(command, permit); refused != "" {
+		if refused := c.validateSoaked(command, permit); refused != "" {
 			return refused
 		}
 		c.maintained.put(r.VM, &model.Maintained{VM: r.VM, Wave: permit.Wave, At: command.At})
@@ -116,9 +117,10 @@
 	return ""
 }
 
-// notSoaked says why a VM does not count as maintained yet. A VM that counted
-// as available right after its reboot, and failed then, would break a budget.
-func (c *core) notSoaked(command *Command, p *model.Permit) Refusal {
+// validateSoaked refuses a VM whose soak time has not passed: if it counted as
+// available right after its reboot and then failed, an availability budget would
+// be violated.
+func (c *core) validateSoaked(command *Command, p *model.Permit) Refusal {
 	if c.rules.SkipPermit {
 		return ""
 	}
@@ -137,7 +139,7 @@
 	if subject == nil {
 		subject = to
 	}
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  action,
 		subject: string(subject.VM),
 		before:  describePermit(from),
@@ -161,7 +163,7 @@
 			return refusef("worker %s is not in quarantine", worker)
 		}
 		c.quarantines.remove(worker)
-		c.record(command, entry{
+		c.record(command, auditEntry{
 			action:  "release-quarantine",
 			subject: string(worker),
 			before:  old.Reason,
@@ -169,16 +171,16 @@
 		})
 		return ""
 	}
-	if refused := badID("worker", string(worker)); refused != "" {
+	if refused := validateID("worker", string(worker)); refused != "" {
 		return refused
 	}
 	if c.owners.get(s.Quarantine.VM) == nil {
 		return "no such VM"
 	}
 	quarantine := s.Quarantine
-	quarantine.Reason = clip(quarantine.Reason)
+	quarantine.Reason = truncateText(quarantine.Reason)
 	c.quarantines.put(worker, &quarantine)
-	c.record(command, entry{
+	c.record(command, auditEntry{
 		action:  "quarantine",
 		subject: string(worker),
 		after:   quarantine.Reason,
--- a/internal/state/apply_task.go
+++ b/internal/state/apply_task.go
@@ -7,11 +7,11 @@
 )
 
 // startTask commits an attempt and its lease before the platform is called. A
-// leader that takes over finds every task that may run anywhere, and starts
-// no second one for the same job or instance.
+// new leader thus finds every task that may be running, and starts no second
+// one for the same job or instance.
 func (c *core) startTask(command *Command, a *Action, s *StartTask) Refusal {
 	task := s.Task
-	if refused := c.badStart(command, s); refused != "" {
+	if refused := c.validateStart(command, s); refused != "" {
 		return refused
 	}
 	task.State = model.TaskStarting
@@ -23,7 +23,7 @@
 	c.guardStart(&task)
 	c.putTask(&task)
 	if task.Job == "" {
-		c.record(command, entry{
+		c.record(command, auditEntry{
 			action:  "start-instance",
 			subject: fmt.Sprintf("%s/%d", task.Service, task.Ordinal),
 			after:   fmt.Sprintf("task %s on VM %s", task.ID, task.VM),
@@ -33,16 +33,16 @@
 	}
 	job := *c.jobs.get(task.Job)
 	job.State = model.JobRunning
-	job.Reason = clip(a.Reason)
+	job.Reason = truncateText(a.Reason)
 	job.Changed = command.At
 	job.Attempts++
 	c.changeJob(c.jobs.get(task.Job), &job)
 	return ""
 }
 
-func (c *core) badStart(command *Command, s *StartTask) Refusal {
+func (c *core) validateStart(command *Command, s *StartTask) Refusal {
 	task := &s.Task
-	if refused := badID("task", string(task.ID)); refused != "" {
+	if refused := validateID("task", string(task.ID)); refused != "" {
 		return refused
 	}
 	if c.tasks.get(task.ID) != nil {
@@ -51,20 +51,21 @@
 	if (task.Job == "") == (task.Service == "") {
 		return "a task belongs to a job or to a service"
 	}
-	if refused := badLease(command, task.LeaseUntil); refused != "" {
+	if refused := validateLease(command, task.LeaseUntil); refused != "" {
 		return refused
 	}
-	if refused := c.badPlace(task, s.Pool); refused != "" {
+	if refused := c.validatePlacement(task, s.Pool); refused != "" {
 		return refused
 	}
 	if task.Job != "" {
-		return c.badJobStart(command, task, s.Pool)
+		return c.validateJobStart(command, task, s.Pool)
 	}
-	return c.badInstanceStart(task, s.Pool)
+	return c.validateInstanceStart(task, s.Pool)
 }
 
-// badLease refuses leases that ended or that bind a job for too long.
-func badLease(command *Command, until model.Instant) Refusal {
+// validateLease refuses leases that have ended already or are longer than
+// MaxLease.
+func validateLease(command *Command, until model.Instant) Refusal {
 	if until <= command.At {
 		return "the lease ends before it begins"
 	}
@@ -74,8 +75,8 @@
 	return ""
 }
 
-// badPlace refuses a VM that does not serve the pool now.
-func (c *core) badPlace(task *model.Task, pool model.PoolID) Refusal {
+// validatePlacement refuses a VM that can't take tasks of the pool now.
+func (c *core) validatePlacement(task *model.Task, pool model.PoolID) Refusal {
 	owner := c.owners.get(task.VM)
 	if owner == nil {
 		return "no such VM"
@@ -92,7 +93,7 @@
 	return ""
 }
 
-func (c *core) badJobStart(command *Command, task *model.Task, pool model.PoolID) Refusal {
+func (c *core) validateJobStart(command *Command, task *model.Task, pool model.PoolID) Refusal {
 	job := c.jobs.get(task.Job)
 	if job == nil {
 		return "no such job"
@@ -100,23 +101,24 @@
 	if job.Spec.Pool != pool {
 		return refusef("the job runs in pool %s", job.Spec.Pool)
 	}
-	cancelled := job.State == model.JobCancelled && c.rules.SkipCancel
-	second := job.State == model.JobRunning && c.rules.SkipOneTask
-	if job.State != model.JobQueued && !cancelled && !second {
+	allowCancelled := job.State == model.JobCancelled && c.rules.SkipCancel
+	allowSecond := job.State == model.JobRunning && c.rules.SkipOneTask
+	if job.State != model.JobQueued && !allowCancelled && !allowSecond {
 		return refusef("the job is %s", job.State)
 	}
-	return c.badProbe(command, task, job)
+	return c.validateQuarantine(command, task, job)
 }
 
-// badProbe keeps work off a worker in quarantine, but for one idempotent batch
-// job at a time once a probe is due: urgent work must not pay for the test.
-func (c *core) badProbe(command *Command, task *model.Task, job *model.Job) Refusal {
+// validateQuarantine refuses to start a job on a worker in quarantine, except for
+// one idempotent batch job at a time once a probe is due: urgent work must not be
+// used as a probe.
+func (c *core) validateQuarantine(command *Command, task *model.Task, job *model.Job) Refusal {
 	quarantine := c.quarantines.get(task.Worker)
 	if quarantine == nil {
 		return ""
 	}
-	harmless := job.Spec.Idempotent && job.Spec.Priority == model.Batch
-	if command.At < quarantine.ProbeAt || !harmless {
+	mayProbe := job.Spec.Idempotent && job.Spec.Priority == model.Batch
+	if command.At < quarantine.ProbeAt || !mayProbe {
 		return refusef("worker %s is in quarantine", task.Worker)
 	}
 	for _, other := range c.tasks.rows {
@@ -127,18 +129,18 @@
 	return ""
 }
 
-func (c *core) badInstanceStart(task *model.Task, pool model.PoolID) Refusal {
+func (c *core) validateInstanceStart(task *model.Task, pool model.PoolID) Refusal {
 	service := c.site.services[task.Service]
 	if service == nil {
-		return refusef("the manifest has no service %q", clip(string(task.Service)))
+		return refusef("the manifest has no service %q", truncateText(string(task.Service)))
 	}
 	if service.Pool != pool {
 		return refusef("service %s runs in pool %s", service.ID, service.Pool)
 	}
-	if most := service.Instances + service.MaxSurge(); task.Ordinal < 0 || task.Ordinal >= most {
-		return refusef("service %s has instances 0 to %d", service.ID, most-1)
+	if limit := service.Instances + service.MaxSurge(); task.Ordinal < 0 || task.Ordinal >= limit {
+		return refusef("service %s has instances 0 to %d", service.ID, limit-1)
 	}
-	other := c.derived.ordinals[ordinalKey{task.Service, task.Ordinal}]
+	other := c.derived.instanceTasks[instanceKey{task.Service, task.Ordinal}]
 	if other != "" && !c.rules.SkipOneTask {
 		return refusef("task %s runs this instance", other)
 	}
@@ -148,10 +150,10 @@
 	return ""
 }
 
-// renewTasks extends leases; a lease never becomes shorter, because the
-// worker may have been told the longer one.
+// renewTasks extends leases. A lease never becomes shorter, because the worker
+// may already have received the longer one.
 func (c *core) renewTasks(command *Command, r *RenewTasks) Refusal {
-	if refused := badLease(command, r.LeaseUntil); refused != "" {
+	if refused := validateLease(command, r.LeaseUntil); refused != "" {
 		return refused
 	}
 	renewed := 0
@@ -170,6 +172,7 @@
 	return ""
 }
 
+// toRenew returns the tasks whose leases are to be renewed.
 func (c *core) toRenew(r *RenewTasks) []*model.Task {
 	if r.AllBut {
 		return c.tasksExcept(r.Tasks)
--- a/internal/state/audit.go
+++ b/internal/state/audit.go
@@ -8,26 +8,26 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// entry is an accepted change as apply describes it for the audit trail.
-type entry struct {
+// auditEntry describes an accepted change for the audit trail.
+type auditEntry struct {
 	action  string
 	subject string
 	before  string
 	after   string
-	// cause is the reason of an action; the command's cause when empty.
+	// cause is the reason of an action; if empty, the command's cause is recorded.
 	cause string
 }
 
 // auditTail holds the newest records of the trail.
 type auditTail struct {
 	records []model.AuditRecord
-	// sequence and digest are those of the last record ever made.
+	// sequence and digest are those of the last record appended.
 	sequence uint64
 	digest   string
 }
 
-// record adds an accepted change to the audit trail.
-func (c *core) record(command *Command, e entry) {
+// record appends an accepted change to the audit trail.
+func (c *core) record(command *Command, e auditEntry) {
 	cause := e.cause
 	if cause == "" {
 		cause = command.Cause
@@ -35,12 +35,12 @@
 	c.audit.append(model.AuditRecord{
 		Sequence: c.audit.sequence + 1,
 		At:       command.At,
-		Actor:    clip(command.Actor),
+		Actor:    truncateText(command.Actor),
 		Action:   e.action,
-		Subject:  clip(e.subject),
-		Before:   clip(e.before),
-		After:    clip(e.after),
-		Cause:    clip(cause),
+		Subject:  truncateText(e.subject),
+		Before:   truncateText(e.before),
+		After:    truncateText(e.after),
+		Cause:    truncateText(cause),
 	})
 }
 
@@ -49,19 +49,20 @@
 	t.sequence = r.Sequence
 	t.digest = r.Digest
 	if len(t.records) >= 2*AuditTail {
-		t.records = append(make([]model.AuditRecord, 0, 2*AuditTail), t.kept()...)
+		t.records = append(make([]model.AuditRecord, 0, 2*AuditTail), t.newest()...)
 	}
 	t.records = append(t.records, r)
 }
 
-// kept returns the last AuditTail records. The slice behind it holds up to
-// twice as many, so that dropping the oldest costs little.
-func (t *auditTail) kept() []model.AuditRecord {
+// newest returns the last AuditTail records. The underlying slice holds up to
+// twice as many, so that dropping the oldest records is cheap on average.
+func (t *auditTail) newest() []model.AuditRecord {
 	return t.records[max(0, len(t.records)-AuditTail):]
 }
 
+// read returns at most limit records with a sequence of at least from.
 func (t *auditTail) read(from uint64, limit int) []model.AuditRecord {
-	records := t.kept()
+	records := t.newest()
 	limit = min(limit, MaxAuditRead)
 	if len(records) == 0 || limit <= 0 {
 		return nil
@@ -73,14 +74,14 @@
 	return append([]model.AuditRecord(nil), records[:min(limit, len(records))]...)
 }
 
-// ChainDigest returns the digest of a record that follows the one with the
-// digest before: hex SHA-256 of the encoded record with before in its place.
-// Editing or dropping a record changes every digest after it.
+// ChainDigest returns the digest of a record whose predecessor has the digest
+// before: the hex SHA-256 of the encoded record with before in its digest field.
+// Editing or dropping a record changes every later digest.
 func ChainDigest(before string, r model.AuditRecord) string {
 	r.Digest = before
 	data, err := codec.Marshal(r)
 	if err != nil {
-		panic(err) // an AuditRecord holds only numbers and texts
+		panic(err) // can't happen: an AuditRecord holds only numbers and strings
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
--- a/internal/state/check.go
+++ b/internal/state/check.go
@@ -9,40 +9,41 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// checker collects what does not hold in a view.
+// checker collects the invariants that a view violates.
 type checker struct {
-	view   *View
-	broken []Broken
+	view       *View
+	violations []Broken
 }
 
 func (k *checker) fail(invariant, format string, args ...any) {
-	k.broken = append(k.broken, Broken{invariant, fmt.Sprintf(format, args...)})
+	k.violations = append(k.violations, Broken{invariant, fmt.Sprintf(format, args...)})
 }
 
-// expect is for checks that run seldom; checks of rows call fail behind their
-// condition, which costs nothing while all is well.
+// expect reports a violation unless holds is true. It is meant for checks that
+// run seldom: its arguments are evaluated even if the check passes. Checks of
+// rows test their condition first and call fail.
 func (k *checker) expect(holds bool, invariant, format string, args ...any) {
 	if !holds {
 		k.fail(invariant, format, args...)
 	}
 }
 
-// Check returns the invariants that do not hold in a view. It reads every row.
+// Check returns the invariants that a view violates. It reads every row.
 func Check(v *View) []Broken {
 	k := &checker{view: v}
 	k.owners()
 	k.permits()
 	k.tasks()
 	k.jobs()
-	slices.SortFunc(k.broken, compareBroken)
-	return k.broken
+	slices.SortFunc(k.violations, compareViolations)
+	return k.violations
 }
 
-func compareBroken(a, b Broken) int {
+func compareViolations(a, b Broken) int {
 	return cmp.Or(cmp.Compare(a.Invariant, b.Invariant), cmp.Compare(a.Detail, b.Detail))
 }
 
-// owners: a VM is in exactly one pool, and says so in one entry.
+// owners checks that each VM is in exactly one pool, with one entry.
 func (k *checker) owners() {
 	for id, owner := range k.view.Owners {
 		if owner.VM != id {
@@ -60,7 +61,8 @@
 	}
 }
 
-// permits: only an owned VM that is not moving may be under maintenance.
+// permits checks that only VMs that have an owner and are not moving are under
+// maintenance.
 func (k *checker) permits() {
 	for id, permit := range k.view.Permits {
 		owner := k.view.Owners[id]
@@ -77,9 +79,10 @@
 	}
 }
 
-// tasks: one task for an instance or job, on a VM of its pool.
+// tasks checks that each instance or job has at most one task, and that each
+// task of a job is on a VM of the job's pool.
 func (k *checker) tasks() {
-	instances := map[ordinalKey]model.TaskID{}
+	instances := map[instanceKey]model.TaskID{}
 	jobs := map[model.JobID]model.TaskID{}
 	for id, task := range k.view.Tasks {
 		if k.view.Owners[task.VM] == nil {
@@ -94,7 +97,7 @@
 			k.jobTask(task)
 			continue
 		}
-		key := ordinalKey{task.Service, task.Ordinal}
+		key := instanceKey{task.Service, task.Ordinal}
 		if instances[key] != "" {
 			k.fail("one-task", "instance %s/%d has two tasks", task.Service, task.Ordinal)
 		}
@@ -102,7 +105,7 @@
 	}
 }
 
-// jobTask: the job of a task runs, and on a VM of the job's pool.
+// jobTask checks that the job of a task is running, on a VM of the job's pool.
 func (k *checker) jobTask(task *model.Task) {
 	job := k.view.Jobs[task.Job]
 	if job == nil {
@@ -119,7 +122,7 @@
 	}
 }
 
-// jobs: a running job has a task.
+// jobs checks that each running job has a task.
 func (k *checker) jobs() {
 	running := map[model.JobID]bool{}
 	for _, task := range k.view.Tasks {
@@ -135,23 +138,25 @@
 	}
 }
 
-// check returns what does not hold in the parts that a view does not show.
+// check returns the violations in the parts of the state that a view does not
+// contain.
 func (c *core) check() []Broken {
 	k := &checker{}
 	k.auditChain(&c.audit)
-	k.expect(len(c.commands.byID) <= CommandMemory, "bounded", "%d command IDs are kept", len(c.commands.byID))
+	k.expect(len(c.dedup.byID) <= CommandMemory, "bounded", "%d command IDs are kept", len(c.dedup.byID))
 	k.expect(c.claims.len() <= MaxClaims, "bounded", "%d claims are kept", c.claims.len())
-	k.expect(c.derived.keptBody <= MaxKeptBytes, "bounded", "%d bytes of answers are kept", c.derived.keptBody)
+	k.expect(c.derived.answerBytes <= MaxKeptBytes, "bounded", "%d bytes of answers are kept", c.derived.answerBytes)
 	k.expect(c.jobs.len() <= MaxJobs, "bounded", "%d jobs are kept", c.jobs.len())
-	fresh := c.recount()
+	fresh := c.rebuild()
 	k.derivedCounts(c, fresh)
 	k.sums(c, fresh)
-	return k.broken
+	return k.violations
 }
 
-// auditChain: the kept records follow one another without gap or edit.
+// auditChain checks that the stored records have consecutive sequences and
+// matching digests.
 func (k *checker) auditChain(t *auditTail) {
-	records := t.kept()
+	records := t.newest()
 	for i := 1; i < len(records); i++ {
 		before, r := records[i-1], records[i]
 		k.expect(r.Sequence == before.Sequence+1, "audit-chain", "record %d follows %d", r.Sequence, before.Sequence)
@@ -159,17 +164,18 @@
 	}
 }
 
-// derivedCounts: the derived counts equal those of a fresh count.
+// derivedCounts checks that the incremental counts equal recomputed ones.
 func (k *checker) derivedCounts(c, fresh *core) {
 	k.expect(maps.Equal(fresh.derived.vmTasks, c.derived.vmTasks), "derived", "tasks of VMs")
 	k.expect(maps.Equal(fresh.derived.poolVMs, c.derived.poolVMs), "derived", "VMs of pools")
 	k.expect(maps.Equal(fresh.derived.teamJobs, c.derived.teamJobs), "derived", "jobs of teams")
 	k.expect(maps.Equal(fresh.derived.wavePermits, c.derived.wavePermits), "derived", "permits of waves")
-	k.expect(fresh.derived.payload == c.derived.payload, "derived", "bytes of payloads")
-	k.expect(fresh.derived.keptBody == c.derived.keptBody, "derived", "bytes of answers")
+	k.expect(fresh.derived.payloadBytes == c.derived.payloadBytes, "derived", "bytes of payloads")
+	k.expect(fresh.derived.answerBytes == c.derived.answerBytes, "derived", "bytes of answers")
 }
 
-// sums: the running sums, from which the digest is made, equal fresh ones.
+// sums checks that the incremental hash sums behind the digest equal recomputed
+// ones.
 func (k *checker) sums(c, fresh *core) {
 	k.expect(fresh.owners.sum == c.owners.sum, "digest", "owners")
 	k.expect(fresh.permits.sum == c.permits.sum, "digest", "permits")
@@ -180,8 +186,9 @@
 	k.expect(fresh.claims.sum == c.claims.sum, "digest", "claims")
 }
 
-// recount puts every row into an empty core.
-func (c *core) recount() *core {
+// rebuild returns a new core with the same rows, whose derived counts and sums
+// are recomputed.
+func (c *core) rebuild() *core {
 	fresh := newCore(c.rules)
 	rows := snapshotFile{
 		Owners:      c.owners.sorted(),
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// compressFrom is the size from which a manifest or a plan is compressed,
-	// in bytes. Claims and jobs are not: callers wait for them, and their
-	// content belongs to the callers, who may have compressed it already.
-	compressFrom = 1 << 10
-	// maxCommandBytes bounds what a compressed command may grow to.
+	// compressMinBytes is the size in bytes from which a manifest or a plan is
+	// compressed. Claims and jobs are never compressed: callers wait for them,
+	// and their content comes from the callers, who may have compressed it.
+	compressMinBytes = 1 << 10
+	// maxCommandBytes bounds the decompressed size of a command.
 	maxCommandBytes = 16 << 20
 )
 
-// gzipMagic begins a compressed command. No CBOR map begins so.
+// gzipMagic is the prefix of a compressed command. No CBOR map starts with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// compressors are kept: a new one takes 0.8 MB of memory.
-var compressors = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
+// gzipWriters are reused: a new one allocates 0.8 MB of memory.
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
-// errTooLarge says that a compressed command grows beyond maxCommandBytes.
+// errTooLarge is returned for a compressed command that exceeds maxCommandBytes
+// when decompressed.
 var errTooLarge = errors.New("state: command is too large")
 
-// Encode returns the bytes of a command as they go into the control log. Each
-// byte of it goes to every VM and to every disk.
+// Encode returns a command as it is stored in the control log. Large manifests
+// and plans are compressed, since every byte is sent to every VM and written to
+// every disk.
 func Encode(c Command) ([]byte, error) {
 	data, err := codec.Marshal(c)
-	repetitive := c.ApplyManifest != nil || c.Plan != nil
-	if err != nil || !repetitive || len(data) < compressFrom {
+	compressible := c.ApplyManifest != nil || c.Plan != nil
+	if err != nil || !compressible || len(data) < compressMinBytes {
 		return data, err
 	}
 	var buffer bytes.Buffer
-	w := compressors.Get().(*gzip.Writer)
-	defer compressors.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&buffer)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
@@ -51,10 +53,10 @@
 	return buffer.Bytes(), nil
 }
 
-// Decode is the inverse of Encode. It refuses unknown fields.
+// Decode is the inverse of Encode. It rejects unknown fields.
 func Decode(data []byte) (Command, error) {
 	var c Command
-	data, err := inflate(data)
+	data, err := decompress(data)
 	if err != nil {
 		return Command{}, err
 	}
@@ -64,9 +66,9 @@
 	return c, nil
 }
 
-// inflate returns a command as it was before it was compressed. The bound keeps
-// a few bytes of a faulty peer from filling the memory.
-func inflate(data []byte) ([]byte, error) {
+// decompress returns the encoded command before compression. The size bound keeps
+// a small command from a faulty peer from exhausting memory.
+func decompress(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, gzipMagic) {
 		return data, nil
 	}
@@ -74,17 +76,17 @@
 	if err != nil {
 		return nil, err
 	}
-	whole, err := io.ReadAll(io.LimitReader(r, maxCommandBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxCommandBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(whole) > maxCommandBytes {
+	if len(plain) > maxCommandBytes {
 		return nil, errTooLarge
 	}
-	return whole, nil
+	return plain, nil
 }
 
-// EncodeResult returns the bytes of a result as it travels between VMs.
+// EncodeResult returns a result as it is sent between VMs.
 func EncodeResult(r Result) ([]byte, error) { return codec.Marshal(r) }
 
 // DecodeResult is the inverse of EncodeResult.
@@ -96,14 +98,15 @@
 	return r, nil
 }
 
-// rowHasher hashes rows through one buffer that it keeps.
+// rowHasher hashes rows and reuses its buffer.
 type rowHasher struct{ buffer bytes.Buffer }
 
-// sum hashes the encoded row, salted with its table so that equal rows of two
-// tables differ. All rows are of our own types, so encoding cannot fail.
-func (h *rowHasher) sum(table byte, row any) uint64 {
+// sum hashes the encoded row with the salt of its table, so that equal rows of
+// two tables have different hashes. Encoding can't fail, since all rows are of
+// types defined here or in model.
+func (h *rowHasher) sum(salt byte, row any) uint64 {
 	h.buffer.Reset()
-	h.buffer.WriteByte(table)
+	h.buffer.WriteByte(salt)
 	if err := codec.MarshalToBuffer(row, &h.buffer); err != nil {
 		panic(err)
 	}
--- a/internal/state/codec_bench_test.go
+++ b/internal/state/codec_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// BenchmarkCommandCodec is the cost of a command, encoded and decoded, at
-// several sizes; those from compressFrom on are compressed.
+// BenchmarkCommandCodec measures encoding and decoding a command of several
+// sizes; those of compressMinBytes or more are compressed.
 func BenchmarkCommandCodec(b *testing.B) {
 	for _, teams := range []int{0, 30, 200} {
 		m := testManifest(2, "")
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -4,15 +4,15 @@
 
 // Command is one entry of the control log. Exactly one of the pointers is set.
 type Command struct {
-	// ID makes a resend harmless; a command with a known ID yields the first result.
+	// ID deduplicates resends; a command with a known ID yields the first result.
 	ID model.CommandID `cbor:"1,keyasint"`
-	// At is the leader's clock when it proposed the command.
+	// At is the time at the leader when it proposed the command.
 	At model.Instant `cbor:"2,keyasint"`
-	// Actor is who asked, for the audit trail.
+	// Actor is who issued the command, for the audit trail.
 	Actor string `cbor:"3,keyasint"`
-	// Cause is why, in words, for the audit trail.
+	// Cause is the reason as text, for the audit trail.
 	Cause string `cbor:"4,keyasint,omitempty"`
-	// Term fences the controller: when not 0, the command is refused once a
+	// Term fences the controller: if not 0, the command is refused once a
 	// command of a later term was applied.
 	Term uint64 `cbor:"5,keyasint,omitempty"`
 
@@ -39,14 +39,14 @@
 	Site *model.Site `cbor:"4,keyasint"`
 }
 
-// ClaimRequest reserves a key before the first byte of a request leaves.
+// ClaimRequest reserves a key before the first byte of a request is sent.
 type ClaimRequest struct {
 	Claim model.Claim `cbor:"1,keyasint"`
 }
 
 // SettleRequest records the outcome of a claimed request. Only the owner and
-// incarnation that claimed may settle; anyone may settle as ClaimUnknown once
-// the owner is known to be gone (Takeover).
+// incarnation that claimed it may settle it; any process may settle it as
+// ClaimUnknown once the owner is known to be lost (Takeover).
 type SettleRequest struct {
 	Key         model.RequestKey  `cbor:"1,keyasint"`
 	Owner       model.NodeID      `cbor:"2,keyasint"`
@@ -62,19 +62,20 @@
 	Before model.Instant `cbor:"1,keyasint"`
 }
 
-// SubmitJob enters a job. The same ID with the same spec yields the first answer.
+// SubmitJob stores a new job. The same ID with the same spec yields the existing
+// job.
 type SubmitJob struct {
 	Spec model.JobSpec `cbor:"1,keyasint"`
 }
 
-// CancelJobs cancels a batch of jobs: queued ones never start, running ones
-// are marked so that the controller stops them.
+// CancelJobs cancels a batch of jobs: queued jobs never start, running ones are
+// marked so that the controller stops them.
 type CancelJobs struct {
 	Jobs []model.JobID `cbor:"1,keyasint"`
 }
 
-// ForgetJobs drops jobs that ended before the instant. Until then a resend of
-// a job's submission finds it and starts nothing.
+// ForgetJobs drops jobs that ended before the instant. Until then a repeated
+// submission of the job finds it and starts nothing.
 type ForgetJobs struct {
 	Before model.Instant `cbor:"1,keyasint"`
 }
@@ -84,16 +85,16 @@
 	Leader model.NodeID `cbor:"1,keyasint"`
 }
 
-// Plan is what the controller decided in one round. Each action is checked
-// again when it is applied; one that no longer holds is refused by itself,
-// with a reason, and the others go on.
+// Plan holds the controller's decisions of one round. Each action is checked
+// again when it is applied; one that is no longer valid is refused with a
+// reason, without affecting the others.
 type Plan struct {
 	Actions []Action `cbor:"1,keyasint"`
 }
 
 // Action is one decision of the controller. Exactly one of the pointers is set.
 type Action struct {
-	// Reason says why, in words, for the audit trail and for status.
+	// Reason explains the decision, for the audit trail and for status.
 	Reason string `cbor:"1,keyasint,omitempty"`
 
 	BeginMove     *BeginMove     `cbor:"10,keyasint,omitempty"`
@@ -110,45 +111,46 @@
 	SetQuarantine *SetQuarantine `cbor:"21,keyasint,omitempty"`
 }
 
-// BeginMove starts to take a VM out of its pool. A VM that has no entry yet
-// is entered directly in Target with generation 1.
+// BeginMove starts moving a VM out of its pool. A VM without an ownership entry
+// gets one directly in Target, with a generation above that of every forgotten
+// VM.
 type BeginMove struct {
 	VM         model.VMID   `cbor:"1,keyasint"`
 	Target     model.PoolID `cbor:"2,keyasint"`
-	Generation uint64       `cbor:"3,keyasint"` // the generation the decision saw; 0 for a new VM
+	Generation uint64       `cbor:"3,keyasint"` // the generation that the decision is based on; 0 for a new VM
 }
 
 // FinishMove commits the new pool. It is refused while a task of the VM is
-// still recorded or the VM holds a permit.
+// recorded or the VM has a permit.
 type FinishMove struct {
 	VM         model.VMID `cbor:"1,keyasint"`
 	Generation uint64     `cbor:"2,keyasint"`
 }
 
-// ForgetVM drops the entry of a VM that the platform no longer lists.
+// ForgetVM drops the ownership entry of a VM that the platform no longer lists.
 type ForgetVM struct {
 	VM         model.VMID `cbor:"1,keyasint"`
 	Generation uint64     `cbor:"2,keyasint"`
 }
 
-// Grant commits a permit. It is refused when the VM holds one, is moving, or
-// went through the wave already.
+// Grant commits a maintenance permit. It is refused if the VM has one, is moving,
+// or has been through the wave already.
 type Grant struct {
 	VM     model.VMID   `cbor:"1,keyasint"`
 	Wave   model.WaveID `cbor:"2,keyasint"`
 	BootID string       `cbor:"3,keyasint"`
 }
 
-// SetPhase moves a permit forward. It is refused when the generation differs
-// or the phase would go back.
+// SetPhase advances the phase of a permit. It is refused if the generation
+// differs or the phase would go back.
 type SetPhase struct {
 	VM         model.VMID             `cbor:"1,keyasint"`
 	Generation uint64                 `cbor:"2,keyasint"`
 	Phase      model.MaintenancePhase `cbor:"3,keyasint"`
 }
 
-// Release ends a permit. Done says that the VM went through the wave; false
-// gives the VM back without maintenance.
+// Release ends a permit. Done reports whether the VM's maintenance is complete;
+// if false, the VM is released without it.
 type Release struct {
 	VM         model.VMID `cbor:"1,keyasint"`
 	Generation uint64     `cbor:"2,keyasint"`
@@ -156,49 +158,52 @@
 }
 
 // StartTask commits an attempt and its lease, before the platform is called.
-// It is refused when the VM is in another pool, moving or under a permit,
-// the job is not queued, or the service's ordinal already has a task.
+// It is refused if the VM is in another pool, moving or under maintenance, if
+// the job is not queued, or if the service's ordinal already has a task.
 type StartTask struct {
 	Task model.Task   `cbor:"1,keyasint"`
 	Pool model.PoolID `cbor:"2,keyasint"`
 }
 
-// RenewTasks extends leases to one common instant.
+// RenewTasks extends leases to a common instant.
 type RenewTasks struct {
 	Tasks      []model.TaskID `cbor:"1,keyasint"`
 	LeaseUntil model.Instant  `cbor:"2,keyasint"`
 	// AllBut renews every task except those in Tasks, so that the size of a
-	// renewal does not grow with the site. A lease recorded longer than the
-	// worker's is safe: its job only waits longer.
+	// renewal does not grow with the site. It is safe if the recorded lease is
+	// longer than the worker's: the job only waits longer for its next attempt.
 	AllBut bool `cbor:"3,keyasint,omitempty"`
 }
 
-// UpdateTask changes state or throttling of a task.
+// UpdateTask changes the state or throttling of a task.
 type UpdateTask struct {
 	Task      model.TaskID    `cbor:"1,keyasint"`
 	State     model.TaskState `cbor:"2,keyasint"`
 	Throttled bool            `cbor:"3,keyasint"`
 }
 
-// TaskOutcome says how a task ended.
+// TaskOutcome is how a task ended.
 type TaskOutcome uint8
 
 const (
-	// OutcomeSucceeded: the task ended with success.
+	// OutcomeSucceeded means that the task succeeded.
 	OutcomeSucceeded TaskOutcome = iota + 1
-	// OutcomeFailed: the task ended without success.
+	// OutcomeFailed means that the task ended without success.
 	OutcomeFailed
-	// OutcomeNeverStarted: the platform refused the start and promises that it did not run.
+	// OutcomeNeverStarted means that the platform refused the start and
+	// guarantees that the task did not run.
 	OutcomeNeverStarted
-	// OutcomeStopped: we stopped it; it may have done part of its work.
+	// OutcomeStopped means that the controller stopped the task; it may have
+	// done part of its work.
 	OutcomeStopped
-	// OutcomeLapsed: its lease lapsed without a word; it may have run.
+	// OutcomeLapsed means that the lease lapsed without a report; the task may
+	// have run.
 	OutcomeLapsed
 )
 
-// EndTask removes a task and says what becomes of its job: an idempotent job
-// goes back to the queue after OutcomeStopped and OutcomeLapsed, another one
-// becomes JobOutcomeUnknown; OutcomeNeverStarted requeues both.
+// EndTask removes a task and updates its job: after OutcomeStopped and
+// OutcomeLapsed an idempotent job is queued again and any other job becomes
+// JobOutcomeUnknown; OutcomeNeverStarted requeues both.
 type EndTask struct {
 	Task    model.TaskID `cbor:"1,keyasint"`
 	Outcome TaskOutcome  `cbor:"2,keyasint"`
@@ -220,42 +225,43 @@
 	Release    bool             `cbor:"2,keyasint,omitempty"`
 }
 
-// Refusal says why a command or action had no effect.
+// Refusal is the reason why a command or action had no effect.
 type Refusal string
 
-// Result is what applying a command yields; the same on every VM.
+// Result is the result of applying a command, the same on every VM.
 type Result struct {
 	// Index is the log index of the command.
 	Index uint64 `cbor:"1,keyasint"`
-	// Refused is empty when the command took effect, or had done so before.
+	// Refused is empty if the command took effect, now or before.
 	Refused Refusal `cbor:"2,keyasint,omitempty"`
 
 	Manifest *ManifestResult `cbor:"3,keyasint,omitempty"`
 	Claim    *ClaimResult    `cbor:"4,keyasint,omitempty"`
 	Job      *model.Job      `cbor:"5,keyasint,omitempty"`
-	// Actions has one entry for each action of a Plan and each job of a
-	// CancelJobs, empty when it took effect.
+	// Actions has one entry for each action of a Plan or each job of a
+	// CancelJobs, empty if it took effect.
 	Actions []Refusal `cbor:"6,keyasint,omitempty"`
 	// Batch has one entry for each command of a Batch.
 	Batch []Result `cbor:"7,keyasint,omitempty"`
 }
 
-// ManifestOutcome says what became of a manifest.
+// ManifestOutcome is the outcome of ApplyManifest.
 type ManifestOutcome uint8
 
 const (
-	// ManifestAccepted: it is now the desired state.
+	// ManifestAccepted means that the manifest is now the desired state.
 	ManifestAccepted ManifestOutcome = iota + 1
-	// ManifestAlready: this revision with this digest was accepted before.
+	// ManifestAlready means that this revision with this digest was accepted
+	// before.
 	ManifestAlready
-	// ManifestConflict: another manifest has this revision.
+	// ManifestConflict means that another manifest has this revision.
 	ManifestConflict
-	// ManifestStale: a later revision is in force.
+	// ManifestStale means that a later revision is in force.
 	ManifestStale
 )
 
-// ManifestResult answers ApplyManifest. Revision, Digest and Index are those
-// of the manifest that is in force; Index is where it was accepted.
+// ManifestResult is the result of ApplyManifest. Revision, Digest and Index are
+// those of the manifest in force; Index is the log index that accepted it.
 type ManifestResult struct {
 	Outcome  ManifestOutcome `cbor:"1,keyasint"`
 	Revision uint64          `cbor:"2,keyasint"`
@@ -263,8 +269,9 @@
 	Index    uint64          `cbor:"4,keyasint"`
 }
 
-// ClaimResult answers ClaimRequest. Granted says that the asker, and nobody
-// else, may send the request now; otherwise Existing is the earlier claim.
+// ClaimResult is the result of ClaimRequest. If Granted is set, only the process
+// that claimed the key may send the request now; otherwise Existing is the
+// earlier claim.
 type ClaimResult struct {
 	Granted  bool         `cbor:"1,keyasint"`
 	Existing *model.Claim `cbor:"2,keyasint,omitempty"`
--- a/internal/state/commands_test.go
+++ b/internal/state/commands_test.go
@@ -8,113 +8,114 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The random commands of the world.
+// The random commands of the simulation.
 
-func (w *world) manifest() Command {
-	revision := uint64(max(1, int(w.account.revision)+w.choose(4)-1))
-	m := testManifest(revision, fmt.Sprint(w.choose(2)))
-	if w.choose(10) == 0 {
-		m.Site.Pools = m.Site.Pools[:1] // pool b is gone for a while
+func (s *sim) manifestCommand() Command {
+	revision := uint64(max(1, int(s.expected.revision)+s.choose(4)-1))
+	m := testManifest(revision, fmt.Sprint(s.choose(2)))
+	if s.choose(10) == 0 {
+		m.Site.Pools = m.Site.Pools[:1] // pool b is missing from this revision
 	}
 	return Command{Actor: "operator", ApplyManifest: m}
 }
 
-func (w *world) key() model.RequestKey { return model.RequestKey(fmt.Sprintf("k%d", w.choose(6))) }
+func (s *sim) randomKey() model.RequestKey { return model.RequestKey(fmt.Sprintf("k%d", s.choose(6))) }
 
-func (w *world) claim() Command {
+func (s *sim) claimCommand() Command {
 	return Command{ClaimRequest: &ClaimRequest{Claim: model.Claim{
-		Key:         w.key(),
-		Digest:      []byte{byte(w.choose(8) / 7)},
-		Owner:       model.NodeID(fmt.Sprintf("n%d", w.choose(3))),
-		Incarnation: uint64(w.choose(2)),
-		Deadline:    w.at + 1000,
+		Key:         s.randomKey(),
+		Digest:      []byte{byte(s.choose(8) / 7)},
+		Owner:       model.NodeID(fmt.Sprintf("n%d", s.choose(3))),
+		Incarnation: uint64(s.choose(2)),
+		Deadline:    s.now + 1000,
 	}}}
 }
 
-func (w *world) settle() Command {
-	s := &SettleRequest{
-		Key:         w.key(),
-		Owner:       model.NodeID(fmt.Sprintf("n%d", w.choose(3))),
-		Incarnation: uint64(w.choose(2)),
+func (s *sim) settleCommand() Command {
+	request := &SettleRequest{
+		Key:         s.randomKey(),
+		Owner:       model.NodeID(fmt.Sprintf("n%d", s.choose(3))),
+		Incarnation: uint64(s.choose(2)),
 		State:       model.ClaimSettled,
-		Verdict:     model.Verdict(w.choose(3)),
-		Answer:      &model.KeptAnswer{Status: 200, Body: make([]byte, w.choose(3)*100)},
-		Takeover:    w.choose(4) == 0,
+		Verdict:     model.Verdict(s.choose(3)),
+		Answer:      &model.KeptAnswer{Status: 200, Body: make([]byte, s.choose(3)*100)},
+		Takeover:    s.choose(4) == 0,
 	}
-	if claim := w.account.granted[s.Key]; claim != nil && w.choose(2) == 0 {
-		s.Owner, s.Incarnation = claim.Owner, claim.Incarnation
+	if claim := s.expected.granted[request.Key]; claim != nil && s.choose(2) == 0 {
+		request.Owner, request.Incarnation = claim.Owner, claim.Incarnation
 	}
-	if s.Takeover && w.choose(4) > 0 {
-		s.State = model.ClaimUnknown
+	if request.Takeover && s.choose(4) > 0 {
+		request.State = model.ClaimUnknown
 	}
-	return Command{SettleRequest: s}
+	return Command{SettleRequest: request}
 }
 
-func (w *world) jobID() model.JobID { return model.JobID(fmt.Sprintf("j%d", w.choose(200))) }
+func (s *sim) randomJobID() model.JobID { return model.JobID(fmt.Sprintf("j%d", s.choose(200))) }
 
-func (w *world) job() Command {
-	id := w.jobID()
+func (s *sim) submitCommand() Command {
+	id := s.randomJobID()
 	return Command{SubmitJob: &SubmitJob{Spec: model.JobSpec{
 		ID:         id,
 		Team:       "berths",
-		Pool:       model.PoolID([]string{"a", "b"}[w.choose(2)]),
-		Kind:       fmt.Sprint(w.choose(8) / 7),
+		Pool:       model.PoolID([]string{"a", "b"}[s.choose(2)]),
+		Kind:       fmt.Sprint(s.choose(8) / 7),
 		Idempotent: id[len(id)-1]%2 == 0,
-		Payload:    make([]byte, w.choose(3)*100),
+		Payload:    make([]byte, s.choose(3)*100),
 	}}}
 }
 
-func (w *world) plan() Command {
-	term := w.term
-	if w.choose(12) == 0 && term > 1 {
-		term-- // a leader that was replaced and does not know it
+func (s *sim) planCommand() Command {
+	term := s.term
+	if s.choose(12) == 0 && term > 1 {
+		term-- // a replaced leader that does not know it yet
 	}
-	view := w.seen()
-	actions := make([]Action, 1+w.choose(2))
+	view := s.recentView()
+	actions := make([]Action, 1+s.choose(2))
 	for i := range actions {
-		actions[i] = w.action(view)
+		actions[i] = s.randomAction(view)
 	}
 	return Command{Term: term, Plan: &Plan{Actions: actions}}
 }
 
-// vm picks a VM; pick rather picks among those that a table holds.
-func (w *world) vm() model.VMID { return model.VMID(fmt.Sprintf("v%d", w.choose(5))) }
+// randomVM picks any VM ID, whether or not the VM exists.
+func (s *sim) randomVM() model.VMID { return model.VMID(fmt.Sprintf("v%d", s.choose(5))) }
 
-func pick[V any](w *world, rows map[model.VMID]*V, fits func(*V) bool) model.VMID {
+// pickVM mostly picks a VM among the matching rows, sometimes any VM ID.
+func pickVM[V any](s *sim, rows map[model.VMID]*V, matches func(*V) bool) model.VMID {
 	var ids []model.VMID
 	for _, id := range slices.Sorted(maps.Keys(rows)) {
-		if fits(rows[id]) {
+		if matches(rows[id]) {
 			ids = append(ids, id)
 		}
 	}
-	if len(ids) == 0 || w.choose(8) == 0 {
-		return w.vm()
+	if len(ids) == 0 || s.choose(8) == 0 {
+		return s.randomVM()
 	}
-	return ids[w.choose(len(ids))]
+	return ids[s.choose(len(ids))]
 }
 
-func (w *world) action(view *View) Action {
-	switch w.choose(24) {
+func (s *sim) randomAction(view *View) Action {
+	switch s.choose(24) {
 	case 0, 1:
-		vm := w.vm()
-		target := model.PoolID([]string{"a", "b", ""}[w.choose(3)])
+		vm := s.randomVM()
+		target := model.PoolID([]string{"a", "b", ""}[s.choose(3)])
 		return Action{BeginMove: &BeginMove{VM: vm, Target: target, Generation: generation(view, vm)}}
 	case 2, 3:
-		vm := pick(w, view.Owners, func(o *model.Ownership) bool { return o.Moving })
+		vm := pickVM(s, view.Owners, func(o *model.Ownership) bool { return o.Moving })
 		return Action{FinishMove: &FinishMove{VM: vm, Generation: generation(view, vm)}}
 	case 4:
-		vm := w.vm()
+		vm := s.randomVM()
 		return Action{ForgetVM: &ForgetVM{VM: vm, Generation: generation(view, vm)}}
 	case 5:
-		return Action{Grant: &Grant{VM: w.vm(), Wave: model.WaveID([]string{"w1", "w2"}[w.choose(2)])}}
+		return Action{Grant: &Grant{VM: s.randomVM(), Wave: model.WaveID([]string{"w1", "w2"}[s.choose(2)])}}
 	case 6, 7, 8, 9:
-		return w.permitAction(view)
+		return s.permitAction(view)
 	case 10:
-		return w.quarantine(w.vm())
+		return s.quarantineAction(s.randomVM())
 	case 11, 12, 13, 14, 15, 16:
-		return w.start(view)
+		return s.startAction(view)
 	default:
-		return w.taskAction(view)
+		return s.taskAction(view)
 	}
 }
 
@@ -125,70 +126,70 @@
 	return 0
 }
 
-func (w *world) permitAction(view *View) Action {
-	vm := pick(w, view.Permits, func(*model.Permit) bool { return true })
+func (s *sim) permitAction(view *View) Action {
+	vm := pickVM(s, view.Permits, func(*model.Permit) bool { return true })
 	permit := model.Permit{}
 	if p := view.Permits[vm]; p != nil {
 		permit = *p
 	}
-	if w.choose(3) > 0 {
+	if s.choose(3) > 0 {
 		return Action{SetPhase: &SetPhase{VM: vm, Generation: permit.Generation, Phase: permit.Phase + 1}}
 	}
-	return Action{Release: &Release{VM: vm, Generation: permit.Generation, Done: w.choose(4) > 0}}
+	return Action{Release: &Release{VM: vm, Generation: permit.Generation, Done: s.choose(4) > 0}}
 }
 
-func (w *world) quarantine(vm model.VMID) Action {
-	q := model.Quarantine{Worker: model.WorkerID("k-" + vm), VM: vm, Since: w.at, ProbeAt: w.at + 3000}
-	return Action{SetQuarantine: &SetQuarantine{Quarantine: q, Release: w.choose(3) > 0}}
+func (s *sim) quarantineAction(vm model.VMID) Action {
+	q := model.Quarantine{Worker: model.WorkerID("k-" + vm), VM: vm, Since: s.now, ProbeAt: s.now + 3000}
+	return Action{SetQuarantine: &SetQuarantine{Quarantine: q, Release: s.choose(3) > 0}}
 }
 
-func (w *world) start(view *View) Action {
-	vm := pick(w, view.Owners, func(o *model.Ownership) bool { return o.Pool != "" })
-	w.tasks++
+func (s *sim) startAction(view *View) Action {
+	vm := pickVM(s, view.Owners, func(o *model.Ownership) bool { return o.Pool != "" })
+	s.taskCount++
 	task := model.Task{
-		ID:         model.TaskID(fmt.Sprintf("t%d", w.tasks)),
+		ID:         model.TaskID(fmt.Sprintf("t%d", s.taskCount)),
 		VM:         vm,
 		Worker:     model.WorkerID("k-" + vm),
-		LeaseUntil: w.at + 1 + model.Instant(w.choose(8000)),
+		LeaseUntil: s.now + 1 + model.Instant(s.choose(8000)),
 	}
 	pool := model.PoolID("a")
 	if owner := view.Owners[vm]; owner != nil {
 		pool = owner.Pool
 	}
-	if w.choose(3) == 0 {
-		task.Service, task.Ordinal = "plans", w.choose(4)
+	if s.choose(3) == 0 {
+		task.Service, task.Ordinal = "plans", s.choose(4)
 	} else {
-		task.Job = w.jobFor(view, pool)
+		task.Job = s.pickJob(view, pool)
 	}
 	return Action{StartTask: &StartTask{Task: task, Pool: pool}}
 }
 
-// jobFor picks a job of the pool that waits or, rarely, one that may not start.
-func (w *world) jobFor(view *View, pool model.PoolID) model.JobID {
-	some := w.choose(4) == 0
+// pickJob picks a queued job of the pool or, rarely, one in any state.
+func (s *sim) pickJob(view *View, pool model.PoolID) model.JobID {
+	anyState := s.choose(4) == 0
 	rows := slices.DeleteFunc(sortedRows(view.Jobs), func(j *model.Job) bool {
-		return j.Spec.Pool != pool || !some && j.State != model.JobQueued
+		return j.Spec.Pool != pool || !anyState && j.State != model.JobQueued
 	})
 	if len(rows) == 0 {
 		return "j0"
 	}
-	return rows[w.choose(len(rows))].Spec.ID
+	return rows[s.choose(len(rows))].Spec.ID
 }
 
-func (w *world) taskAction(view *View) Action {
+func (s *sim) taskAction(view *View) Action {
 	rows := sortedRows(view.Tasks)
 	if len(rows) == 0 {
-		return Action{RenewTasks: &RenewTasks{AllBut: true, LeaseUntil: w.at + 1000}}
+		return Action{RenewTasks: &RenewTasks{AllBut: true, LeaseUntil: s.now + 1000}}
 	}
-	task := rows[w.choose(len(rows))]
-	switch w.choose(8) {
+	task := rows[s.choose(len(rows))]
+	switch s.choose(8) {
 	case 0:
-		return Action{RenewTasks: &RenewTasks{Tasks: []model.TaskID{task.ID}, LeaseUntil: w.at + 1 + model.Instant(w.choose(8000))}}
+		return Action{RenewTasks: &RenewTasks{Tasks: []model.TaskID{task.ID}, LeaseUntil: s.now + 1 + model.Instant(s.choose(8000))}}
 	case 1:
-		return Action{UpdateTask: &UpdateTask{Task: task.ID, State: model.TaskState(1 + w.choose(3)), Throttled: w.choose(2) == 0}}
+		return Action{UpdateTask: &UpdateTask{Task: task.ID, State: model.TaskState(1 + s.choose(3)), Throttled: s.choose(2) == 0}}
 	case 2:
-		return Action{SetJob: &SetJob{Job: w.jobID(), State: model.JobState(1 + w.choose(8)), Reason: "by hand"}}
+		return Action{SetJob: &SetJob{Job: s.randomJobID(), State: model.JobState(1 + s.choose(8)), Reason: "by hand"}}
 	default:
-		return Action{EndTask: &EndTask{Task: task.ID, Outcome: TaskOutcome(1 + w.choose(5)), Moved: w.choose(2) == 0}}
+		return Action{EndTask: &EndTask{Task: task.ID, Outcome: TaskOutcome(1 + s.choose(5)), Moved: s.choose(2) == 0}}
 	}
 }
--- a/internal/state/core.go
+++ b/internal/state/core.go
@@ -6,21 +6,22 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The kinds salt the row hashes of each table; they never change.
+// Salts of the row hashes, one for each table, and of the digest. They must never
+// change: VMs with different builds compare their digests.
 const (
-	kindOwner byte = iota + 1
-	kindPermit
-	kindMaintained
-	kindJob
-	kindTask
-	kindQuarantine
-	kindClaim
-	kindHead
-	kindCommand
+	saltOwner byte = iota + 1
+	saltPermit
+	saltMaintained
+	saltJob
+	saltTask
+	saltQuarantine
+	saltClaim
+	saltDigest
+	saltCommand
 )
 
-// core holds the tables, what is derived from them for quick checks, and the
-// place in the log. It has no lock; Machine guards it.
+// core holds the tables, the counts derived from them for quick checks, and the
+// applied log index. It is not synchronized; Machine locks it.
 type core struct {
 	rules  Rules
 	hasher rowHasher
@@ -36,26 +37,27 @@
 	quarantines *table[model.WorkerID, model.Quarantine]
 	claims      *table[model.RequestKey, model.Claim]
 
-	// specs holds the digest of each job's spec as it was submitted.
-	specs    map[model.JobID]string
-	kept     keptAnswers
-	commands commandMemory
-	audit    auditTail
-	derived  derived
-	broken   []Broken
+	// specs holds the digest of each job's spec as submitted.
+	specs      map[model.JobID]string
+	answers    answerQueue
+	dedup      dedupTable
+	audit      auditTail
+	derived    derived
+	violations []Broken
 }
 
-// head is the part of the state that is one row.
+// head holds the parts of the state that are not rows of a table.
 type head struct {
 	Term     uint64       `cbor:"1,keyasint"`
 	Leader   model.NodeID `cbor:"2,keyasint"`
 	Manifest manifest     `cbor:"3,keyasint"`
-	// History holds the manifests accepted last, the newest at the end.
+	// History holds the last accepted manifests, the newest at the end.
 	History []acceptedManifest `cbor:"4,keyasint"`
 	// RetiredGeneration is the highest generation of any forgotten VM: a VM
-	// that comes back starts above it, so that no old command fits it.
+	// that is listed again starts above it, so that no old command matches it.
 	RetiredGeneration uint64 `cbor:"5,keyasint"`
-	// PermitGeneration and TaskGeneration count the permits and tasks so far.
+	// PermitGeneration and TaskGeneration are the last generations given to a
+	// permit and a task.
 	PermitGeneration uint64 `cbor:"6,keyasint"`
 	TaskGeneration   uint64 `cbor:"7,keyasint"`
 }
@@ -68,8 +70,8 @@
 	Site   *model.Site `cbor:"4,keyasint"`
 }
 
-// acceptedManifest remembers that a manifest was accepted, also after a later
-// one took its place.
+// acceptedManifest records that a manifest was accepted, even after a later one
+// has replaced it.
 type acceptedManifest struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	Digest   string `cbor:"2,keyasint"`
@@ -78,19 +80,19 @@
 
 func newCore(rules Rules) *core {
 	c := &core{rules: rules, site: newSiteIndex(nil), specs: map[model.JobID]string{}}
-	c.owners = newTable[model.VMID, model.Ownership](kindOwner, &c.hasher)
-	c.permits = newTable[model.VMID, model.Permit](kindPermit, &c.hasher)
-	c.maintained = newTable[model.VMID, model.Maintained](kindMaintained, &c.hasher)
-	c.jobs = newTable[model.JobID, model.Job](kindJob, &c.hasher)
-	c.tasks = newTable[model.TaskID, model.Task](kindTask, &c.hasher)
-	c.quarantines = newTable[model.WorkerID, model.Quarantine](kindQuarantine, &c.hasher)
-	c.claims = newTable[model.RequestKey, model.Claim](kindClaim, &c.hasher)
-	c.commands = newCommandMemory()
+	c.owners = newTable[model.VMID, model.Ownership](saltOwner, &c.hasher)
+	c.permits = newTable[model.VMID, model.Permit](saltPermit, &c.hasher)
+	c.maintained = newTable[model.VMID, model.Maintained](saltMaintained, &c.hasher)
+	c.jobs = newTable[model.JobID, model.Job](saltJob, &c.hasher)
+	c.tasks = newTable[model.TaskID, model.Task](saltTask, &c.hasher)
+	c.quarantines = newTable[model.WorkerID, model.Quarantine](saltQuarantine, &c.hasher)
+	c.claims = newTable[model.RequestKey, model.Claim](saltClaim, &c.hasher)
+	c.dedup = newDedupTable()
 	c.derived = newDerived()
 	return c
 }
 
-// view shares the tables with a new View.
+// view returns a View that shares the tables; see table for the copy on write.
 func (c *core) view() *View {
 	return &View{
 		Index:          c.index,
@@ -111,18 +113,18 @@
 
 // digestInput is what the digest of the state covers.
 type digestInput struct {
-	Index              uint64   `cbor:"1,keyasint"`
-	Term               uint64   `cbor:"2,keyasint"`
-	Manifest           string   `cbor:"3,keyasint"`
-	ManifestIndex      uint64   `cbor:"4,keyasint"`
-	Generations        []uint64 `cbor:"5,keyasint"`
-	Sums               []uint64 `cbor:"6,keyasint"`
-	Audit              string   `cbor:"7,keyasint"`
-	RememberedCommands uint64   `cbor:"8,keyasint"`
+	Index         uint64   `cbor:"1,keyasint"`
+	Term          uint64   `cbor:"2,keyasint"`
+	Manifest      string   `cbor:"3,keyasint"`
+	ManifestIndex uint64   `cbor:"4,keyasint"`
+	Generations   []uint64 `cbor:"5,keyasint"`
+	Sums          []uint64 `cbor:"6,keyasint"`
+	Audit         string   `cbor:"7,keyasint"`
+	Commands      uint64   `cbor:"8,keyasint"`
 }
 
-// digest covers every table through its running sum, so its cost does not
-// grow with the state. It detects divergence, not forgery.
+// digest covers every table through its incremental hash sum, so its cost does
+// not grow with the state. It detects divergence, not forgery.
 func (c *core) digest() string {
 	h := c.head
 	input := digestInput{
@@ -135,9 +137,9 @@
 			c.owners.sum, c.permits.sum, c.maintained.sum, c.jobs.sum,
 			c.tasks.sum, c.quarantines.sum, c.claims.sum,
 		},
-		Audit:              c.audit.digest,
-		RememberedCommands: c.commands.sum,
+		Audit:    c.audit.digest,
+		Commands: c.dedup.sum,
 	}
 	var hasher rowHasher
-	return fmt.Sprintf("%016x", hasher.sum(kindHead, input))
+	return fmt.Sprintf("%016x", hasher.sum(saltDigest, input))
 }
--- a/internal/state/derived.go
+++ b/internal/state/derived.go
@@ -2,46 +2,46 @@
 
 import "github.com/comfreyloom/comfreyloom/internal/model"
 
-// ordinalKey names one instance of a service.
-type ordinalKey struct {
+// instanceKey identifies one instance of a service.
+type instanceKey struct {
 	service model.ServiceID
 	ordinal int
 }
 
-// derived is counted up to date with each change so that no check at apply
-// reads a whole table. A snapshot does not hold it: restoring puts every row
-// through the same functions.
+// derived holds counts and indexes that are updated with each change, so that no
+// check at apply reads a whole table. Snapshots don't contain it: a restore adds
+// every row through the same functions.
 type derived struct {
-	vmTasks     map[model.VMID]int
-	ordinals    map[ordinalKey]model.TaskID
-	jobTasks    map[model.JobID]model.TaskID
-	poolVMs     map[model.PoolID]int
-	teamJobs    map[model.TeamID]int
-	wavePermits map[model.WaveID]int
-	payload     int64
-	keptBody    int64
+	vmTasks       map[model.VMID]int
+	instanceTasks map[instanceKey]model.TaskID
+	jobTasks      map[model.JobID]model.TaskID
+	poolVMs       map[model.PoolID]int
+	teamJobs      map[model.TeamID]int
+	wavePermits   map[model.WaveID]int
+	payloadBytes  int64
+	answerBytes   int64
 }
 
 func newDerived() derived {
 	return derived{
-		vmTasks:     map[model.VMID]int{},
-		ordinals:    map[ordinalKey]model.TaskID{},
-		jobTasks:    map[model.JobID]model.TaskID{},
-		poolVMs:     map[model.PoolID]int{},
-		teamJobs:    map[model.TeamID]int{},
-		wavePermits: map[model.WaveID]int{},
+		vmTasks:       map[model.VMID]int{},
+		instanceTasks: map[instanceKey]model.TaskID{},
+		jobTasks:      map[model.JobID]model.TaskID{},
+		poolVMs:       map[model.PoolID]int{},
+		teamJobs:      map[model.TeamID]int{},
+		wavePermits:   map[model.WaveID]int{},
 	}
 }
 
-// add changes a count and drops it at zero.
-func add[K comparable](counts map[K]int, key K, n int) {
+// addCount adds n to a count and removes the count if it becomes zero.
+func addCount[K comparable](counts map[K]int, key K, n int) {
 	counts[key] += n
 	if counts[key] == 0 {
 		delete(counts, key)
 	}
 }
 
-// destination is the pool that a VM serves, or will serve after its move.
+// destination returns the pool that a VM serves, or will serve after its move.
 func destination(o *model.Ownership) model.PoolID {
 	if o.Moving {
 		return o.Target
@@ -51,32 +51,32 @@
 
 func (c *core) putOwner(o *model.Ownership) {
 	if old := c.owners.get(o.VM); old != nil {
-		add(c.derived.poolVMs, destination(old), -1)
+		addCount(c.derived.poolVMs, destination(old), -1)
 	}
-	add(c.derived.poolVMs, destination(o), 1)
+	addCount(c.derived.poolVMs, destination(o), 1)
 	c.owners.put(o.VM, o)
 }
 
 func (c *core) removeOwner(o *model.Ownership) {
-	add(c.derived.poolVMs, destination(o), -1)
+	addCount(c.derived.poolVMs, destination(o), -1)
 	c.owners.remove(o.VM)
 }
 
 func (c *core) putPermit(p *model.Permit) {
 	if old := c.permits.get(p.VM); old != nil {
-		add(c.derived.wavePermits, old.Wave, -1)
+		addCount(c.derived.wavePermits, old.Wave, -1)
 	}
-	add(c.derived.wavePermits, p.Wave, 1)
+	addCount(c.derived.wavePermits, p.Wave, 1)
 	c.permits.put(p.VM, p)
 }
 
 func (c *core) removePermit(p *model.Permit) {
-	add(c.derived.wavePermits, p.Wave, -1)
+	addCount(c.derived.wavePermits, p.Wave, -1)
 	c.permits.remove(p.VM)
 }
 
-// live reports whether a job counts against its team's number of jobs.
-func live(j *model.Job) bool { return !j.State.Final() }
+// countsAgainstTeam reports whether a job counts against its team's MaxJobs.
+func countsAgainstTeam(j *model.Job) bool { return !j.State.Final() }
 
 func (c *core) putJob(j *model.Job) {
 	if old := c.jobs.get(j.Spec.ID); old != nil {
@@ -93,37 +93,37 @@
 }
 
 func (c *core) countJob(j *model.Job, n int) {
-	c.derived.payload += int64(n * len(j.Spec.Payload))
-	if live(j) {
-		add(c.derived.teamJobs, j.Spec.Team, n)
+	c.derived.payloadBytes += int64(n * len(j.Spec.Payload))
+	if countsAgainstTeam(j) {
+		addCount(c.derived.teamJobs, j.Spec.Team, n)
 	}
 }
 
 func (c *core) putTask(t *model.Task) {
 	if c.tasks.get(t.ID) == nil {
-		add(c.derived.vmTasks, t.VM, 1)
+		addCount(c.derived.vmTasks, t.VM, 1)
 	}
 	if t.Job != "" {
 		c.derived.jobTasks[t.Job] = t.ID
 	} else {
-		c.derived.ordinals[ordinalKey{t.Service, t.Ordinal}] = t.ID
+		c.derived.instanceTasks[instanceKey{t.Service, t.Ordinal}] = t.ID
 	}
 	c.tasks.put(t.ID, t)
 }
 
 func (c *core) removeTask(t *model.Task) {
-	add(c.derived.vmTasks, t.VM, -1)
+	addCount(c.derived.vmTasks, t.VM, -1)
 	if c.derived.jobTasks[t.Job] == t.ID {
 		delete(c.derived.jobTasks, t.Job)
 	}
-	key := ordinalKey{t.Service, t.Ordinal}
-	if c.derived.ordinals[key] == t.ID {
-		delete(c.derived.ordinals, key)
+	key := instanceKey{t.Service, t.Ordinal}
+	if c.derived.instanceTasks[key] == t.ID {
+		delete(c.derived.instanceTasks, key)
 	}
 	c.tasks.remove(t.ID)
 }
 
-// siteIndex finds the parts of the manifest by ID.
+// siteIndex indexes the parts of the manifest by ID.
 type siteIndex struct {
 	pools    map[model.PoolID]*model.Pool
 	services map[model.ServiceID]*model.Service
--- a/internal/state/edge_test.go
+++ b/internal/state/edge_test.go
@@ -16,9 +16,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// What becomes of a job when its attempt ends, for each outcome: a job that is
-// not idempotent goes back to the queue only when it surely did not start.
-func TestJobAfterItsAttempt(t *testing.T) {
+// The state of a job after its attempt ended, for each outcome: a job that is not
+// idempotent is queued again only if its attempt surely did not start.
+func TestJobStateAfterAttemptEnds(t *testing.T) {
 	cases := []struct {
 		outcome               TaskOutcome
 		idempotent, cancelled bool
@@ -58,9 +58,9 @@
 	}
 }
 
-// Symptom: a VM is rebooted again and again, by turns for two waves.
-// Sequence: it goes through w1, then w2 starts and finds it maintained since.
-// Cause: only the last wave of a VM is kept.
+// Two waves over the same pool must not reboot a VM alternately without end. Only
+// the last wave of a VM is stored, so maintenance by w1 after the start of w2
+// must count for w2 too.
 func TestOverlappingWavesRebootOnce(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
@@ -75,9 +75,8 @@
 	is.Equal(d.act(Action{Grant: &Grant{VM: "v1", Wave: "w2"}}), Refusal("VM v1 went through wave w2"))
 }
 
-// Symptom: a command for a VM that was replaced acts on the VM that now has
-// its name. Sequence: forget, enter again, the old command comes. Cause:
-// generations that start over.
+// A command for a forgotten VM must not act on a new VM with the same ID: the
+// generations of the new VM continue after those of the forgotten one.
 func TestGenerationGrowsAcrossForget(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
@@ -94,8 +93,8 @@
 	is.True(d.act(Action{BeginMove: &BeginMove{VM: "v1", Target: "b", Generation: 1}}) != "")
 }
 
-// Kept answers stay within their bound; the claims stay, so that nothing runs
-// again because its answer was dropped.
+// The bodies of stored answers stay within their bound. The claims are kept, so
+// that no request runs again because its answer was dropped.
 func TestKeptAnswersAreBounded(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
@@ -105,8 +104,8 @@
 		r := d.apply(Command{SettleRequest: &SettleRequest{Key: key, State: model.ClaimSettled, Verdict: model.Ran, Answer: answer}})
 		is.Equal(r.Refused, Refusal(""))
 	}
-	const fit = MaxKeptBytes / MaxKeptAnswer
-	for i := range fit + 2 {
+	const capacity = MaxKeptBytes / MaxKeptAnswer
+	for i := range capacity + 2 {
 		settle(model.RequestKey(fmt.Sprintf("k%03d", i)), MaxKeptAnswer)
 	}
 	settle("large", MaxKeptAnswer+1)
@@ -120,24 +119,25 @@
 	is.Equal(d.machine.Check(), nil)
 }
 
-// The memory of command IDs is bounded and survives a snapshot in its order.
-func TestCommandMemoryIsBounded(t *testing.T) {
+// The deduplication table is bounded and keeps its order in a snapshot.
+func TestDedupTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
 	for range CommandMemory {
 		d.apply(Command{ForgetJobs: &ForgetJobs{}})
 	}
-	is.Equal(len(d.machine.core.commands.byID), CommandMemory)
-	_, known := d.machine.core.commands.find("c1")
-	is.True(!known) // the manifest's, the oldest
+	is.Equal(len(d.machine.core.dedup.byID), CommandMemory)
+	_, known := d.machine.core.dedup.lookup("c1")
+	is.True(!known) // the ID of the manifest command, the oldest
 	data, err := d.machine.Snapshot()
 	is.NoErr(err)
 	is.NoErr(d.machine.Restore(data))
-	is.Equal(d.apply(Command{ID: "c2", ForgetJobs: &ForgetJobs{}}).Index, uint64(2)) // still the first answer
+	is.Equal(d.apply(Command{ID: "c2", ForgetJobs: &ForgetJobs{}}).Index, uint64(2)) // still the first result
 }
 
-// A snapshot that is damaged, of another version or older is refused whole.
-func TestBadSnapshotsAreRefused(t *testing.T) {
+// A snapshot that is damaged, older or of another version is refused and leaves
+// the state unchanged.
+func TestInvalidSnapshotsAreRefused(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
 	is.Equal(d.act(Action{BeginMove: &BeginMove{VM: "v1", Target: "a"}}), Refusal(""))
@@ -155,8 +155,9 @@
 	is.Equal(d.machine.View().Digest, before)
 }
 
-// Readers see whole states while commands are applied: a view never changes.
-func TestReadersBesideTheApplier(t *testing.T) {
+// Concurrent readers see consistent states while commands are applied: a view
+// never changes.
+func TestConcurrentReaders(t *testing.T) {
 	d := newDriver(t, Rules{})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -176,7 +177,7 @@
 					_, _ = d.machine.Snapshot()
 				}
 				if len(view.Jobs) != rows || view.Index < index {
-					t.Error("a view changed or is old")
+					t.Error("a view changed or is outdated")
 				}
 			}
 		})
@@ -188,10 +189,10 @@
 	readers.Wait()
 }
 
-// Symptom: a manifest of a large site, of which a line changed, costs each VM
-// more than all else that it does. Sequence: it goes to every VM and disk as it
-// is. Cause: its text repeats itself for each pool, service and team. A
-// compressed command that is cut short or grows without end is refused.
+// Large manifests are compressed. Uncompressed, a one-line change to the manifest
+// of a large site cost each VM more than all its other work, since the manifest is
+// sent to every VM and disk and repeats the same text for each pool, service and
+// team. A compressed command that is truncated or too large is refused.
 func TestLargeCommandsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	m := testManifest(2, "")
@@ -203,9 +204,9 @@
 	data, err := Encode(c)
 	is.NoErr(err)
 	is.True(3*len(data) < len(m.Text))
-	again, err := Decode(data)
+	decoded, err := Decode(data)
 	is.NoErr(err)
-	is.Equal(again, c)
+	is.Equal(decoded, c)
 	_, err = Decode(data[:len(data)-1])
 	is.True(err != nil)
 	var bomb bytes.Buffer
@@ -217,7 +218,7 @@
 	is.True(errors.Is(err, errTooLarge))
 }
 
-// Any bytes are refused or applied; a machine never breaks on them.
+// Arbitrary bytes are refused or applied without violating an invariant.
 func FuzzApply(f *testing.F) {
 	for _, c := range []Command{
 		{ID: "1", ApplyManifest: testManifest(2, "")},
@@ -240,17 +241,17 @@
 		if broken := d.machine.Check(); len(broken) > 0 {
 			t.Fatal(broken)
 		}
-		again, err := Encode(c)
+		reencoded, err := Encode(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(again); err != nil {
+		if _, err := Decode(reencoded); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// Any bytes are refused as a snapshot, or restore to a sound state.
+// Arbitrary bytes are refused as a snapshot or restore a usable state.
 func FuzzRestore(f *testing.F) {
 	m := NewMachine(Options{})
 	data, err := m.Snapshot()
@@ -266,23 +267,23 @@
 	})
 }
 
-// Symptom: VMs are moved into a pool beyond its largest size, and refused only
-// when the moves are applied. Sequence: a manifest comes that lists a pool
-// under the ID of another one. Cause: parts are found by their IDs, so that one
-// of the two is never counted.
-func TestOneIDForTwoPartsIsRefused(t *testing.T) {
+// A manifest with two pools of the same ID caused moves of VMs into a pool beyond
+// its largest size, which were refused only when they were applied: parts are
+// found by ID, so one of the two pools was never counted. Such manifests are
+// refused.
+func TestDuplicateIDsAreRefused(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
-	for part, repeat := range map[string]func(*model.Site){
+	for part, duplicate := range map[string]func(*model.Site){
 		`pool "a"`:        func(s *model.Site) { s.Pools = append(s.Pools, s.Pools[0]) },
 		`service "plans"`: func(s *model.Site) { s.Services = append(s.Services, s.Services[0]) },
 		`team "berths"`:   func(s *model.Site) { s.Teams = append(s.Teams, s.Teams[0]) },
 		`wave "w2"`:       func(s *model.Site) { s.Waves = append(s.Waves, s.Waves[1]) },
 	} {
 		next := testManifest(2, "")
-		repeat(next.Site)
+		duplicate(next.Site)
 		is.Equal(d.apply(Command{ApplyManifest: next}).Refused, refusef("the manifest names %s twice", part))
-		is.Equal(d.machine.View().Site.Revision, uint64(1)) // the one before stays in force
+		is.Equal(d.machine.View().Site.Revision, uint64(1)) // the previous one stays in force
 	}
 	is.Equal(d.apply(Command{ApplyManifest: testManifest(2, "")}).Refused, Refusal(""))
 }
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -6,24 +6,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Broken is an invariant that does not hold.
+// Broken describes the violation of an invariant.
 type Broken struct {
-	// Invariant is the name of the check.
+	// Invariant is the name of the invariant.
 	Invariant string `json:"invariant"`
-	// Detail says what was found.
+	// Detail describes what was found.
 	Detail string `json:"detail"`
 }
 
-// The guards run at every change, whatever rules are in force: they look at
-// the record before and after, not at the decision, and so notice when a rule
-// is missing or wrong.
+// The guards run at every change, also if a rule is switched off: they compare
+// the record before and after the change, not the decision, and so detect a
+// missing or faulty rule.
 
-// guard remembers a broken invariant when broken is true.
-func (c *core) guard(broken bool, invariant, format string, args ...any) {
-	if !broken || len(c.broken) >= MaxBroken {
+// guard records a violation of the invariant if violated is true.
+func (c *core) guard(violated bool, invariant, format string, args ...any) {
+	if !violated || len(c.violations) >= MaxBroken {
 		return
 	}
-	c.broken = append(c.broken, Broken{invariant, fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Broken{invariant, fmt.Sprintf(format, args...)})
 }
 
 func (c *core) guardRevision(a *ApplyManifest) {
@@ -35,8 +35,8 @@
 		"revision %d replaces %d", a.Revision, site.Revision)
 }
 
-// guardOwner checks a change of ownership: the pool changes only for a VM
-// that was moving and that no task or permit holds on to.
+// guardOwner checks a change of ownership: generations increase, and the pool
+// changes only for a VM that was moving and has no tasks.
 func (c *core) guardOwner(from, to *model.Ownership) {
 	if from == nil {
 		c.guard(to.Generation <= c.head.RetiredGeneration, "generation-grows",
@@ -58,20 +58,21 @@
 	if from == nil {
 		return
 	}
-	owner := from.Owner == to.Owner && from.Incarnation == to.Incarnation
+	sameOwner := from.Owner == to.Owner && from.Incarnation == to.Incarnation
 	if to.State == model.ClaimRunning {
-		c.guard(!settledNotRun(from), "claim-once", "key %s was granted again", to.Key)
+		c.guard(!isSettledNotRun(from), "claim-once", "key %s was granted again", to.Key)
 		return
 	}
-	c.guard(!owner, "claim-owner", "key %s changed its owner", to.Key)
-	dropped := to.Answer != nil && to.Answer.Dropped && from.Answer != nil
-	same := from.State == to.State && from.Verdict == to.Verdict
-	c.guard(from.State != model.ClaimRunning && !(same && dropped), "claim-settles-once",
+	c.guard(!sameOwner, "claim-owner", "key %s changed its owner", to.Key)
+	bodyDropped := to.Answer != nil && to.Answer.Dropped && from.Answer != nil
+	sameOutcome := from.State == to.State && from.Verdict == to.Verdict
+	c.guard(from.State != model.ClaimRunning && !(sameOutcome && bodyDropped), "claim-settles-once",
 		"key %s changed after it was settled", to.Key)
 }
 
-// guardJob checks that an ended job stays ended and that a job with a
-// cancellation never starts.
+// guardJob checks that a job ends once, that a cancelled job never starts, that a
+// job has one task at a time and that a job that is not idempotent runs at most
+// once.
 func (c *core) guardJob(from, to *model.Job) {
 	id := to.Spec.ID
 	c.guard(ended(from.State), "job-ends-once", "job %s goes from %s to %s", id, from.State, to.State)
@@ -80,12 +81,13 @@
 		"job %s started after it was cancelled", id)
 	c.guard(starts && from.State == model.JobRunning, "one-task", "job %s started twice", id)
 	requeued := from.State == model.JobRunning && to.State == model.JobQueued
-	unsure := to.Attempts == from.Attempts
-	c.guard(requeued && unsure && !to.Spec.Idempotent, "runs-at-most-once",
+	mayHaveRun := to.Attempts == from.Attempts
+	c.guard(requeued && mayHaveRun && !to.Spec.Idempotent, "runs-at-most-once",
 		"job %s is not idempotent and was queued again", id)
 }
 
-// guardStart checks that a task starts only where its pool may place it.
+// guardStart checks that no task starts on a VM that is moving or under
+// maintenance.
 func (c *core) guardStart(t *model.Task) {
 	owner := c.owners.get(t.VM)
 	c.guard(owner.Moving, "one-pool", "task %s starts on VM %s, which is moving", t.ID, t.VM)
@@ -93,7 +95,7 @@
 		"task %s starts on VM %s, which is under maintenance", t.ID, t.VM)
 }
 
-// guardEnd checks that nobody gives up a task which may still run.
+// guardEnd checks that no task is recorded as lapsed while it may still run.
 func (c *core) guardEnd(command *Command, t *model.Task, o TaskOutcome) {
 	early := command.At < t.LeaseUntil.Add(DriftMargin)
 	c.guard(o == OutcomeLapsed && early, "lease-holds", "task %s was given up before its lease ended", t.ID)
--- a/internal/state/limits.go
+++ b/internal/state/limits.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// The bounds of the replicated state. They are part of the state machine:
-// every VM of a site must run with the same values.
+// Bounds of the replicated state. They are part of the state machine: every VM of
+// a site must use the same values.
 const (
-	// MaxClaims bounds the claims kept; a further claim is refused.
+	// MaxClaims bounds the stored claims; further ones are refused.
 	MaxClaims = 20_000
-	// MaxKeptAnswer bounds the body of one kept answer, in bytes.
+	// MaxKeptAnswer bounds the body of one stored answer, in bytes.
 	MaxKeptAnswer = 64 << 10
-	// MaxKeptBytes bounds the bodies of all kept answers, in bytes; the
+	// MaxKeptBytes bounds the bodies of all stored answers, in bytes; the
 	// oldest are dropped first.
 	MaxKeptBytes = 8 << 20
-	// MaxJobs bounds the jobs kept, ended ones included.
+	// MaxJobs bounds the stored jobs, including those that ended.
 	MaxJobs = 50_000
 	// MaxPayload bounds the payload of one job, in bytes.
 	MaxPayload = 64 << 10
@@ -22,27 +22,29 @@
 	MaxVMs = 20_000
 	// MaxManifest bounds the text of a manifest, in bytes.
 	MaxManifest = 1 << 20
-	// MaxText bounds an identifier or reason, in bytes; longer reasons are cut.
+	// MaxText bounds an identifier or reason, in bytes; longer reasons are
+	// truncated.
 	MaxText = 512
-	// CommandMemory is how many command IDs are kept with their results.
+	// CommandMemory bounds the command IDs that are stored with their results to
+	// deduplicate resends.
 	CommandMemory = 8_192
-	// MemoryActions bounds the refusals kept with them.
+	// MemoryActions bounds the refusals in these results.
 	MemoryActions = 65_536
-	// ManifestHistory is how many accepted manifests are known by digest.
+	// ManifestHistory bounds the accepted manifests whose digests are stored.
 	ManifestHistory = 64
-	// AuditTail is how many audit records the state keeps; the audit files
-	// keep more.
+	// AuditTail bounds the audit records in the state; the audit files hold
+	// more.
 	AuditTail = 2_048
 	// MaxAuditRead bounds the records that one read returns.
 	MaxAuditRead = 1_000
-	// MaxBroken bounds the broken invariants remembered.
+	// MaxBroken bounds the recorded violations of invariants.
 	MaxBroken = 64
 )
 
 const (
-	// DriftMargin is how long after the end of its lease a task may still run
-	// because clocks differ. Nobody starts its job elsewhere before.
+	// DriftMargin is how long a task may still run after its lease ended,
+	// because clocks differ. Its job starts nowhere else before that.
 	DriftMargin = 2 * time.Second
-	// MaxLease bounds a lease.
+	// MaxLease bounds the duration of a lease.
 	MaxLease = time.Hour
 )
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -9,24 +9,26 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// ErrStepBack says that a snapshot is older than what was applied. Installing
-// it would make accepted changes disappear from this VM.
+// ErrStepBack means that a snapshot is older than the applied index. Installing
+// it would remove accepted changes from this VM.
 var ErrStepBack = errors.New("state: snapshot is older than the applied state")
 
-// Options sets up a Machine. The zero value is right for the product.
+// Options configures a Machine. Production code uses the zero value.
 type Options struct {
-	// Rules are faulty only in tests.
+	// Rules switches off safety rules in tests.
 	Rules Rules
 }
 
-// Machine is the state machine of one VM: one applier, any number of readers.
+// Machine is the state machine of one VM, for one applier and any number of
+// concurrent readers.
 type Machine struct {
 	mu      sync.RWMutex
 	core    *core
 	options Options
-	// view is nil after a change until somebody asks for it.
+	// view caches the last View; it is nil after a change until the next call of
+	// View.
 	view atomic.Pointer[View]
-	// applied is closed and replaced whenever the index grows.
+	// applied is closed and replaced after each change.
 	applied chan struct{}
 }
 
@@ -35,19 +37,19 @@
 	return &Machine{core: newCore(o.Rules), options: o, applied: make(chan struct{})}
 }
 
-// Apply applies the command that the log holds at index. Empty data advances
-// the index only. A command that can't be decoded or was applied before is
-// refused, on every VM alike.
+// Apply applies the log entry at index. Empty data only advances the index. A
+// command that can't be decoded or was applied before is refused, on every VM
+// alike.
 func (m *Machine) Apply(index uint64, data []byte) Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := m.core.applyEntry(index, data)
-	m.changed()
+	m.notifyChange()
 	return result
 }
 
-// changed drops the cached view and wakes those who wait for an index.
-func (m *Machine) changed() {
+// notifyChange drops the cached view and wakes the callers of Wait.
+func (m *Machine) notifyChange() {
 	m.view.Store(nil)
 	close(m.applied)
 	m.applied = make(chan struct{})
@@ -60,8 +62,8 @@
 	return m.core.index
 }
 
-// View returns the tables as of the last index. It is built when first asked
-// for and cached until the next change.
+// View returns the tables as of the last index. It is built on demand and cached
+// until the next change.
 func (m *Machine) View() *View {
 	if v := m.view.Load(); v != nil {
 		return v
@@ -80,33 +82,35 @@
 	return v
 }
 
-// Claim returns the claim of a key, nil when there is none.
+// Claim returns the claim of a key, nil if there is none.
 func (m *Machine) Claim(key model.RequestKey) *model.Claim {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.core.claims.get(key)
 }
 
-// Claims returns all claims in the order of their keys.
+// Claims returns all claims, sorted by key.
 func (m *Machine) Claims() []*model.Claim {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.core.claims.sorted()
 }
 
-// Audit returns at most limit of the kept audit records, from the sequence on.
+// Audit returns at most limit of the stored audit records with a sequence of at
+// least from.
 func (m *Machine) Audit(from uint64, limit int) []model.AuditRecord {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.core.audit.read(from, limit)
 }
 
-// Broken returns the invariants that applied changes broke since the start,
-// at most MaxBroken of them. It is empty unless the program has a fault.
+// Broken returns the invariants that applied changes have violated since the
+// machine was created or restored, at most MaxBroken of them. It is empty unless
+// the program has a fault.
 func (m *Machine) Broken() []Broken {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return append([]Broken(nil), m.core.broken...)
+	return append([]Broken(nil), m.core.violations...)
 }
 
 // Check checks every invariant of the tables; it reads all rows.
@@ -117,7 +121,7 @@
 	return append(Check(view), m.core.check()...)
 }
 
-// Wait returns once index was applied, or with the error of ctx.
+// Wait returns once index is applied, or with the error of ctx.
 func (m *Machine) Wait(ctx context.Context, index uint64) error {
 	for {
 		m.mu.RLock()
@@ -135,8 +139,8 @@
 	}
 }
 
-// Snapshot encodes the whole state. The applier waits only while the tables
-// are shared, not while they are encoded.
+// Snapshot encodes the whole state. The applier is blocked only while the tables
+// are marked as shared, not while they are encoded.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	state := m.core.freeze(m.viewLocked())
@@ -144,8 +148,8 @@
 	return state.encode()
 }
 
-// Restore replaces the state by a snapshot, wholly or not at all. A snapshot
-// older than the applied index is refused with ErrStepBack.
+// Restore replaces the state with a snapshot, atomically. A snapshot older than
+// the applied index is refused with ErrStepBack.
 func (m *Machine) Restore(data []byte) error {
 	restored, err := restoreCore(data, m.options.Rules)
 	if err != nil {
@@ -157,6 +161,6 @@
 		return ErrStepBack
 	}
 	m.core = restored
-	m.changed()
+	m.notifyChange()
 	return nil
 }
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// testManifest returns the command for a revision; variants differ in digest.
+// testManifest returns a manifest command; variants of a revision have different
+// digests.
 func testManifest(revision uint64, variant string) *ApplyManifest {
 	text := []byte(fmt.Sprintf("revision %d %s", revision, variant))
 	sum := sha256.Sum256(text)
@@ -43,7 +44,7 @@
 	}
 }
 
-// driver applies commands one after the other under fresh IDs.
+// driver applies commands at consecutive indexes, with new IDs.
 type driver struct {
 	t       *testing.T
 	machine *Machine
@@ -92,7 +93,7 @@
 	is.NoErr(restored.Restore(data))
 	is.Equal(restored.View().Digest, d.machine.View().Digest)
 	is.Equal(restored.Check(), nil)
-	again, err := restored.Snapshot()
+	reencoded, err := restored.Snapshot()
 	is.NoErr(err)
-	is.Equal(again, data) // equal states encode to equal bytes
+	is.Equal(reencoded, data) // equal states encode to equal bytes
 }
--- a/internal/state/random_test.go
+++ b/internal/state/random_test.go
@@ -9,40 +9,40 @@
 	"pgregory.net/rapid"
 )
 
-// TestRandomCommands lets rapid choose, so that a failure is made small.
+// TestRandomCommands draws its choices from rapid, so that failures are shrunk.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(Rules{}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
+		s := newSim(Rules{}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
 		for range 60 {
-			if problem := w.step(); problem != "" {
+			if problem := s.step(); problem != "" {
 				t.Fatal(problem)
 			}
 		}
 	})
 }
 
-// seeded returns a choice from a seed.
-func seeded(seed uint64) func(n int) int {
+// seededChoice returns a seeded random source for newSim.
+func seededChoice(seed uint64) func(n int) int {
 	return rand.New(rand.NewPCG(seed, 0)).IntN
 }
 
-// run makes steps from a seed and returns the step of the first problem, 0 for
-// none. The world starts anew every 1,000 steps.
-func run(rules Rules, seed uint64, steps int) (at int, problem string) {
-	const length = 1_000
-	var w *world
+// simulate runs steps from a seed and returns the step of the first problem, 0 if
+// there is none. A new simulation starts every 1,000 steps.
+func simulate(rules Rules, seed uint64, steps int) (failedStep int, problem string) {
+	const stepsPerSimulation = 1_000
+	var s *sim
 	for step := range steps {
-		if step%length == 0 {
-			w = newWorld(rules, seeded(seed+uint64(step/length)))
+		if step%stepsPerSimulation == 0 {
+			s = newSim(rules, seededChoice(seed+uint64(step/stepsPerSimulation)))
 		}
-		if problem := w.step(); problem != "" {
+		if problem := s.step(); problem != "" {
 			return step + 1, problem
 		}
 	}
 	return 0, ""
 }
 
-// TestLongRun makes COMFREYLOOM_STEPS steps, 4,000 by default.
+// TestLongRun runs COMFREYLOOM_STEPS steps, 4,000 by default.
 func TestLongRun(t *testing.T) {
 	steps := 4_000
 	if text := os.Getenv("COMFREYLOOM_STEPS"); text != "" {
@@ -53,17 +53,17 @@
 		steps = n
 	}
 	const seed = 1
-	at, problem := run(Rules{}, seed, steps)
+	failedStep, problem := simulate(Rules{}, seed, steps)
 	if problem != "" {
-		t.Fatalf("seed %d, step %d: %s", seed, at, problem)
+		t.Fatalf("seed %d, step %d: %s", seed, failedStep, problem)
 	}
 	t.Logf("seed %d: %d steps", seed, steps)
 }
 
-// TestSwitchedOffRulesAreFound switches off one safety rule after the other:
-// the same random run that passes with all rules must fail without any of
-// them. A rule whose loss nobody notices is not proved by the runs above.
-func TestSwitchedOffRulesAreFound(t *testing.T) {
+// TestDisabledRulesAreDetected switches off one safety rule at a time: the random
+// run that passes with all rules must fail without this one. The runs above don't
+// verify a rule whose absence goes undetected.
+func TestDisabledRulesAreDetected(t *testing.T) {
 	cases := map[string]Rules{
 		"revision":       {SkipRevision: true},
 		"generation":     {SkipGeneration: true},
@@ -80,12 +80,12 @@
 	}
 	for name, rules := range cases {
 		t.Run(name, func(t *testing.T) {
-			const seed, most = 1, 20_000
-			at, problem := run(rules, seed, most)
+			const seed, maxSteps = 1, 20_000
+			failedStep, problem := simulate(rules, seed, maxSteps)
 			if problem == "" {
-				t.Fatalf("not found in %d steps", most)
+				t.Fatalf("not detected in %d steps", maxSteps)
 			}
-			t.Logf("seed %d: found at step %d: %s", seed, at, problem)
+			t.Logf("seed %d: detected at step %d: %s", seed, failedStep, problem)
 		})
 	}
 }
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -1,21 +1,21 @@
 package state
 
-// Rules switches single safety rules off. The zero value has every rule on
-// and is the only one that the product uses; tests switch a rule off to see
-// that the invariants notice.
+// Rules switches individual safety rules off. The zero value has every rule on
+// and is the only one that production code uses; tests switch rules off to verify
+// that the invariant checks detect it.
 type Rules struct {
-	// SkipRevision accepts a manifest whatever its revision.
+	// SkipRevision accepts a manifest of any revision.
 	SkipRevision bool
-	// SkipGeneration accepts actions that saw an older generation.
+	// SkipGeneration accepts actions that are based on an older generation.
 	SkipGeneration bool
 	// SkipTerm accepts commands of an earlier term.
 	SkipTerm bool
 	// SkipSingleOwner finishes a move while the old pool still uses the VM.
 	SkipSingleOwner bool
-	// SkipLease lets a task count as lapsed before its lease and margin ended.
+	// SkipLease accepts OutcomeLapsed before the lease and its margin ended.
 	SkipLease bool
-	// SkipPermit grants permits to VMs that are moving, and starts tasks on
-	// VMs that hold one.
+	// SkipPermit grants permits to VMs that are moving, starts tasks on and
+	// moves VMs that have one, and releases them before their soak time ends.
 	SkipPermit bool
 	// SkipClaimOnce grants a claimed key again.
 	SkipClaimOnce bool
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -10,17 +10,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// snapshotVersion is the format that this build writes and reads.
+// snapshotVersion is the version of the format that this build writes and reads.
 const snapshotVersion = 1
 
-// ErrSnapshotVersion says that a snapshot was written by another format.
+// ErrSnapshotVersion means that a snapshot has another format version.
 var ErrSnapshotVersion = errors.New("state: snapshot has another version")
 
-// ErrSnapshotDigest says that a snapshot does not match its own digest.
+// ErrSnapshotDigest means that a snapshot does not match its own digest.
 var ErrSnapshotDigest = errors.New("state: snapshot does not match its digest")
 
-// snapshotFile is the encoded form of the whole state. Every list is in the
-// order of its keys, so that equal states encode to equal bytes.
+// snapshotFile is the encoded form of the whole state. Rows are sorted by key, so
+// that equal states encode to equal bytes.
 type snapshotFile struct {
 	Version     int                 `cbor:"1,keyasint"`
 	Index       uint64              `cbor:"2,keyasint"`
@@ -32,9 +32,9 @@
 	Tasks       []*model.Task       `cbor:"8,keyasint"`
 	Quarantines []*model.Quarantine `cbor:"9,keyasint"`
 	Claims      []*model.Claim      `cbor:"10,keyasint"`
-	Kept        []model.RequestKey  `cbor:"11,keyasint"`
-	Commands    []remembered        `cbor:"12,keyasint"`
-	Audit       auditPart           `cbor:"13,keyasint"`
+	Answers     []model.RequestKey  `cbor:"11,keyasint"`
+	Commands    []dedupEntry        `cbor:"12,keyasint"`
+	Audit       auditSnapshot       `cbor:"13,keyasint"`
 	Digest      string              `cbor:"14,keyasint"`
 }
 
@@ -44,44 +44,44 @@
 	Spec []byte     `cbor:"2,keyasint"`
 }
 
-// auditPart is the tail of the trail; Sequence and Digest are those of the
-// last record ever made.
-type auditPart struct {
+// auditSnapshot holds the newest records of the audit trail; Sequence and Digest
+// are those of the last record appended.
+type auditSnapshot struct {
 	Records  []model.AuditRecord `cbor:"1,keyasint"`
 	Sequence uint64              `cbor:"2,keyasint"`
 	Digest   string              `cbor:"3,keyasint"`
 }
 
-// frozen is a state that changes no more: the tables are shared as with a
-// view, so that encoding them does not hold up the applier.
-type frozen struct {
+// frozenState is an immutable copy of the state. Its tables are shared as in a
+// View, so that encoding them does not block the applier.
+type frozenState struct {
 	view  *View
 	head  head
 	specs map[model.JobID]string
 
-	claims   map[model.RequestKey]*model.Claim
-	kept     []model.RequestKey
-	commands []remembered
-	audit    auditPart
+	claims  map[model.RequestKey]*model.Claim
+	answers []model.RequestKey
+	dedup   []dedupEntry
+	audit   auditSnapshot
 }
 
-func (c *core) freeze(v *View) *frozen {
-	return &frozen{
-		view:     v,
-		head:     c.head,
-		specs:    maps.Clone(c.specs),
-		claims:   c.claims.share(),
-		kept:     slices.Clone(c.kept.keys),
-		commands: c.commands.inOrder(),
-		audit: auditPart{
-			Records:  slices.Clone(c.audit.kept()),
+func (c *core) freeze(v *View) *frozenState {
+	return &frozenState{
+		view:    v,
+		head:    c.head,
+		specs:   maps.Clone(c.specs),
+		claims:  c.claims.share(),
+		answers: slices.Clone(c.answers.keys),
+		dedup:   c.dedup.entries(),
+		audit: auditSnapshot{
+			Records:  slices.Clone(c.audit.newest()),
 			Sequence: c.audit.sequence,
 			Digest:   c.audit.digest,
 		},
 	}
 }
 
-func (f *frozen) encode() ([]byte, error) {
+func (f *frozenState) encode() ([]byte, error) {
 	jobs := sortedRows(f.view.Jobs)
 	rows := make([]jobRow, 0, len(jobs))
 	for _, job := range jobs {
@@ -98,15 +98,15 @@
 		Tasks:       sortedRows(f.view.Tasks),
 		Quarantines: sortedRows(f.view.Quarantines),
 		Claims:      sortedRows(f.claims),
-		Kept:        f.kept,
-		Commands:    f.commands,
+		Answers:     f.answers,
+		Commands:    f.dedup,
 		Audit:       f.audit,
 		Digest:      f.view.Digest,
 	})
 }
 
-// restoreCore builds a core from a snapshot and checks its digest, so that a
-// snapshot which was damaged or wrongly assembled never becomes the state.
+// restoreCore builds a core from a snapshot and verifies its digest, so that a
+// damaged or incorrectly assembled snapshot is never installed.
 func restoreCore(data []byte, rules Rules) (*core, error) {
 	var f snapshotFile
 	if err := codec.Unmarshal(data, &f); err != nil {
@@ -115,7 +115,7 @@
 	if f.Version != snapshotVersion {
 		return nil, fmt.Errorf("%w: %d; this build reads %d", ErrSnapshotVersion, f.Version, snapshotVersion)
 	}
-	if f.holdsNil() {
+	if f.hasNilRow() {
 		return nil, ErrSnapshotDigest
 	}
 	c := newCore(rules)
@@ -124,9 +124,9 @@
 	c.site = newSiteIndex(f.Head.Manifest.Site)
 	c.putRows(&f)
 	for i := range f.Commands {
-		c.commands.remember(&c.hasher, f.Commands[i].ID, &f.Commands[i].Result)
+		c.dedup.add(&c.hasher, f.Commands[i].ID, &f.Commands[i].Result)
 	}
-	c.kept.keys = f.Kept
+	c.answers.keys = f.Answers
 	c.audit = auditTail{records: f.Audit.Records, sequence: f.Audit.Sequence, digest: f.Audit.Digest}
 	if c.digest() != f.Digest {
 		return nil, ErrSnapshotDigest
@@ -134,14 +134,15 @@
 	return c, nil
 }
 
-// holdsNil reports a row that is missing, which no build writes.
-func (f *snapshotFile) holdsNil() bool {
+// hasNilRow reports whether a row is nil, which no build writes.
+func (f *snapshotFile) hasNilRow() bool {
 	noJob := slices.ContainsFunc(f.Jobs, func(r jobRow) bool { return r.Job == nil })
 	return noJob || slices.Contains(f.Owners, nil) || slices.Contains(f.Permits, nil) ||
 		slices.Contains(f.Maintained, nil) || slices.Contains(f.Tasks, nil) ||
 		slices.Contains(f.Quarantines, nil) || slices.Contains(f.Claims, nil)
 }
 
+// putRows adds the rows of a snapshot to the tables.
 func (c *core) putRows(f *snapshotFile) {
 	for _, row := range f.Owners {
 		c.putOwner(row)
--- a/internal/state/state_bench_test.go
+++ b/internal/state/state_bench_test.go
@@ -8,26 +8,26 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The benchmarks give the slopes of docs/CAPACITY.md: the cost of a change, of
-// a view after it and of a snapshot, at several sizes of a site.
+// The benchmarks give the slopes in docs/CAPACITY.md: the cost of a change, of
+// the view after it and of a snapshot, for several sizes of a site.
 //
 //	go test -run '^$' -bench State -benchtime 200ms ./internal/state
 
 var benchSizes = []int{50, 200, 800, 1300}
 
-// jobsPerVM and instancesPerVM fill a site of any size alike.
+// The load per VM is the same for all sizes.
 const (
 	jobsPerVM      = 8
 	instancesPerVM = 1
 )
 
-// filler proposes commands to a machine; every index is new.
-type filler struct {
+// loader applies commands to a machine at consecutive indexes.
+type loader struct {
 	machine *Machine
 	index   uint64
 }
 
-func (f *filler) apply(c Command) Result {
+func (f *loader) apply(c Command) Result {
 	f.index++
 	c.ID = model.CommandID(fmt.Sprintf("command-%032d", f.index))
 	if c.At == 0 {
@@ -41,7 +41,7 @@
 	return f.machine.Apply(f.index, data)
 }
 
-func (f *filler) plan(actions ...Action) {
+func (f *loader) plan(actions ...Action) {
 	r := f.apply(Command{Plan: &Plan{Actions: actions}})
 	for _, refused := range r.Actions {
 		if refused != "" {
@@ -60,10 +60,10 @@
 	return m
 }
 
-// filled returns a machine with VMs in two pools, one instance on each VM of
-// the first and jobsPerVM jobs a VM, half of them running.
-func filled(vms int) *filler {
-	f := &filler{machine: NewMachine(Options{})}
+// newLoaded returns a loader whose machine has VMs in two pools, one instance on
+// each VM of the first pool and jobsPerVM jobs per VM, half of them running.
+func newLoaded(vms int) *loader {
+	f := &loader{machine: NewMachine(Options{})}
 	f.apply(Command{ApplyManifest: benchSite(vms)})
 	for i := range vms {
 		vm := model.VMID(fmt.Sprintf("region/vm-%05d", i))
@@ -82,7 +82,7 @@
 	return f
 }
 
-func (f *filler) job(n int, vm model.VMID, worker model.WorkerID, pool model.PoolID, start bool) {
+func (f *loader) job(n int, vm model.VMID, worker model.WorkerID, pool model.PoolID, start bool) {
 	id := model.JobID(fmt.Sprintf("job-%032d", n))
 	f.apply(Command{SubmitJob: &SubmitJob{Spec: model.JobSpec{
 		ID: id, Team: "berths", Pool: pool, Kind: "reconcile", Payload: make([]byte, 64),
@@ -96,10 +96,10 @@
 	f.plan(Action{Reason: "best fit", StartTask: &StartTask{Task: task, Pool: pool}})
 }
 
-func forSizes(b *testing.B, run func(b *testing.B, f *filler, vms int)) {
+func forSizes(b *testing.B, run func(b *testing.B, f *loader, vms int)) {
 	for _, vms := range benchSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			f := filled(vms)
+			f := newLoaded(vms)
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, f, vms)
@@ -107,30 +107,30 @@
 	}
 }
 
-// BenchmarkStateApply changes one job, without a view.
+// BenchmarkStateApply measures a change of one job, without a view.
 func BenchmarkStateApply(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, vms int) {
+	forSizes(b, func(b *testing.B, f *loader, vms int) {
 		for i := range b.N {
-			f.touchJob(i, vms)
+			f.changeReason(i, vms)
 		}
 	})
 }
 
-// BenchmarkStateApplyAndView takes a view after each change of a job: the
+// BenchmarkStateApplyAndView takes a view after each change of a job. This is the
 // worst case for the copy on write, since jobs are the largest table.
 func BenchmarkStateApplyAndView(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, vms int) {
+	forSizes(b, func(b *testing.B, f *loader, vms int) {
 		for i := range b.N {
-			f.touchJob(i, vms)
+			f.changeReason(i, vms)
 			f.machine.View()
 		}
 	})
 }
 
-// BenchmarkStateClaimAndView is the caller path: a claim, its outcome, and a
-// view, which finds no table of its own changed.
+// BenchmarkStateClaimAndView measures a caller's request: a claim, its outcome and
+// a view. Claims are in no table that a view shares, so nothing is copied.
 func BenchmarkStateClaimAndView(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, _ int) {
+	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		for i := range b.N {
 			key := model.RequestKey(fmt.Sprintf("key-%d", i))
 			f.apply(Command{ClaimRequest: &ClaimRequest{Claim: model.Claim{Key: key, Owner: "n1", Deadline: 2000}}})
@@ -143,31 +143,31 @@
 	})
 }
 
-// touchJob gives one waiting job another reason.
-func (f *filler) touchJob(i, vms int) {
+// changeReason gives one queued job another reason.
+func (f *loader) changeReason(i, vms int) {
 	n := (i*jobsPerVM + 1) % (vms * jobsPerVM)
 	id := model.JobID(fmt.Sprintf("job-%032d", n))
 	f.plan(Action{SetJob: &SetJob{Job: id, State: model.JobQueued, Reason: fmt.Sprintf("round %d", i)}})
 }
 
-// BenchmarkStateRenew renews the leases of all tasks at once.
+// BenchmarkStateRenew renews the leases of all tasks in one command.
 func BenchmarkStateRenew(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, _ int) {
+	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		for i := range b.N {
 			f.plan(Action{RenewTasks: &RenewTasks{AllBut: true, LeaseUntil: model.Instant(62_000 + i)}})
 		}
 	})
 }
 
-// BenchmarkStateCancel cancels every waiting job in one command; the time is
-// given for each job.
+// BenchmarkStateCancel cancels every queued job in one command; it reports the
+// time per job.
 func BenchmarkStateCancel(b *testing.B) {
 	for _, vms := range benchSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			jobs := 0
 			for range b.N {
 				b.StopTimer()
-				f := filled(vms)
+				f := newLoaded(vms)
 				var ids []model.JobID
 				for _, job := range f.machine.View().Jobs {
 					if job.State == model.JobQueued {
@@ -183,9 +183,10 @@
 	}
 }
 
-// BenchmarkStateSnapshot encodes the whole state; it reports bytes and bytes a VM.
+// BenchmarkStateSnapshot encodes the whole state; it reports bytes and bytes per
+// VM.
 func BenchmarkStateSnapshot(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, vms int) {
+	forSizes(b, func(b *testing.B, f *loader, vms int) {
 		size := 0
 		for range b.N {
 			data, err := f.machine.Snapshot()
@@ -199,9 +200,9 @@
 	})
 }
 
-// BenchmarkStateRestore loads a snapshot, as a restart does.
+// BenchmarkStateRestore restores a snapshot, as at a restart.
 func BenchmarkStateRestore(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, _ int) {
+	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		data, err := f.machine.Snapshot()
 		if err != nil {
 			b.Fatal(err)
@@ -214,25 +215,25 @@
 	})
 }
 
-// BenchmarkStateMemory reports the heap that a filled machine holds, after the
-// command memory and the audit tail are full of what filled it.
+// BenchmarkStateMemory reports the heap of a loaded machine, including the
+// deduplication table and audit tail that loading has filled.
 func BenchmarkStateMemory(b *testing.B) {
 	for _, vms := range benchSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			var f *filler
-			before := heap()
+			var f *loader
+			before := heapBytes()
 			for range b.N {
-				f = filled(vms)
+				f = newLoaded(vms)
 			}
-			held := heap() - before
-			b.ReportMetric(float64(held), "heap-bytes")
-			b.ReportMetric(float64(held)/float64(vms), "heap-bytes/vm")
+			used := heapBytes() - before
+			b.ReportMetric(float64(used), "heap-bytes")
+			b.ReportMetric(float64(used)/float64(vms), "heap-bytes/vm")
 			runtime.KeepAlive(f)
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -242,7 +243,7 @@
 
 // BenchmarkStateCheck checks every invariant of a view.
 func BenchmarkStateCheck(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *filler, _ int) {
+	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		view := f.machine.View()
 		for range b.N {
 			if broken := Check(view); len(broken) > 0 {
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// table holds the rows of one kind. Rows are immutable: a change puts another
-// record. The map is copied at the first change after a view took it, so a
-// view costs nothing when its table did not change.
+// table holds the rows of one type by key. Rows are immutable: a change stores a
+// new row. The map is copied on the first change after a view has shared it, so a
+// view costs nothing for tables that do not change.
 //
-// The sum of the row hashes is kept up to date with every change; it makes the
-// digest of the state independent of its size.
+// The sum of the row hashes is updated with every change, so that the cost of the
+// state's digest does not depend on the size of the state.
 type table[K cmp.Ordered, V any] struct {
-	kind   byte
+	salt   byte
 	hasher *rowHasher
 	rows   map[K]*V
 	hashes map[K]uint64
@@ -23,7 +23,7 @@
 
 func newTable[K cmp.Ordered, V any](kind byte, h *rowHasher) *table[K, V] {
 	return &table[K, V]{
-		kind:   kind,
+		salt:   kind,
 		hasher: h,
 		rows:   map[K]*V{},
 		hashes: map[K]uint64{},
@@ -35,8 +35,8 @@
 func (t *table[K, V]) len() int { return len(t.rows) }
 
 func (t *table[K, V]) put(key K, row *V) {
-	t.own()
-	hash := t.hasher.sum(t.kind, row)
+	t.copyIfShared()
+	hash := t.hasher.sum(t.salt, row)
 	t.sum += hash - t.hashes[key]
 	t.rows[key] = row
 	t.hashes[key] = hash
@@ -46,14 +46,14 @@
 	if t.rows[key] == nil {
 		return
 	}
-	t.own()
+	t.copyIfShared()
 	t.sum -= t.hashes[key]
 	delete(t.rows, key)
 	delete(t.hashes, key)
 }
 
-// own makes sure that no view holds the map which is about to change.
-func (t *table[K, V]) own() {
+// copyIfShared copies the map before a change if a view may hold it.
+func (t *table[K, V]) copyIfShared() {
 	if !t.shared {
 		return
 	}
@@ -61,13 +61,13 @@
 	t.shared = false
 }
 
-// share returns the map for a view.
+// share returns the map for a view and marks it as shared.
 func (t *table[K, V]) share() map[K]*V {
 	t.shared = true
 	return t.rows
 }
 
-// sorted returns the rows in the order of their keys.
+// sorted returns the rows sorted by key.
 func (t *table[K, V]) sorted() []*V { return sortedRows(t.rows) }
 
 func sortedRows[K cmp.Ordered, V any](rows map[K]*V) []*V {
--- a/internal/state/wave_test.go
+++ b/internal/state/wave_test.go
@@ -8,11 +8,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Symptom: from the second month on no VM is maintained, and the wave is told
-// to be done. Sequence: the manifest's wave gets a later start under the same
-// name. Cause: a VM that went through a wave of that name counted as done
-// whenever that was.
-func TestNextWaveUnderTheSameName(t *testing.T) {
+// A wave whose start was moved to the next month under the same name must
+// maintain its VMs again. It was reported as done without any maintenance, because
+// a VM counted as done once any earlier wave of that name had covered it.
+func TestWaveNameReusedWithLaterStart(t *testing.T) {
 	is := is.New(t)
 	wave := &model.Wave{ID: "monthly", Start: 1000}
 	done := &model.Maintained{VM: "v1", Wave: "monthly", At: 1500}
--- a/internal/state/world_test.go
+++ b/internal/state/world_test.go
@@ -8,151 +8,154 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// world drives a machine with random commands of several leaders, callers and
-// operators who act on old views, send twice and send late, and a replica that
-// restarts from snapshots. It keeps a plain account of what was promised and
-// compares.
-type world struct {
+// sim drives a machine with random commands from several leaders, callers
+// and operators that act on old views and send commands twice or late, and a
+// replica that restarts from snapshots. It compares the results with a simple
+// reference model of what the machine guarantees.
+type sim struct {
 	choose func(n int) int
 	rules  Rules
 
 	machine, replica *Machine
 	log              [][]byte // entry i has index i+1
-	snapshot         []byte   // of the replica, taken some time ago
+	snapshot         []byte   // an earlier snapshot of the replica
 
-	at    model.Instant
-	term  uint64
-	views []*View
-	sent  []Command
-	first map[model.CommandID]Result
-	tasks int
+	now          model.Instant
+	term         uint64
+	views        []*View
+	sent         []Command
+	firstResults map[model.CommandID]Result
+	taskCount    int
 
-	account account
+	expected referenceModel
 }
 
-// wholeCheckEvery is how many entries lie between checks of the chain and sums.
-const wholeCheckEvery = 32
+// fullCheckInterval is the number of log entries between checks of the audit chain
+// and the sums.
+const fullCheckInterval = 32
 
-// account is what the world was promised, by its own count.
-type account struct {
-	revision uint64
-	winners  map[uint64]string
-	granted  map[model.RequestKey]*model.Claim
-	runs     map[model.JobID]int
-	open     map[model.JobID]int
-	maxTerm  uint64
+// referenceModel holds the expected state, tracked from the results of commands.
+type referenceModel struct {
+	revision        uint64
+	acceptedDigests map[uint64]string
+	granted         map[model.RequestKey]*model.Claim
+	attempts        map[model.JobID]int
+	activeAttempts  map[model.JobID]int
+	maxTerm         uint64
 }
 
-func newWorld(rules Rules, choose func(n int) int) *world {
-	w := &world{
-		choose:  choose,
-		rules:   rules,
-		machine: NewMachine(Options{Rules: rules}),
-		replica: NewMachine(Options{Rules: rules}),
-		at:      100,
-		term:    1,
-		first:   map[model.CommandID]Result{},
-		account: account{
-			winners: map[uint64]string{},
-			granted: map[model.RequestKey]*model.Claim{},
-			runs:    map[model.JobID]int{},
-			open:    map[model.JobID]int{},
+func newSim(rules Rules, choose func(n int) int) *sim {
+	s := &sim{
+		choose:       choose,
+		rules:        rules,
+		machine:      NewMachine(Options{Rules: rules}),
+		replica:      NewMachine(Options{Rules: rules}),
+		now:          100,
+		term:         1,
+		firstResults: map[model.CommandID]Result{},
+		expected: referenceModel{
+			acceptedDigests: map[uint64]string{},
+			granted:         map[model.RequestKey]*model.Claim{},
+			attempts:        map[model.JobID]int{},
+			activeAttempts:  map[model.JobID]int{},
 		},
 	}
-	w.views = []*View{w.machine.View()}
-	return w
+	s.views = []*View{s.machine.View()}
+	return s
 }
 
-// step does one random thing and returns what went wrong, empty for nothing.
-func (w *world) step() string {
-	w.at += model.Instant(w.choose(1500))
+// step takes one random step and returns a description of the problem, if any.
+func (s *sim) step() string {
+	s.now += model.Instant(s.choose(1500))
 	var problem string
-	switch w.choose(40) {
+	switch s.choose(40) {
 	case 0:
-		problem = w.propose(w.manifest())
+		problem = s.propose(s.manifestCommand())
 	case 1:
-		w.term++
-		problem = w.propose(Command{Term: w.term, StartTerm: &StartTerm{Leader: "n1"}})
+		s.term++
+		problem = s.propose(Command{Term: s.term, StartTerm: &StartTerm{Leader: "n1"}})
 	case 2, 3:
-		problem = w.propose(w.claim())
+		problem = s.propose(s.claimCommand())
 	case 4:
-		problem = w.propose(w.settle())
+		problem = s.propose(s.settleCommand())
 	case 5:
-		problem = w.propose(Command{ForgetClaims: &ForgetClaims{Before: w.at - 9000}})
+		problem = s.propose(Command{ForgetClaims: &ForgetClaims{Before: s.now - 9000}})
 	case 6, 7:
-		problem = w.propose(w.job())
+		problem = s.propose(s.submitCommand())
 	case 8:
-		problem = w.propose(Command{CancelJobs: &CancelJobs{Jobs: []model.JobID{w.jobID(), w.jobID()}}})
+		problem = s.propose(Command{CancelJobs: &CancelJobs{Jobs: []model.JobID{s.randomJobID(), s.randomJobID()}}})
 	case 9:
-		problem = w.resend()
+		problem = s.resendCommand()
 	case 10:
-		problem = w.restart()
+		problem = s.restartReplica()
 	case 11:
-		problem = w.stepBack()
+		problem = s.replayOldEntry()
 	case 12:
-		problem = w.propose(Command{Batch: []Command{w.named(w.claim()), w.named(w.job())}})
+		problem = s.propose(Command{Batch: []Command{s.withID(s.claimCommand()), s.withID(s.submitCommand())}})
 	default:
-		problem = w.propose(w.plan())
+		problem = s.propose(s.planCommand())
 	}
 	if problem != "" {
 		return problem
 	}
-	return w.checks()
+	return s.checkInvariants()
 }
 
-func (w *world) checks() string {
-	if broken := w.machine.Broken(); len(broken) > 0 {
+func (s *sim) checkInvariants() string {
+	if broken := s.machine.Broken(); len(broken) > 0 {
 		return fmt.Sprint("guard: ", broken)
 	}
-	if broken := Check(w.machine.View()); len(broken) > 0 {
+	if broken := Check(s.machine.View()); len(broken) > 0 {
 		return fmt.Sprint("check: ", broken)
 	}
-	if len(w.log)%wholeCheckEvery == 0 {
-		if broken := w.machine.Check(); len(broken) > 0 {
-			return fmt.Sprint("whole check: ", broken)
+	if len(s.log)%fullCheckInterval == 0 {
+		if broken := s.machine.Check(); len(broken) > 0 {
+			return fmt.Sprint("full check: ", broken)
 		}
 	}
-	if w.machine.View().Digest != w.replica.View().Digest {
+	if s.machine.View().Digest != s.replica.View().Digest {
 		return "replicas differ"
 	}
-	w.views = append(w.views, w.machine.View())
-	w.views = w.views[max(0, len(w.views)-6):]
+	s.views = append(s.views, s.machine.View())
+	s.views = s.views[max(0, len(s.views)-6):]
 	return ""
 }
 
-// seen returns a view that may be old, as a slow leader sees it.
-func (w *world) seen() *View { return w.views[w.choose(len(w.views))] }
+// recentView returns one of the last views, as a slow leader may hold it.
+func (s *sim) recentView() *View { return s.views[s.choose(len(s.views))] }
 
-func (w *world) named(c Command) Command {
+// withID returns the command with its time set, and an ID unless it has one.
+func (s *sim) withID(c Command) Command {
 	if c.ID == "" {
-		c.ID = model.CommandID(fmt.Sprintf("c%d", len(w.sent)))
+		c.ID = model.CommandID(fmt.Sprintf("c%d", len(s.sent)))
 	}
-	c.At = w.at
-	w.sent = append(w.sent, c)
+	c.At = s.now
+	s.sent = append(s.sent, c)
 	return c
 }
 
-// propose appends a command to the log and applies it at both machines.
-func (w *world) propose(c Command) string {
+// propose appends a command to the log, applies it on both machines and verifies
+// the result.
+func (s *sim) propose(c Command) string {
 	if c.Batch == nil {
-		c = w.named(c)
+		c = s.withID(c)
 	}
 	data, err := Encode(c)
 	if err != nil {
 		return err.Error()
 	}
-	w.log = append(w.log, data)
-	index := uint64(len(w.log))
-	before := w.machine.View()
-	result := w.machine.Apply(index, data)
-	other := w.replica.Apply(index, data)
+	s.log = append(s.log, data)
+	index := uint64(len(s.log))
+	before := s.machine.View()
+	result := s.machine.Apply(index, data)
+	other := s.replica.Apply(index, data)
 	if !sameResult(result, other) {
-		return fmt.Sprintf("replicas answer %+v and %+v", result, other)
+		return fmt.Sprintf("replicas return %+v and %+v", result, other)
 	}
 	if c.Batch != nil {
-		return w.promisedBatch(c, result)
+		return s.verifyBatch(c, result)
 	}
-	return w.promised(before, c, result)
+	return s.verifyResult(before, c, result)
 }
 
 func sameResult(a, b Result) bool {
@@ -161,224 +164,226 @@
 	return err1 == nil && err2 == nil && bytes.Equal(x, y)
 }
 
-// resend sends an earlier command again, under its ID or, as after the memory
-// of its ID ran out, under another.
-func (w *world) resend() string {
-	if len(w.sent) == 0 {
+// resendCommand sends an earlier command again, under the same ID or under a new
+// one, as if its ID had been evicted.
+func (s *sim) resendCommand() string {
+	if len(s.sent) == 0 {
 		return ""
 	}
-	c := w.sent[len(w.sent)-1-w.choose(min(len(w.sent), 200))]
-	if w.choose(2) == 0 {
+	c := s.sent[len(s.sent)-1-s.choose(min(len(s.sent), 200))]
+	if s.choose(2) == 0 {
 		c.ID = ""
 	}
-	return w.propose(c)
+	return s.propose(c)
 }
 
-// restart restarts the replica from a snapshot and the log after it.
-func (w *world) restart() string {
-	if w.snapshot == nil || w.choose(3) == 0 {
-		data, err := w.replica.Snapshot()
+// restartReplica restarts the replica from a snapshot and the later log entries.
+func (s *sim) restartReplica() string {
+	if s.snapshot == nil || s.choose(3) == 0 {
+		data, err := s.replica.Snapshot()
 		if err != nil {
 			return err.Error()
 		}
-		w.snapshot = data
+		s.snapshot = data
 	}
-	back := NewMachine(Options{Rules: w.rules})
-	if err := back.Restore(w.snapshot); err != nil {
+	restored := NewMachine(Options{Rules: s.rules})
+	if err := restored.Restore(s.snapshot); err != nil {
 		return err.Error()
 	}
-	for index := back.Applied(); index < uint64(len(w.log)); index++ {
-		back.Apply(index+1, w.log[index])
+	for index := restored.Applied(); index < uint64(len(s.log)); index++ {
+		restored.Apply(index+1, s.log[index])
 	}
-	w.replica = back
+	s.replica = restored
 	return ""
 }
 
-// stepBack delivers an old entry and an old snapshot again.
-func (w *world) stepBack() string {
-	if len(w.log) == 0 {
+// replayOldEntry delivers an old log entry and an old snapshot again.
+func (s *sim) replayOldEntry() string {
+	if len(s.log) == 0 {
 		return ""
 	}
-	old := w.choose(len(w.log))
-	w.machine.Apply(uint64(old+1), w.log[old])
-	if w.snapshot == nil || w.machine.Applied() == 0 {
+	old := s.choose(len(s.log))
+	s.machine.Apply(uint64(old+1), s.log[old])
+	if s.snapshot == nil || s.machine.Applied() == 0 {
 		return ""
 	}
-	before := w.machine.Applied()
-	_ = w.machine.Restore(w.snapshot) // refused unless it is as new
-	if w.machine.Applied() < before {
-		return "the applied index stepped back"
+	before := s.machine.Applied()
+	_ = s.machine.Restore(s.snapshot) // refused if it is older
+	if s.machine.Applied() < before {
+		return "the applied index decreased"
 	}
 	return ""
 }
 
-// promised compares the result with the account and carries it on.
-func (w *world) promised(before *View, c Command, r Result) string {
-	if first, known := w.first[c.ID]; known {
-		return promisedAgain(first, r)
+// verifyResult compares the result with the reference model and updates the
+// model.
+func (s *sim) verifyResult(before *View, c Command, r Result) string {
+	if first, known := s.firstResults[c.ID]; known {
+		return verifyDuplicate(first, r)
 	}
-	w.first[c.ID] = r
-	if c.Term != 0 && c.Term < w.account.maxTerm && r.Refused == "" {
-		return fmt.Sprintf("term %d acted after term %d", c.Term, w.account.maxTerm)
+	s.firstResults[c.ID] = r
+	if c.Term != 0 && c.Term < s.expected.maxTerm && r.Refused == "" {
+		return fmt.Sprintf("a command of term %d took effect after term %d", c.Term, s.expected.maxTerm)
 	}
-	w.account.maxTerm = max(w.account.maxTerm, c.Term)
+	s.expected.maxTerm = max(s.expected.maxTerm, c.Term)
 	switch {
 	case c.ApplyManifest != nil:
-		return w.promisedManifest(c.ApplyManifest, r)
+		return s.verifyManifest(c.ApplyManifest, r)
 	case c.ClaimRequest != nil:
-		return w.promisedClaim(c.ClaimRequest.Claim, r)
+		return s.verifyClaim(c.ClaimRequest.Claim, r)
 	case c.SettleRequest != nil:
-		return w.promisedSettle(c.SettleRequest, r)
+		return s.verifySettle(c.SettleRequest, r)
 	case c.ForgetClaims != nil:
-		w.forgotten()
+		s.syncForgottenClaims()
 	case c.Plan != nil && r.Refused == "":
-		return w.promisedPlan(before, c, r)
+		return s.verifyPlan(before, c, r)
 	}
 	return ""
 }
 
-func (w *world) promisedBatch(c Command, r Result) string {
+func (s *sim) verifyBatch(c Command, r Result) string {
 	for i, one := range c.Batch {
-		if problem := w.promised(nil, one, r.Batch[i]); problem != "" {
+		if problem := s.verifyResult(nil, one, r.Batch[i]); problem != "" {
 			return problem
 		}
 	}
 	return ""
 }
 
-// promisedAgain: a doubled command gets the first answer, but for a claim that
-// went on since.
-func promisedAgain(first, r Result) string {
+// verifyDuplicate checks that a duplicate command gets the first result, except
+// for the existing claim, which may have changed since.
+func verifyDuplicate(first, r Result) string {
 	if first.Claim != nil && r.Claim != nil {
 		first.Claim, r.Claim = &ClaimResult{Granted: first.Claim.Granted}, &ClaimResult{Granted: r.Claim.Granted}
 	}
 	if !reflect.DeepEqual(first, r) {
-		return fmt.Sprintf("a doubled command got %+v after %+v", r, first)
+		return fmt.Sprintf("a duplicate command got %+v after %+v", r, first)
 	}
 	return ""
 }
 
-func (w *world) promisedManifest(a *ApplyManifest, r Result) string {
+func (s *sim) verifyManifest(a *ApplyManifest, r Result) string {
 	if r.Manifest == nil || r.Manifest.Outcome != ManifestAccepted {
 		return ""
 	}
-	if winner := w.account.winners[a.Revision]; winner != "" {
-		return fmt.Sprintf("revision %d has two winners", a.Revision)
+	if digest := s.expected.acceptedDigests[a.Revision]; digest != "" {
+		return fmt.Sprintf("revision %d was accepted with two digests", a.Revision)
 	}
-	if a.Revision <= w.account.revision {
-		return fmt.Sprintf("revision %d was accepted after %d", a.Revision, w.account.revision)
+	if a.Revision <= s.expected.revision {
+		return fmt.Sprintf("revision %d was accepted after %d", a.Revision, s.expected.revision)
 	}
-	w.account.revision = a.Revision
-	w.account.winners[a.Revision] = a.Digest
+	s.expected.revision = a.Revision
+	s.expected.acceptedDigests[a.Revision] = a.Digest
 	return ""
 }
 
-func (w *world) promisedClaim(asked model.Claim, r Result) string {
+func (s *sim) verifyClaim(claim model.Claim, r Result) string {
 	if r.Claim == nil || !r.Claim.Granted {
 		return ""
 	}
-	if w.account.granted[asked.Key] != nil {
-		return fmt.Sprintf("key %s was granted twice", asked.Key)
+	if s.expected.granted[claim.Key] != nil {
+		return fmt.Sprintf("key %s was granted twice", claim.Key)
 	}
-	w.account.granted[asked.Key] = &asked
+	s.expected.granted[claim.Key] = &claim
 	return ""
 }
 
-func (w *world) promisedSettle(s *SettleRequest, r Result) string {
-	claim := w.account.granted[s.Key]
+func (s *sim) verifySettle(request *SettleRequest, r Result) string {
+	claim := s.expected.granted[request.Key]
 	if r.Refused != "" {
 		return ""
 	}
 	if claim == nil {
-		return fmt.Sprintf("key %s was settled without a claim", s.Key)
+		return fmt.Sprintf("key %s was settled without a claim", request.Key)
 	}
 	if claim.State != 0 {
-		return fmt.Sprintf("key %s was settled twice", s.Key)
+		return fmt.Sprintf("key %s was settled twice", request.Key)
 	}
-	if !s.Takeover && (claim.Owner != s.Owner || claim.Incarnation != s.Incarnation) {
-		return fmt.Sprintf("key %s was settled by a stranger", s.Key)
+	if !request.Takeover && (claim.Owner != request.Owner || claim.Incarnation != request.Incarnation) {
+		return fmt.Sprintf("key %s was settled by another process", request.Key)
 	}
-	claim.State = s.State
-	if s.State == model.ClaimSettled && s.Verdict == model.NotRun {
-		delete(w.account.granted, s.Key) // it may be claimed anew
+	claim.State = request.State
+	if request.State == model.ClaimSettled && request.Verdict == model.NotRun {
+		delete(s.expected.granted, request.Key) // it may be claimed again
 	}
 	return ""
 }
 
-// forgotten drops the keys that the machine forgot, and marks the running ones
-// that became unknown.
-func (w *world) forgotten() {
-	for key, claim := range w.account.granted {
-		now := w.machine.Claim(key)
-		if now == nil {
-			delete(w.account.granted, key)
+// syncForgottenClaims drops the keys that the machine forgot, and marks the
+// running claims that became unknown.
+func (s *sim) syncForgottenClaims() {
+	for key, claim := range s.expected.granted {
+		current := s.machine.Claim(key)
+		if current == nil {
+			delete(s.expected.granted, key)
 			continue
 		}
-		if now.State != model.ClaimRunning {
-			claim.State = now.State
+		if current.State != model.ClaimRunning {
+			claim.State = current.State
 		}
 	}
 }
 
-func (w *world) promisedPlan(before *View, c Command, r Result) string {
+func (s *sim) verifyPlan(before *View, c Command, r Result) string {
 	for i, a := range c.Plan.Actions {
 		if r.Actions[i] != "" {
 			continue
 		}
-		if problem := w.promisedAction(before, c, a, len(c.Plan.Actions) == 1); problem != "" {
+		if problem := s.verifyAction(before, c, a, len(c.Plan.Actions) == 1); problem != "" {
 			return problem
 		}
 	}
 	return ""
 }
 
-// promisedAction checks an accepted action. Only when the plan has no other
-// action is the view before the plan also the one before the action.
-func (w *world) promisedAction(before *View, c Command, a Action, alone bool) string {
+// verifyAction checks an accepted action. The generation is checked only if the
+// plan has a single action: only then is the view before the plan also the view
+// before the action.
+func (s *sim) verifyAction(before *View, c Command, a Action, single bool) string {
 	switch {
-	case a.BeginMove != nil && alone:
-		return fenced(before.Owners[a.BeginMove.VM], a.BeginMove.Generation)
-	case a.FinishMove != nil && alone:
-		return fenced(before.Owners[a.FinishMove.VM], a.FinishMove.Generation)
+	case a.BeginMove != nil && single:
+		return verifyGeneration(before.Owners[a.BeginMove.VM], a.BeginMove.Generation)
+	case a.FinishMove != nil && single:
+		return verifyGeneration(before.Owners[a.FinishMove.VM], a.FinishMove.Generation)
 	case a.StartTask != nil && a.StartTask.Task.Job != "":
-		return w.started(a.StartTask.Task.Job)
+		return s.verifyStart(a.StartTask.Task.Job)
 	case a.EndTask != nil:
-		return w.ended(before.Tasks[a.EndTask.Task], c, a.EndTask.Outcome)
+		return s.verifyEnd(before.Tasks[a.EndTask.Task], c, a.EndTask.Outcome)
 	default:
 		return ""
 	}
 }
 
-func fenced(owner *model.Ownership, seen uint64) string {
+func verifyGeneration(owner *model.Ownership, seen uint64) string {
 	if owner != nil && owner.Generation != seen {
-		return fmt.Sprintf("generation %d acted on %d", seen, owner.Generation)
+		return fmt.Sprintf("an action based on generation %d took effect at generation %d", seen, owner.Generation)
 	}
 	return ""
 }
 
-func (w *world) started(id model.JobID) string {
-	w.account.runs[id]++
-	w.account.open[id]++
-	if w.account.open[id] > 1 {
+func (s *sim) verifyStart(id model.JobID) string {
+	s.expected.attempts[id]++
+	s.expected.activeAttempts[id]++
+	if s.expected.activeAttempts[id] > 1 {
 		return fmt.Sprintf("job %s has two attempts at once", id)
 	}
-	job := w.machine.View().Jobs[id]
-	if job != nil && !job.Spec.Idempotent && w.account.runs[id] > 1 {
+	job := s.machine.View().Jobs[id]
+	if job != nil && !job.Spec.Idempotent && s.expected.attempts[id] > 1 {
 		return fmt.Sprintf("job %s is not idempotent and ran twice", id)
 	}
 	return ""
 }
 
-func (w *world) ended(task *model.Task, c Command, o TaskOutcome) string {
+func (s *sim) verifyEnd(task *model.Task, c Command, o TaskOutcome) string {
 	if task == nil || task.Job == "" {
 		return ""
 	}
-	w.account.open[task.Job]--
+	s.expected.activeAttempts[task.Job]--
 	if o == OutcomeNeverStarted {
-		w.account.runs[task.Job]--
+		s.expected.attempts[task.Job]--
 	}
 	if o == OutcomeLapsed && c.At < task.LeaseUntil.Add(DriftMargin) {
-		return fmt.Sprintf("task %s was given up early", task.ID)
+		return fmt.Sprintf("task %s was recorded as lapsed too early", task.ID)
 	}
 	return ""
 }
