--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -94,17 +94,17 @@
 }
 
 // checks collects the invariants that do not hold in this process.
-func (a *Agent) checks() []state.Broken {
-	all := a.machine.Broken()
+func (a *Agent) checks() []state.Violation {
+	all := a.machine.Violations()
 	for _, detail := range a.heartbeats.Check() {
-		all = append(all, state.Broken{Invariant: "membership", Detail: detail})
+		all = append(all, state.Violation{Invariant: "membership", Detail: detail})
 	}
 	for _, detail := range a.registry.Check() {
-		all = append(all, state.Broken{Invariant: "registry", Detail: detail})
+		all = append(all, state.Violation{Invariant: "registry", Detail: detail})
 	}
 	if a.controller != nil {
 		for _, b := range a.controller.Broken() {
-			all = append(all, state.Broken{Invariant: b.Invariant, Detail: b.Detail})
+			all = append(all, state.Violation{Invariant: b.Invariant, Detail: b.Detail})
 		}
 	}
 	return all
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -124,8 +124,8 @@
 // takenVM is the VM that an action takes out on purpose, nil for none.
 func takenVM(ix *fleet.Index, a *state.Action) *fleet.VM {
 	switch {
-	case a.Grant != nil:
-		return ix.VM(a.Grant.VM)
+	case a.GrantPermit != nil:
+		return ix.VM(a.GrantPermit.VM)
 	case a.BeginMove != nil && a.BeginMove.Generation > 0:
 		return stillThere(ix.VM(a.BeginMove.VM))
 	default:
@@ -159,7 +159,7 @@
 	c.report(broken)
 	taken := false
 	for i := range d.actions {
-		taken = taken || d.actions[i].Grant != nil || d.actions[i].BeginMove != nil
+		taken = taken || d.actions[i].GrantPermit != nil || d.actions[i].BeginMove != nil
 	}
 	if taken {
 		c.report(CheckBudgets(d.ix.Snap, c.budgetOptions(d.at), d.actions))
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -40,7 +40,7 @@
 func (d *decided) granted() []model.VMID {
 	var vms []model.VMID
 	for i := range d.actions {
-		if g := d.actions[i].Grant; g != nil {
+		if g := d.actions[i].GrantPermit; g != nil {
 			vms = append(vms, g.VM)
 		}
 	}
@@ -231,7 +231,7 @@
 	if len(missing) == 0 {
 		return
 	}
-	if !r.AllBut {
+	if !r.AllExcept {
 		r.Tasks = slices.DeleteFunc(r.Tasks, func(id model.TaskID) bool { return missing[id] })
 		return
 	}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -241,7 +241,7 @@
 			all = append(all, b.Invariant+": "+b.Detail)
 		}
 	}
-	for _, b := range s.log.machine.Broken() {
+	for _, b := range s.log.machine.Violations() {
 		all = append(all, b.Invariant+": "+b.Detail)
 	}
 	for _, b := range state.Check(s.view()) {
--- a/internal/fleet/guard.go
+++ b/internal/fleet/guard.go
@@ -40,12 +40,12 @@
 	if holds || len(ix.broken) >= maxBroken {
 		return
 	}
-	ix.broken = append(ix.broken, state.Broken{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
+	ix.broken = append(ix.broken, state.Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
 // Broken returns the invariants that the actions planned in this round would
 // break. It is empty unless the program has a fault.
-func (ix *Index) Broken() []state.Broken { return ix.broken }
+func (ix *Index) Broken() []state.Violation { return ix.broken }
 
 func (ix *Index) guardStart(t *model.Task, pool model.PoolID) {
 	v := ix.vms[t.VM]
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -44,7 +44,7 @@
 	racks    map[string]int
 	arrived  map[model.JobID]*model.Job
 	planned  planned
-	broken   []state.Broken
+	broken   []state.Violation
 }
 
 // Pool is a pool of the manifest with its VMs.
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -27,8 +27,8 @@
 	case a.ForgetVM != nil:
 		ix.guardForget(a.ForgetVM.VM)
 		ix.planForget(a.ForgetVM.VM)
-	case a.Grant != nil:
-		ix.planGrant(a.Grant)
+	case a.GrantPermit != nil:
+		ix.planGrant(a.GrantPermit)
 	case a.StartTask != nil:
 		ix.guardStart(&a.StartTask.Task, a.StartTask.Pool)
 		ix.planStart(&a.StartTask.Task)
@@ -85,7 +85,7 @@
 	v.Block = v.block()
 }
 
-func (ix *Index) planGrant(g *state.Grant) {
+func (ix *Index) planGrant(g *state.GrantPermit) {
 	v := ix.vms[g.VM]
 	if v == nil {
 		return
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -180,13 +180,13 @@
 		reply *nodepb.FollowReply
 		want  error
 	}{
-		{feed(3, 2, 3, 4), ErrBadFeed},      // starts before what was asked for
-		{feed(3, 5), ErrBadFeed},            // leaves a gap
-		{feed(3, 4, 6), ErrBadFeed},         // has a gap; no part of it is applied
-		{feed(2, 4), ErrStepBack},           // of another history
-		{snapshot(3, 3), ErrStepBack},       // not later
-		{snapshot(9, 2), ErrStepBack},       // of another history
-		{snapshot(9, 3), state.ErrStepBack}, // says 9 but holds index 0
+		{feed(3, 2, 3, 4), ErrBadFeed},           // starts before what was asked for
+		{feed(3, 5), ErrBadFeed},                 // leaves a gap
+		{feed(3, 4, 6), ErrBadFeed},              // has a gap; no part of it is applied
+		{feed(2, 4), ErrStepBack},                // of another history
+		{snapshot(3, 3), ErrStepBack},            // not later
+		{snapshot(9, 2), ErrStepBack},            // of another history
+		{snapshot(9, 3), state.ErrStaleSnapshot}, // says 9 but holds index 0
 		{&nodepb.FollowReply{Entries: []byte("x")}, ErrBadFeed},
 	} {
 		is.True(errors.Is(f.apply(c.reply), c.want))
--- a/internal/operator/build.go
+++ b/internal/operator/build.go
@@ -57,7 +57,7 @@
 		Budgets:     b.budgets(),
 		Waves:       b.waves(),
 		Jobs:        b.jobs(),
-		Checks:      append([]state.Broken{}, state.Check(b.view)...),
+		Checks:      append([]state.Violation{}, state.Check(b.view)...),
 	}
 	if b.sources.Checks != nil {
 		status.Checks = append(status.Checks, b.sources.Checks()...)
--- a/internal/operator/manifest.go
+++ b/internal/operator/manifest.go
@@ -116,7 +116,7 @@
 		body.Message = fmt.Sprintf("revision %d is in force, digest %s, and revision %d is older; nothing changed", m.Revision, m.Digest, asked)
 		answer(w, http.StatusConflict, model.NotRun, body)
 		return
-	case state.ManifestAlready:
+	case state.ManifestAlreadyAccepted:
 		body.Outcome = "already"
 		body.Message = "this manifest was accepted before"
 		if m.Revision != asked {
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -88,7 +88,7 @@
 		is.Equal(verdict(w), "not-run")
 	}
 	is.Equal(won, 1)
-	is.Equal(l.Broken(), nil)
+	is.Equal(l.Violations(), nil)
 }
 
 // Symptom: an operator whose answer was lost is told that the manifest was
@@ -200,7 +200,7 @@
 	is.Equal(len(status.Budgets), 5)
 	is.Equal(status.Waves[0].State, "scheduled")
 	is.Equal(status.Waves[0].Waiting, 1)
-	is.Equal(status.Checks, []state.Broken{})
+	is.Equal(status.Checks, []state.Violation{})
 	table := send(h, "GET", "/status?format=text", "").Body.String()
 	is.True(strings.Contains(table, "pool berths is below min_vms"))
 	is.Equal(decode[JobList](t, send(h, "GET", "/jobs?team=offices", "")).Total, 1)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -27,7 +27,7 @@
 	Waves       []WaveStatus   `json:"waves"`
 	Jobs        JobsStatus     `json:"jobs"`
 	// Checks are the invariants that do not hold; none in a sound system.
-	Checks []state.Broken `json:"checks_broken"`
+	Checks []state.Violation `json:"checks_broken"`
 	// Measures are the users' three measures, by name, when the controller
 	// runs here.
 	Measures map[string]float64 `json:"measures,omitempty"`
@@ -142,7 +142,7 @@
 	// Waves says why a wave does not go on, by wave.
 	Waves func() map[model.WaveID]string
 	// Checks returns the invariants that broke in this process.
-	Checks func() []state.Broken
+	Checks func() []state.Violation
 	// Measures returns the users' measures by name.
 	Measures func() map[string]float64
 }
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -152,7 +152,7 @@
 	s.Now = now.Add(50 * time.Second)
 	renew := placement.Leases(fleet.NewIndex(s), placement.Options{})[0].RenewTasks
 	is.Equal(len(renew.Tasks), 0)
-	is.True(renew.AllBut)
+	is.True(renew.AllExcept)
 	s.Now = now.Add(61 * time.Second)
 	is.Equal(len(placement.Leases(fleet.NewIndex(s), placement.Options{})), 0) // its worker stopped it
 	s.Now = now.Add(50 * time.Second)
--- a/internal/placement/lease.go
+++ b/internal/placement/lease.go
@@ -70,7 +70,7 @@
 func (l *leases) renew() state.Action {
 	r := &state.RenewTasks{Tasks: l.renewed, LeaseUntil: l.ix.LeaseUntil()}
 	if len(l.lapsing) < len(l.renewed) {
-		r.Tasks, r.AllBut = l.lapsing, true
+		r.Tasks, r.AllExcept = l.lapsing, true
 	}
 	slices.Sort(r.Tasks)
 	return state.Action{RenewTasks: r}
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -171,7 +171,7 @@
 		for _, b := range w.machine.Check() {
 			t.Fatalf("state: %s: %s", b.Invariant, b.Detail)
 		}
-		for _, b := range w.machine.Broken() {
+		for _, b := range w.machine.Violations() {
 			t.Fatalf("state: %s: %s", b.Invariant, b.Detail)
 		}
 		settles(t, w)
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -259,7 +259,7 @@
 		w.start(w.machine.View().Tasks[a.StartTask.Task.ID])
 	case a.RenewTasks != nil:
 		for _, r := range w.runs {
-			if named := slices.Contains(a.RenewTasks.Tasks, r.task.ID); named != a.RenewTasks.AllBut && w.up(r.task.VM) {
+			if named := slices.Contains(a.RenewTasks.Tasks, r.task.ID); named != a.RenewTasks.AllExcept && w.up(r.task.VM) {
 				r.lease = a.RenewTasks.LeaseUntil
 			}
 		}
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -27,8 +27,8 @@
 // peer, must not take effect twice.
 func (c *core) applyEntry(index uint64, data []byte) Result {
 	if index <= c.index {
-		c.guard(c.rules.SkipStepBack, "index-grows", "index %d came after %d", index, c.index)
-		if !c.rules.SkipStepBack {
+		c.guard(c.rules.SkipIndexOrder, "index-grows", "index %d came after %d", index, c.index)
+		if !c.rules.SkipIndexOrder {
 			return Result{Index: index, Refused: refusedStaleIndex}
 		}
 	}
@@ -71,7 +71,7 @@
 	if command.ID == "" {
 		return Result{Index: c.index, Refused: refusedNoID}
 	}
-	if first, known := c.dedup.lookup(command.ID); known && !c.rules.SkipCommandMemory {
+	if first, known := c.dedup.lookup(command.ID); known && !c.rules.SkipDedup {
 		return c.duplicateResult(command, first)
 	}
 	result := c.applyFenced(command)
@@ -169,12 +169,12 @@
 		return c.finishMove(command, a, a.FinishMove)
 	case a.ForgetVM != nil:
 		return c.forgetVM(command, a, a.ForgetVM)
-	case a.Grant != nil:
-		return c.grant(command, a, a.Grant)
+	case a.GrantPermit != nil:
+		return c.grant(command, a, a.GrantPermit)
 	case a.SetPhase != nil:
 		return c.setPhase(command, a, a.SetPhase)
-	case a.Release != nil:
-		return c.release(command, a, a.Release)
+	case a.ReleasePermit != nil:
+		return c.release(command, a, a.ReleasePermit)
 	case a.StartTask != nil:
 		return c.startTask(command, a, a.StartTask)
 	case a.RenewTasks != nil:
--- a/internal/state/apply_manifest.go
+++ b/internal/state/apply_manifest.go
@@ -87,7 +87,7 @@
 		return ManifestAccepted
 	}
 	if c.acceptedBefore(a) {
-		return ManifestAlready
+		return ManifestAlreadyAccepted
 	}
 	switch {
 	case a.Revision > current.Site.Revision:
--- a/internal/state/apply_permit.go
+++ b/internal/state/apply_permit.go
@@ -9,7 +9,7 @@
 
 // grant commits a permit for one VM to be unavailable, before any command is
 // sent for the VM: a new leader sees every VM that may be going down.
-func (c *core) grant(command *Command, a *Action, g *Grant) Refusal {
+func (c *core) grant(command *Command, a *Action, g *GrantPermit) Refusal {
 	owner := c.owners.get(g.VM)
 	if owner == nil {
 		return "no such VM"
@@ -101,7 +101,7 @@
 	return ""
 }
 
-func (c *core) release(command *Command, a *Action, r *Release) Refusal {
+func (c *core) release(command *Command, a *Action, r *ReleasePermit) Refusal {
 	permit, refused := c.permitAt(r.VM, r.Generation)
 	if refused != "" {
 		return refused
--- a/internal/state/apply_task.go
+++ b/internal/state/apply_task.go
@@ -174,7 +174,7 @@
 
 // toRenew returns the tasks whose leases are to be renewed.
 func (c *core) toRenew(r *RenewTasks) []*model.Task {
-	if r.AllBut {
+	if r.AllExcept {
 		return c.tasksExcept(r.Tasks)
 	}
 	tasks := make([]*model.Task, 0, len(r.Tasks))
--- a/internal/state/check.go
+++ b/internal/state/check.go
@@ -12,11 +12,11 @@
 // checker collects the invariants that a view violates.
 type checker struct {
 	view       *View
-	violations []Broken
+	violations []Violation
 }
 
 func (k *checker) fail(invariant, format string, args ...any) {
-	k.violations = append(k.violations, Broken{invariant, fmt.Sprintf(format, args...)})
+	k.violations = append(k.violations, Violation{invariant, fmt.Sprintf(format, args...)})
 }
 
 // expect reports a violation unless holds is true. It is meant for checks that
@@ -29,7 +29,7 @@
 }
 
 // Check returns the invariants that a view violates. It reads every row.
-func Check(v *View) []Broken {
+func Check(v *View) []Violation {
 	k := &checker{view: v}
 	k.owners()
 	k.permits()
@@ -39,7 +39,7 @@
 	return k.violations
 }
 
-func compareViolations(a, b Broken) int {
+func compareViolations(a, b Violation) int {
 	return cmp.Or(cmp.Compare(a.Invariant, b.Invariant), cmp.Compare(a.Detail, b.Detail))
 }
 
@@ -140,10 +140,10 @@
 
 // check returns the violations in the parts of the state that a view does not
 // contain.
-func (c *core) check() []Broken {
+func (c *core) check() []Violation {
 	k := &checker{}
 	k.auditChain(&c.audit)
-	k.expect(len(c.dedup.byID) <= CommandMemory, "bounded", "%d command IDs are kept", len(c.dedup.byID))
+	k.expect(len(c.dedup.byID) <= MaxDedupEntries, "bounded", "%d command IDs are kept", len(c.dedup.byID))
 	k.expect(c.claims.len() <= MaxClaims, "bounded", "%d claims are kept", c.claims.len())
 	k.expect(c.derived.answerBytes <= MaxKeptBytes, "bounded", "%d bytes of answers are kept", c.derived.answerBytes)
 	k.expect(c.jobs.len() <= MaxJobs, "bounded", "%d jobs are kept", c.jobs.len())
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -100,9 +100,9 @@
 	BeginMove     *BeginMove     `cbor:"10,keyasint,omitempty"`
 	FinishMove    *FinishMove    `cbor:"11,keyasint,omitempty"`
 	ForgetVM      *ForgetVM      `cbor:"12,keyasint,omitempty"`
-	Grant         *Grant         `cbor:"13,keyasint,omitempty"`
+	GrantPermit   *GrantPermit   `cbor:"13,keyasint,omitempty"`
 	SetPhase      *SetPhase      `cbor:"14,keyasint,omitempty"`
-	Release       *Release       `cbor:"15,keyasint,omitempty"`
+	ReleasePermit *ReleasePermit `cbor:"15,keyasint,omitempty"`
 	StartTask     *StartTask     `cbor:"16,keyasint,omitempty"`
 	RenewTasks    *RenewTasks    `cbor:"17,keyasint,omitempty"`
 	UpdateTask    *UpdateTask    `cbor:"18,keyasint,omitempty"`
@@ -133,9 +133,9 @@
 	Generation uint64     `cbor:"2,keyasint"`
 }
 
-// Grant commits a maintenance permit. It is refused if the VM has one, is moving,
-// or has been through the wave already.
-type Grant struct {
+// GrantPermit commits a maintenance permit. It is refused if the VM has one, is
+// moving, or has been through the wave already.
+type GrantPermit struct {
 	VM     model.VMID   `cbor:"1,keyasint"`
 	Wave   model.WaveID `cbor:"2,keyasint"`
 	BootID string       `cbor:"3,keyasint"`
@@ -149,9 +149,9 @@
 	Phase      model.MaintenancePhase `cbor:"3,keyasint"`
 }
 
-// Release ends a permit. Done reports whether the VM's maintenance is complete;
-// if false, the VM is released without it.
-type Release struct {
+// ReleasePermit ends a permit. Done reports whether the VM's maintenance is
+// complete; if false, the VM is released without it.
+type ReleasePermit struct {
 	VM         model.VMID `cbor:"1,keyasint"`
 	Generation uint64     `cbor:"2,keyasint"`
 	Done       bool       `cbor:"3,keyasint"`
@@ -169,10 +169,10 @@
 type RenewTasks struct {
 	Tasks      []model.TaskID `cbor:"1,keyasint"`
 	LeaseUntil model.Instant  `cbor:"2,keyasint"`
-	// AllBut renews every task except those in Tasks, so that the size of a
+	// AllExcept renews every task except those in Tasks, so that the size of a
 	// renewal does not grow with the site. It is safe if the recorded lease is
 	// longer than the worker's: the job only waits longer for its next attempt.
-	AllBut bool `cbor:"3,keyasint,omitempty"`
+	AllExcept bool `cbor:"3,keyasint,omitempty"`
 }
 
 // UpdateTask changes the state or throttling of a task.
@@ -251,9 +251,9 @@
 const (
 	// ManifestAccepted means that the manifest is now the desired state.
 	ManifestAccepted ManifestOutcome = iota + 1
-	// ManifestAlready means that this revision with this digest was accepted
-	// before.
-	ManifestAlready
+	// ManifestAlreadyAccepted means that this revision with this digest was
+	// accepted before.
+	ManifestAlreadyAccepted
 	// ManifestConflict means that another manifest has this revision.
 	ManifestConflict
 	// ManifestStale means that a later revision is in force.
--- a/internal/state/commands_test.go
+++ b/internal/state/commands_test.go
@@ -107,7 +107,7 @@
 		vm := s.randomVM()
 		return Action{ForgetVM: &ForgetVM{VM: vm, Generation: generation(view, vm)}}
 	case 5:
-		return Action{Grant: &Grant{VM: s.randomVM(), Wave: model.WaveID([]string{"w1", "w2"}[s.choose(2)])}}
+		return Action{GrantPermit: &GrantPermit{VM: s.randomVM(), Wave: model.WaveID([]string{"w1", "w2"}[s.choose(2)])}}
 	case 6, 7, 8, 9:
 		return s.permitAction(view)
 	case 10:
@@ -135,7 +135,7 @@
 	if s.choose(3) > 0 {
 		return Action{SetPhase: &SetPhase{VM: vm, Generation: permit.Generation, Phase: permit.Phase + 1}}
 	}
-	return Action{Release: &Release{VM: vm, Generation: permit.Generation, Done: s.choose(4) > 0}}
+	return Action{ReleasePermit: &ReleasePermit{VM: vm, Generation: permit.Generation, Done: s.choose(4) > 0}}
 }
 
 func (s *sim) quarantineAction(vm model.VMID) Action {
@@ -179,7 +179,7 @@
 func (s *sim) taskAction(view *View) Action {
 	rows := sortedRows(view.Tasks)
 	if len(rows) == 0 {
-		return Action{RenewTasks: &RenewTasks{AllBut: true, LeaseUntil: s.now + 1000}}
+		return Action{RenewTasks: &RenewTasks{AllExcept: true, LeaseUntil: s.now + 1000}}
 	}
 	task := rows[s.choose(len(rows))]
 	switch s.choose(8) {
--- a/internal/state/core.go
+++ b/internal/state/core.go
@@ -43,7 +43,7 @@
 	dedup      dedupTable
 	audit      auditTail
 	derived    derived
-	violations []Broken
+	violations []Violation
 }
 
 // head holds the parts of the state that are not rows of a table.
--- a/internal/state/edge_test.go
+++ b/internal/state/edge_test.go
@@ -54,7 +54,7 @@
 		if got := d.machine.View().Jobs["j"].State; got != c.after {
 			t.Errorf("%+v: job is %s", c, got)
 		}
-		is.Equal(d.machine.Broken(), nil)
+		is.Equal(d.machine.Violations(), nil)
 	}
 }
 
@@ -65,14 +65,14 @@
 	is := is.New(t)
 	d := newDriver(t, Rules{})
 	is.Equal(d.act(Action{BeginMove: &BeginMove{VM: "v1", Target: "a"}}), Refusal(""))
-	is.Equal(d.act(Action{Grant: &Grant{VM: "v1", Wave: "w1"}}), Refusal(""))
-	is.True(d.act(Action{Release: &Release{VM: "v1", Generation: 1, Done: true}}) != "") // not soaking yet
+	is.Equal(d.act(Action{GrantPermit: &GrantPermit{VM: "v1", Wave: "w1"}}), Refusal(""))
+	is.True(d.act(Action{ReleasePermit: &ReleasePermit{VM: "v1", Generation: 1, Done: true}}) != "") // not soaking yet
 	is.Equal(d.act(Action{SetPhase: &SetPhase{VM: "v1", Generation: 1, Phase: model.PhaseSoaking}}), Refusal(""))
-	is.True(d.act(Action{Release: &Release{VM: "v1", Generation: 1, Done: true}}) != "") // soaks for 20 ms
+	is.True(d.act(Action{ReleasePermit: &ReleasePermit{VM: "v1", Generation: 1, Done: true}}) != "") // soaks for 20 ms
 	d.at += 20
-	is.Equal(d.act(Action{Release: &Release{VM: "v1", Generation: 1, Done: true}}), Refusal(""))
-	is.Equal(d.act(Action{Grant: &Grant{VM: "v1", Wave: "w1"}}), Refusal("VM v1 went through wave w1"))
-	is.Equal(d.act(Action{Grant: &Grant{VM: "v1", Wave: "w2"}}), Refusal("VM v1 went through wave w2"))
+	is.Equal(d.act(Action{ReleasePermit: &ReleasePermit{VM: "v1", Generation: 1, Done: true}}), Refusal(""))
+	is.Equal(d.act(Action{GrantPermit: &GrantPermit{VM: "v1", Wave: "w1"}}), Refusal("VM v1 went through wave w1"))
+	is.Equal(d.act(Action{GrantPermit: &GrantPermit{VM: "v1", Wave: "w2"}}), Refusal("VM v1 went through wave w2"))
 }
 
 // A command for a forgotten VM must not act on a new VM with the same ID: the
@@ -123,10 +123,10 @@
 func TestDedupTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(t, Rules{})
-	for range CommandMemory {
+	for range MaxDedupEntries {
 		d.apply(Command{ForgetJobs: &ForgetJobs{}})
 	}
-	is.Equal(len(d.machine.core.dedup.byID), CommandMemory)
+	is.Equal(len(d.machine.core.dedup.byID), MaxDedupEntries)
 	_, known := d.machine.core.dedup.lookup("c1")
 	is.True(!known) // the ID of the manifest command, the oldest
 	data, err := d.machine.Snapshot()
@@ -145,7 +145,7 @@
 	is.NoErr(err)
 	d.apply(Command{ForgetJobs: &ForgetJobs{}})
 	before := d.machine.View().Digest
-	is.True(errors.Is(d.machine.Restore(data), ErrStepBack))
+	is.True(errors.Is(d.machine.Restore(data), ErrStaleSnapshot))
 	is.True(d.machine.Restore(data[:len(data)-1]) != nil)
 	edited := bytes.Replace(data, []byte("v1"), []byte("v9"), 2)
 	is.True(errors.Is(NewMachine(Options{}).Restore(edited), ErrSnapshotDigest))
@@ -238,8 +238,8 @@
 		if err != nil {
 			return
 		}
-		if broken := d.machine.Check(); len(broken) > 0 {
-			t.Fatal(broken)
+		if violations := d.machine.Check(); len(violations) > 0 {
+			t.Fatal(violations)
 		}
 		reencoded, err := Encode(c)
 		if err != nil {
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -6,8 +6,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Broken describes the violation of an invariant.
-type Broken struct {
+// Violation describes the violation of an invariant.
+type Violation struct {
 	// Invariant is the name of the invariant.
 	Invariant string `json:"invariant"`
 	// Detail describes what was found.
@@ -20,10 +20,10 @@
 
 // guard records a violation of the invariant if violated is true.
 func (c *core) guard(violated bool, invariant, format string, args ...any) {
-	if !violated || len(c.violations) >= MaxBroken {
+	if !violated || len(c.violations) >= MaxViolations {
 		return
 	}
-	c.violations = append(c.violations, Broken{invariant, fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{invariant, fmt.Sprintf(format, args...)})
 }
 
 func (c *core) guardRevision(a *ApplyManifest) {
--- a/internal/state/limits.go
+++ b/internal/state/limits.go
@@ -25,11 +25,11 @@
 	// MaxText bounds an identifier or reason, in bytes; longer reasons are
 	// truncated.
 	MaxText = 512
-	// CommandMemory bounds the command IDs that are stored with their results to
-	// deduplicate resends.
-	CommandMemory = 8_192
-	// MemoryActions bounds the refusals in these results.
-	MemoryActions = 65_536
+	// MaxDedupEntries bounds the command IDs that are stored with their results
+	// to deduplicate resends.
+	MaxDedupEntries = 8_192
+	// MaxDedupRefusals bounds the refusals in these results.
+	MaxDedupRefusals = 65_536
 	// ManifestHistory bounds the accepted manifests whose digests are stored.
 	ManifestHistory = 64
 	// AuditTail bounds the audit records in the state; the audit files hold
@@ -37,8 +37,8 @@
 	AuditTail = 2_048
 	// MaxAuditRead bounds the records that one read returns.
 	MaxAuditRead = 1_000
-	// MaxBroken bounds the recorded violations of invariants.
-	MaxBroken = 64
+	// MaxViolations bounds the recorded violations of invariants.
+	MaxViolations = 64
 )
 
 const (
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// ErrStepBack means that a snapshot is older than the applied index. Installing
-// it would remove accepted changes from this VM.
-var ErrStepBack = errors.New("state: snapshot is older than the applied state")
+// ErrStaleSnapshot means that a snapshot is older than the applied index.
+// Installing it would remove accepted changes from this VM.
+var ErrStaleSnapshot = errors.New("state: snapshot is older than the applied state")
 
 // Options configures a Machine. Production code uses the zero value.
 type Options struct {
@@ -104,17 +104,17 @@
 	return m.core.audit.read(from, limit)
 }
 
-// Broken returns the invariants that applied changes have violated since the
-// machine was created or restored, at most MaxBroken of them. It is empty unless
-// the program has a fault.
-func (m *Machine) Broken() []Broken {
+// Violations returns the invariants that applied changes have violated since the
+// machine was created or restored, at most MaxViolations of them. It is empty
+// unless the program has a fault.
+func (m *Machine) Violations() []Violation {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return append([]Broken(nil), m.core.violations...)
+	return append([]Violation(nil), m.core.violations...)
 }
 
 // Check checks every invariant of the tables; it reads all rows.
-func (m *Machine) Check() []Broken {
+func (m *Machine) Check() []Violation {
 	view := m.View()
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -149,7 +149,7 @@
 }
 
 // Restore replaces the state with a snapshot, atomically. A snapshot older than
-// the applied index is refused with ErrStepBack.
+// the applied index is refused with ErrStaleSnapshot.
 func (m *Machine) Restore(data []byte) error {
 	restored, err := restoreCore(data, m.options.Rules)
 	if err != nil {
@@ -157,8 +157,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if restored.index < m.core.index && !m.options.Rules.SkipStepBack {
-		return ErrStepBack
+	if restored.index < m.core.index && !m.options.Rules.SkipIndexOrder {
+		return ErrStaleSnapshot
 	}
 	m.core = restored
 	m.notifyChange()
--- a/internal/state/memory.go
+++ b/internal/state/memory.go
@@ -38,7 +38,7 @@
 	t.order = append(t.order, id)
 	t.refusals += len(r.Actions)
 	t.sum += commandHash(h, id)
-	for len(t.order) > CommandMemory || t.refusals > MemoryActions {
+	for len(t.order) > MaxDedupEntries || t.refusals > MaxDedupRefusals {
 		t.evictOldest(h)
 	}
 }
--- a/internal/state/random_test.go
+++ b/internal/state/random_test.go
@@ -65,18 +65,18 @@
 // verify a rule whose absence goes undetected.
 func TestDisabledRulesAreDetected(t *testing.T) {
 	cases := map[string]Rules{
-		"revision":       {SkipRevision: true},
-		"generation":     {SkipGeneration: true},
-		"term":           {SkipTerm: true},
-		"single owner":   {SkipSingleOwner: true},
-		"lease":          {SkipLease: true},
-		"permit":         {SkipPermit: true},
-		"claim once":     {SkipClaimOnce: true},
-		"claim owner":    {SkipClaimOwner: true},
-		"one task":       {SkipOneTask: true},
-		"step back":      {SkipStepBack: true},
-		"command memory": {SkipCommandMemory: true},
-		"cancel":         {SkipCancel: true},
+		"revision":     {SkipRevision: true},
+		"generation":   {SkipGeneration: true},
+		"term":         {SkipTerm: true},
+		"single owner": {SkipSingleOwner: true},
+		"lease":        {SkipLease: true},
+		"permit":       {SkipPermit: true},
+		"claim once":   {SkipClaimOnce: true},
+		"claim owner":  {SkipClaimOwner: true},
+		"one task":     {SkipOneTask: true},
+		"index order":  {SkipIndexOrder: true},
+		"dedup table":  {SkipDedup: true},
+		"cancel":       {SkipCancel: true},
 	}
 	for name, rules := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -23,10 +23,10 @@
 	SkipClaimOwner bool
 	// SkipOneTask starts a second task for a job or an instance.
 	SkipOneTask bool
-	// SkipStepBack applies an index that was applied before.
-	SkipStepBack bool
-	// SkipCommandMemory applies a command ID a second time.
-	SkipCommandMemory bool
+	// SkipIndexOrder applies an index that was applied before.
+	SkipIndexOrder bool
+	// SkipDedup applies a command ID a second time.
+	SkipDedup bool
 	// SkipCancel starts jobs that were cancelled.
 	SkipCancel bool
 }
--- a/internal/state/state_bench_test.go
+++ b/internal/state/state_bench_test.go
@@ -154,7 +154,7 @@
 func BenchmarkStateRenew(b *testing.B) {
 	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		for i := range b.N {
-			f.plan(Action{RenewTasks: &RenewTasks{AllBut: true, LeaseUntil: model.Instant(62_000 + i)}})
+			f.plan(Action{RenewTasks: &RenewTasks{AllExcept: true, LeaseUntil: model.Instant(62_000 + i)}})
 		}
 	})
 }
@@ -246,8 +246,8 @@
 	forSizes(b, func(b *testing.B, f *loader, _ int) {
 		view := f.machine.View()
 		for range b.N {
-			if broken := Check(view); len(broken) > 0 {
-				b.Fatal(broken)
+			if violations := Check(view); len(violations) > 0 {
+				b.Fatal(violations)
 			}
 		}
 	})
--- a/internal/state/world_test.go
+++ b/internal/state/world_test.go
@@ -102,15 +102,15 @@
 }
 
 func (s *sim) checkInvariants() string {
-	if broken := s.machine.Broken(); len(broken) > 0 {
-		return fmt.Sprint("guard: ", broken)
+	if violations := s.machine.Violations(); len(violations) > 0 {
+		return fmt.Sprint("guard: ", violations)
 	}
-	if broken := Check(s.machine.View()); len(broken) > 0 {
-		return fmt.Sprint("check: ", broken)
+	if violations := Check(s.machine.View()); len(violations) > 0 {
+		return fmt.Sprint("check: ", violations)
 	}
 	if len(s.log)%fullCheckInterval == 0 {
-		if broken := s.machine.Check(); len(broken) > 0 {
-			return fmt.Sprint("full check: ", broken)
+		if violations := s.machine.Check(); len(violations) > 0 {
+			return fmt.Sprint("full check: ", violations)
 		}
 	}
 	if s.machine.View().Digest != s.replica.View().Digest {
--- a/internal/wave/grant.go
+++ b/internal/wave/grant.go
@@ -126,7 +126,7 @@
 	reason := fmt.Sprintf("wave %s: no budget forbids it; %d of %d done, %d under way", r.wave.ID, r.done, r.total, len(r.active))
 	rooms.take(v)
 	d.ledger.Take(v)
-	d.add(state.Action{Reason: reason, Grant: &state.Grant{VM: v.ID, Wave: r.wave.ID, BootID: v.Listed.BootID}})
+	d.add(state.Action{Reason: reason, GrantPermit: &state.GrantPermit{VM: v.ID, Wave: r.wave.ID, BootID: v.Listed.BootID}})
 	r.active = append(r.active, v)
 	r.zone = v.Zone
 }
--- a/internal/wave/phase.go
+++ b/internal/wave/phase.go
@@ -126,7 +126,7 @@
 }
 
 func (d *decider) release(v *fleet.VM, done bool, reason string) {
-	d.add(state.Action{Reason: reason, Release: &state.Release{VM: v.ID, Generation: v.Permit.Generation, Done: done}})
+	d.add(state.Action{Reason: reason, ReleasePermit: &state.ReleasePermit{VM: v.ID, Generation: v.Permit.Generation, Done: done}})
 }
 
 func (d *decider) wave(v *fleet.VM) *model.Wave {
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -69,8 +69,8 @@
 func granted(d Decision) []model.VMID {
 	var vms []model.VMID
 	for _, a := range d.Actions {
-		if a.Grant != nil {
-			vms = append(vms, a.Grant.VM)
+		if a.GrantPermit != nil {
+			vms = append(vms, a.GrantPermit.VM)
 		}
 	}
 	return vms
@@ -174,12 +174,12 @@
 				c.seen(s.VMs["v03"])
 			}
 			d := decide(s, Options{Ideas: Chosen()}, Facts{Returned: map[model.VMID]bool{"v03": c.returned}})
-			i := slices.IndexFunc(d.Actions, func(a state.Action) bool { return a.SetPhase != nil || a.Release != nil })
+			i := slices.IndexFunc(d.Actions, func(a state.Action) bool { return a.SetPhase != nil || a.ReleasePermit != nil })
 			switch {
 			case c.next != 0:
 				is.Equal(d.Actions[i].SetPhase.Phase, c.next)
 			case c.released != "":
-				is.Equal(d.Actions[i].Release.Done, c.released == "done")
+				is.Equal(d.Actions[i].ReleasePermit.Done, c.released == "done")
 			default:
 				is.Equal(i, -1)
 			}
@@ -200,7 +200,7 @@
 	d := decide(s, Options{Ideas: Chosen()}, Facts{})
 	is.Equal(d.Undrain, []model.VMID{"v01", "v02"})
 	is.Equal(granted(d), nil)
-	is.Equal(d.Actions[0].Release.VM, model.VMID("v07")) // nothing was sent for it
+	is.Equal(d.Actions[0].ReleasePermit.VM, model.VMID("v07")) // nothing was sent for it
 	is.Equal(len(d.Stops), 0)
 }
 
