--- a/internal/controller/borrow.go
+++ b/internal/controller/borrow.go
@@ -10,10 +10,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// decideBorrow lets shared spares join pools of which a wave could not drain a
-// VM otherwise. A spare carries nothing, so the move relocates no work; fleet
-// gives it back when the pool has more than it needs.
-func (c *Controller) decideBorrow(d *decided) {
+// decideBorrow moves shared spares into pools where the wave could not drain a
+// VM otherwise. A spare runs nothing, so the move relocates no work; package
+// fleet returns it when the pool has more VMs than it needs.
+func (c *Controller) decideBorrow(d *roundDecision) {
 	if !c.config.Wave.Ideas.LargestSet {
 		return
 	}
@@ -22,33 +22,33 @@
 		if p.Size() >= p.Spec.MaxVMs || len(p.Incoming) > 0 {
 			continue
 		}
-		i := slices.IndexFunc(spares, func(v *fleet.VM) bool { return d.wants(p, v) })
+		i := slices.IndexFunc(spares, func(v *fleet.VM) bool { return d.spareHelps(p, v) })
 		if i < 0 {
 			continue
 		}
-		d.lend(spares[i], p)
-		delete(d.unhelped, p.Spec.ID)
+		d.lendSpare(spares[i], p)
+		delete(d.unmetSurges, p.Spec.ID)
 		spares = slices.Delete(spares, i, i+1)
 	}
 }
 
-// wants reports whether a spare in the pool would let its wave go on: any one
-// where the pool has too few VMs, one in a failure domain where another
-// instance helps where it has them in the wrong places.
-func (d *decided) wants(p *fleet.Pool, spare *fleet.VM) bool {
+// spareHelps reports whether a spare in the pool would let its wave continue.
+// If the pool has too few VMs, any spare does; if its VMs are in the wrong
+// failure domains, the spare must be in one where another instance helps.
+func (d *roundDecision) spareHelps(p *fleet.Pool, spare *fleet.VM) bool {
 	if !fleet.Eligible(p.Spec, spare.Listed) {
 		return false
 	}
 	if d.wave.Borrow[p.Spec.ID] {
 		return true
 	}
-	need, some := d.unhelped[p.Spec.ID]
+	need, found := d.unmetSurges[p.Spec.ID]
 	target := d.ix.VM(need.Target)
-	return some && target != nil && d.ledger.Helps(need.Service, target, spare)
+	return found && target != nil && d.ledger.Helps(need.Service, target, spare)
 }
 
-// readySpares lists the spares that can join a pool now, those that are done
-// with the wave first.
+// readySpares returns the spares that can join a pool now, those maintained
+// most recently first.
 func readySpares(ix *fleet.Index) []*fleet.VM {
 	spares := slices.DeleteFunc(slices.Clone(ix.Spares), func(v *fleet.VM) bool { return !fleet.SpareReady(v) })
 	slices.SortStableFunc(spares, func(a, b *fleet.VM) int {
@@ -64,7 +64,7 @@
 	return 0
 }
 
-func (d *decided) lend(v *fleet.VM, p *fleet.Pool) {
+func (d *roundDecision) lendSpare(v *fleet.VM, p *fleet.Pool) {
 	reason := fmt.Sprintf("spare for pool %s while a wave drains its VMs", p.Spec.ID)
 	generation := v.Generation()
 	begin := state.Action{Reason: reason, BeginMove: &state.BeginMove{VM: v.ID, Target: p.Spec.ID, Generation: generation}}
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -12,31 +12,31 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Broken is an invariant that does not hold.
+// Broken is a violated invariant.
 type Broken struct {
 	Invariant string
 	Detail    string
 }
 
-// checker collects what does not hold.
-type checker struct{ broken []Broken }
+// checker collects violated invariants.
+type checker struct{ violations []Broken }
 
 func (k *checker) expect(holds bool, invariant, format string, args ...any) {
 	if !holds {
-		k.broken = append(k.broken, Broken{invariant, fmt.Sprintf(format, args...)})
+		k.violations = append(k.violations, Broken{invariant, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Check returns the invariants that do not hold between the state and what
-// the platform lists:
+// Check returns the invariants that are violated between the state and the
+// platform's list:
 //
-//   - permit-before-drain: a VM that our command drained has the permit of
+//   - permit-before-drain: a VM that a controller drained has the permit of
 //     that command;
-//   - reboot-by-permit: a VM that our command rebooted has a permit in the
-//     phase for it, or a later one.
+//   - reboot-by-permit: a VM that a controller rebooted has a permit in the
+//     rebooting phase or a later one.
 //
-// VMs that a controller of a later term commanded are left out: their permits
-// may not have reached this view.
+// VMs commanded by a controller of a later term are skipped: their permits may
+// not have reached this view.
 func Check(view *state.View, vms map[model.VMID]platform.VMReport) []Broken {
 	k := &checker{}
 	for id, r := range vms {
@@ -52,14 +52,14 @@
 			k.expect(permit.Phase >= model.PhaseRebooting, "reboot-by-permit", "VM %s was rebooted in phase %d", id, permit.Phase)
 		}
 	}
-	return k.broken
+	return k.violations
 }
 
-// CheckCommands returns the invariants that commands break:
+// CheckCommands returns the invariants that commands violate:
 //
 //   - commit-before-command: every command follows from a committed record;
-//   - one-reboot-a-permit: a reboot names the boot that the permit names;
-//   - lease-committed: no lease goes to a worker that was not committed.
+//   - one-reboot-a-permit: a reboot names the boot ID that the permit names;
+//   - lease-committed: no lease is sent to a worker before it is committed.
 func CheckCommands(view *state.View, commands []platform.Command) []Broken {
 	k := &checker{}
 	for i := range commands {
@@ -78,7 +78,7 @@
 			k.expect(t == nil || c.LeaseUntil <= t.LeaseUntil, "lease-committed", "task %s", c.Task)
 		}
 	}
-	return k.broken
+	return k.violations
 }
 
 func (k *checker) vmCommand(view *state.View, c *platform.Command) {
@@ -99,116 +99,117 @@
 }
 
 // CheckBudgets returns the services that the round's planned actions take
-// below their budgets: what is left must not be below 0 for any service that
-// loses an instance on purpose (budget-kept). It opens the account anew, with
-// every rule on.
+// below their budgets: the remainder must not be negative for any service that
+// a planned action costs an instance (budget-kept). It computes the budgets
+// again from the snapshot, with every rule on.
 func CheckBudgets(snap *fleet.Snapshot, o budget.Options, planned []state.Action) []Broken {
 	o.Rules = budget.Rules{}
 	ix := fleet.NewIndex(snap)
 	ledger := budget.NewLedger(ix, o)
-	hit := map[model.ServiceID]bool{}
+	affected := map[model.ServiceID]bool{}
 	for i := range planned {
-		if v := takenVM(ix, &planned[i]); v != nil {
-			markServices(v, ix, hit)
+		if v := disruptedVM(ix, &planned[i]); v != nil {
+			markAvailableServices(v, ix, affected)
 			ledger.Take(v)
 		}
 	}
 	k := &checker{}
 	for _, s := range ix.Services {
 		left := ledger.Left(s.Spec.ID)
-		k.expect(!hit[s.Spec.ID] || left >= 0, "budget-kept", "service %s has %d left after a planned step", s.Spec.ID, left)
+		k.expect(!affected[s.Spec.ID] || left >= 0, "budget-kept", "service %s has %d left after a planned step", s.Spec.ID, left)
 	}
-	return k.broken
+	return k.violations
 }
 
-// takenVM is the VM that an action takes out on purpose, nil for none.
-func takenVM(ix *fleet.Index, a *state.Action) *fleet.VM {
+// disruptedVM returns the VM that an action takes out of service, nil for none.
+func disruptedVM(ix *fleet.Index, a *state.Action) *fleet.VM {
 	switch {
 	case a.GrantPermit != nil:
 		return ix.VM(a.GrantPermit.VM)
 	case a.BeginMove != nil && a.BeginMove.Generation > 0:
-		return stillThere(ix.VM(a.BeginMove.VM))
+		return unlessMoving(ix.VM(a.BeginMove.VM))
 	default:
 		return nil
 	}
 }
 
-// stillThere leaves out a VM that was moving before: another target takes
-// nothing more, and back to its pool it takes nothing.
-func stillThere(v *fleet.VM) *fleet.VM {
+// unlessMoving returns nil for a VM that was already moving: sending it to
+// another target, or back to its pool, costs no further instances.
+func unlessMoving(v *fleet.VM) *fleet.VM {
 	if v != nil && v.Moving() {
 		return nil
 	}
 	return v
 }
 
-func markServices(v *fleet.VM, ix *fleet.Index, hit map[model.ServiceID]bool) {
+func markAvailableServices(v *fleet.VM, ix *fleet.Index, marked map[model.ServiceID]bool) {
 	for _, t := range v.Tasks {
 		if t.Service != "" && ix.InstanceAvailable(t) {
-			hit[t.Service] = true
+			marked[t.Service] = true
 		}
 	}
 }
 
-// checkDecided checks a round's decisions before they are committed.
-func (c *Controller) checkDecided(d *decided) {
-	var broken []Broken
+// checkDecision checks a round's decisions before they are committed.
+func (c *Controller) checkDecision(d *roundDecision) {
+	var violations []Broken
 	for _, b := range d.ix.Broken() {
-		broken = append(broken, Broken(b))
+		violations = append(violations, Broken(b))
 	}
-	c.report(broken)
-	taken := false
+	c.reportViolations(violations)
+	disrupts := false
 	for i := range d.actions {
-		taken = taken || d.actions[i].GrantPermit != nil || d.actions[i].BeginMove != nil
+		disrupts = disrupts || d.actions[i].Grant != nil || d.actions[i].BeginMove != nil
 	}
-	if taken {
-		c.report(CheckBudgets(d.ix.Snap, c.budgetOptions(d.at), d.actions))
+	if disrupts {
+		c.reportViolations(CheckBudgets(d.ix.Snap, c.budgetOptions(d.at), d.actions))
 	}
 }
 
 func (c *Controller) checkCommands(view *state.View, commands []platform.Command) {
-	c.report(CheckCommands(view, commands))
-	c.report(Check(view, c.soft.world.vms))
+	c.reportViolations(CheckCommands(view, commands))
+	c.reportViolations(Check(view, c.softState.observed.vms))
 }
 
-// checkState checks the tables of the state, which reads every row: once a
-// minute is enough to notice, and cheap at any size.
+// checkState checks the tables of the state. It reads every row, so it runs
+// once per stateCheckInterval, which is cheap at any size.
 func (c *Controller) checkState() {
 	now := c.config.Clock()
-	if now.Sub(c.checked) < checkEvery {
+	if now.Sub(c.lastStateCheck) < stateCheckInterval {
 		return
 	}
-	c.checked = now
-	var broken []Broken
+	c.lastStateCheck = now
+	var violations []Broken
 	for _, b := range state.Check(c.config.Log.View()) {
-		broken = append(broken, Broken{b.Invariant, b.Detail})
+		violations = append(violations, Broken{b.Invariant, b.Detail})
 	}
-	c.report(broken)
+	c.reportViolations(violations)
 }
 
-// checkEvery is the time between two checks of the whole state.
-const checkEvery = time.Minute
+// stateCheckInterval is the time between two checks of the whole state.
+const stateCheckInterval = time.Minute
 
-// report counts broken invariants, and logs those that are new.
-func (c *Controller) report(broken []Broken) {
+// reportViolations counts violated invariants and logs those that are new.
+func (c *Controller) reportViolations(violations []Broken) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, b := range broken {
-		c.counts.broken(b.Invariant)
-		if len(c.broken) >= maxBroken || slices.Contains(c.broken, b) {
+	for _, b := range violations {
+		c.counters.countViolation(b.Invariant)
+		if len(c.violations) >= maxViolations || slices.Contains(c.violations, b) {
 			continue
 		}
-		c.broken = append(c.broken, b)
+		c.violations = append(c.violations, b)
 		c.config.Logger.WithField("invariant", b.Invariant).Error("controller: " + b.Detail)
 	}
 }
 
-// maxBroken bounds the broken invariants that are remembered.
-const maxBroken = 64
+// maxViolations bounds the violations that are kept.
+const maxViolations = 64
 
-// Broken returns the invariants that broke since the start, at most 64.
+// Broken returns the invariants violated since the start, at most
+// maxViolations.
 func (c *Controller) Broken() []Broken {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Broken(nil), c.broken...)
+	return append([]Broken(nil), c.violations...)
 }
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -12,35 +12,36 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// commander derives the commands that bring the platform to what the
-// committed state says. It only reads state and world: what an earlier leader
-// sent does not matter.
+// commander derives the commands that bring the platform to the committed
+// state. It reads only the committed and the observed state: which commands an
+// earlier leader sent does not matter.
 type commander struct {
-	c    *Controller
-	view *state.View
-	w    *world
-	now  model.Instant
-	out  []platform.Command
-	asks []model.TaskID
+	controller *Controller
+	view       *state.View
+	observed   *observedState
+	now        model.Instant
+	commands   []platform.Command
+	// queries are the tasks whose outcome to query from the platform.
+	queries []model.TaskID
 }
 
-// command sends what follows from the committed state. It reports whether
-// anything is under way.
+// command sends the commands that follow from the committed state. It reports
+// whether any command or query is needed.
 func (c *Controller) command(ctx context.Context) bool {
-	m := &commander{c: c, view: c.config.Log.View(), w: c.soft.world, now: c.config.Clock()}
+	m := &commander{controller: c, view: c.config.Log.View(), observed: c.softState.observed, now: c.config.Clock()}
 	for _, p := range sortedPermits(m.view) {
-		if v := m.w.listed[p.VM]; v != nil {
+		if v := m.observed.listed[p.VM]; v != nil {
 			m.forPermit(p, v)
 		}
 	}
-	m.ungranted()
-	for _, t := range sortedTasks(m.view, m.unsettled) {
+	m.drainUncommitted()
+	for _, t := range sortedTasks(m.view, m.diverged) {
 		m.forTask(t)
 	}
-	m.renew(sortedTasks(m.view, m.toRenew))
-	c.ask(ctx, m.asks)
+	m.addRenewals(sortedTasks(m.view, m.needsRenewal))
+	c.queryTasks(ctx, m.queries)
 	c.send(ctx, m)
-	return len(m.out)+len(m.asks) > 0
+	return len(m.commands)+len(m.queries) > 0
 }
 
 func sortedPermits(view *state.View) []*model.Permit {
@@ -59,88 +60,89 @@
 	case model.PhaseRebooting:
 		m.reboot(p, v)
 	case model.PhaseSoaking:
-		if v.Drained && wave.Soaked(m.now, m.view.Site, v, p, m.c.config.Wave) {
-			m.vm(platform.Return, p, "")
+		if v.Drained && wave.Soaked(m.now, m.view.Site, v, p, m.controller.config.Wave) {
+			m.addVMCommand(platform.Return, p, "")
 		}
 	}
 }
 
 func (m *commander) drain(p *model.Permit, v *model.VM) {
 	switch {
-	case m.c.soft.undrain[v.ID]:
-		if f := m.w.vms[v.ID].Fence; f.Generation == p.Generation && f.Step < platform.Undrain.Step() || v.Drained {
-			m.vm(platform.Undrain, p, "")
+	case m.controller.softState.undrain[v.ID]:
+		if f := m.observed.vms[v.ID].Fence; f.Generation == p.Generation && f.Step < platform.Undrain.Step() || v.Drained {
+			m.addVMCommand(platform.Undrain, p, "")
 		}
 	case !v.Drained:
-		m.vm(platform.Drain, p, "")
+		m.addVMCommand(platform.Drain, p, "")
 	}
 }
 
-// reboot commands a reboot while the VM still shows the boot that the permit
-// names. A VM that shows another boot was rebooted, by whoever.
+// reboot commands a reboot while the VM still shows the boot ID that the permit
+// names. A VM that shows another boot ID has been rebooted, whatever the cause.
 func (m *commander) reboot(p *model.Permit, v *model.VM) {
 	if v.Health != model.VMUp {
 		return
 	}
-	if v.BootID != p.BootID && !m.c.config.Rules.Wave.IgnoreBoot {
+	if v.BootID != p.BootID && !m.controller.config.Rules.Wave.IgnoreBoot {
 		return
 	}
-	m.vm(platform.Reboot, p, v.BootID)
+	m.addVMCommand(platform.Reboot, p, v.BootID)
 }
 
-// vm adds a command for a VM. Its ID names the observation that it answers
-// to, so that a resend has the same ID until the platform shows a change.
-func (m *commander) vm(kind platform.Kind, p *model.Permit, bootID string) {
-	id := fmt.Sprintf("%s/%s/%d/%d", kind, p.VM, p.Generation, m.w.vms[p.VM].Revision)
+// addVMCommand adds a command for a VM. Its ID contains the revision of the
+// observed VM, so that a resend has the same ID until the platform reports a
+// change.
+func (m *commander) addVMCommand(kind platform.Kind, p *model.Permit, bootID string) {
+	id := fmt.Sprintf("%s/%s/%d/%d", kind, p.VM, p.Generation, m.observed.vms[p.VM].Revision)
 	if kind == platform.Reboot {
-		id = fmt.Sprintf("%s/%s/%d/%s/%d", kind, p.VM, p.Generation, bootID, m.c.soft.attempts[p.VM])
+		id = fmt.Sprintf("%s/%s/%d/%s/%d", kind, p.VM, p.Generation, bootID, m.controller.softState.rebootAttempts[p.VM])
 	}
 	m.add(platform.Command{
 		ID: model.CommandID(id), Kind: kind, VM: p.VM, BootID: bootID,
-		Fence: platform.Fence{Term: m.c.term, Generation: p.Generation, Step: kind.Step()},
+		Fence: platform.Fence{Term: m.controller.term, Generation: p.Generation, Step: kind.Step()},
 	})
 }
 
-// ungranted drains VMs whose permit may not be committed; only a test
-// switches this on.
-func (m *commander) ungranted() {
-	for _, id := range m.c.soft.ungranted {
-		if m.w.listed[id] == nil || m.view.Permits[id] != nil {
+// drainUncommitted drains VMs whose permit may not be committed. Only tests
+// enable it, by Rules.SkipCommit.
+func (m *commander) drainUncommitted() {
+	for _, id := range m.controller.softState.uncommittedGrants {
+		if m.observed.listed[id] == nil || m.view.Permits[id] != nil {
 			continue
 		}
-		fence := m.w.vms[id].Fence
+		fence := m.observed.vms[id].Fence
 		fence.Generation++
 		fence.Step = platform.Drain.Step()
-		fence.Term = m.c.term
+		fence.Term = m.controller.term
 		m.add(platform.Command{ID: model.CommandID(fmt.Sprintf("drain/%s/ungranted/%d", id, m.now)), Kind: platform.Drain, VM: id, Fence: fence})
 	}
-	m.c.soft.ungranted = nil
+	m.controller.softState.uncommittedGrants = nil
 }
 
-// unsettled reports whether a task is not as the state wants it, or nothing is
-// known of it.
-func (m *commander) unsettled(t *model.Task) bool {
-	report, known := m.w.tasks[t.ID]
-	return !known || t.State != model.TaskRunning || report.Throttled != t.Throttled || m.w.missing[t.ID]
+// diverged reports whether a task's observed state differs from the desired
+// one, or is unknown.
+func (m *commander) diverged(t *model.Task) bool {
+	report, known := m.observed.tasks[t.ID]
+	return !known || t.State != model.TaskRunning || report.Throttled != t.Throttled || m.observed.missing[t.ID]
 }
 
-// toRenew reports whether the platform has not confirmed the committed lease
-// of a running task.
-func (m *commander) toRenew(t *model.Task) bool {
-	if m.w.renewed[t.ID] >= t.LeaseUntil || t.LeaseUntil <= m.now || t.State == model.TaskStopping {
+// needsRenewal reports whether the platform has not yet confirmed the committed
+// lease of a running task.
+func (m *commander) needsRenewal(t *model.Task) bool {
+	if m.observed.confirmedLeases[t.ID] >= t.LeaseUntil || t.LeaseUntil <= m.now || t.State == model.TaskStopping {
 		return false
 	}
-	report, known := m.w.tasks[t.ID]
-	return known && report.Ended == "" && !m.w.missing[t.ID]
+	report, known := m.observed.tasks[t.ID]
+	return known && report.Ended == "" && !m.observed.missing[t.ID]
 }
 
 func (m *commander) forTask(t *model.Task) {
-	report, known := m.w.tasks[t.ID]
+	report, known := m.observed.tasks[t.ID]
 	if known && report.Ended != "" {
 		return
 	}
-	if m.w.missing[t.ID] || !known && t.State != model.TaskStarting {
-		m.asks = append(m.asks, t.ID)
+	if m.observed.missing[t.ID] || !known && t.State != model.TaskStarting {
+		m.queries = append(m.queries, t.ID)
 	}
 	switch t.State {
 	case model.TaskStarting:
@@ -153,13 +155,13 @@
 	}
 	if known && report.Throttled != t.Throttled {
 		id := fmt.Sprintf("throttle/%s/%t/%d", t.ID, t.Throttled, report.Revision)
-		m.task(platform.Throttle, t, id).Throttled = t.Throttled
+		m.addTaskCommand(platform.Throttle, t, id).Throttled = t.Throttled
 	}
 }
 
 func (m *commander) start(t *model.Task) {
 	if t.LeaseUntil <= m.now {
-		m.asks = append(m.asks, t.ID)
+		m.queries = append(m.queries, t.ID)
 		return
 	}
 	spec := platform.TaskSpec{Worker: t.Worker, Service: t.Service, Ordinal: t.Ordinal, Job: t.Job, Size: t.Size, Priority: t.Priority.String()}
@@ -168,39 +170,40 @@
 	} else if owner := m.view.Owners[t.VM]; owner != nil {
 		spec.Pool = owner.Pool
 	}
-	c := m.task(platform.Start, t, "start/"+string(t.ID))
+	c := m.addTaskCommand(platform.Start, t, "start/"+string(t.ID))
 	c.Spec = &spec
 	c.LeaseUntil = t.LeaseUntil
 }
 
-// stop ends a task. A job that can be checkpointed goes on elsewhere from
-// there, unless it was cancelled.
+// stop ends a task. A job that supports checkpoints is checkpointed, so that it
+// can resume elsewhere, unless it was cancelled.
 func (m *commander) stop(t *model.Task) {
 	kind := platform.Stop
 	if job := m.view.Jobs[t.Job]; job != nil && job.Spec.Checkpoints && !job.Cancelled {
 		kind = platform.Checkpoint
 	}
-	m.task(kind, t, fmt.Sprintf("%s/%s/%d", kind, t.ID, m.w.tasks[t.ID].Revision))
+	m.addTaskCommand(kind, t, fmt.Sprintf("%s/%s/%d", kind, t.ID, m.observed.tasks[t.ID].Revision))
 }
 
-func (m *commander) task(kind platform.Kind, t *model.Task, id string) *platform.Command {
+func (m *commander) addTaskCommand(kind platform.Kind, t *model.Task, id string) *platform.Command {
 	generation := t.Generation
 	if owner := m.view.Owners[t.VM]; owner != nil && kind == platform.Start {
 		generation = owner.Generation
 	}
 	return m.add(platform.Command{
 		ID: model.CommandID(id), Kind: kind, VM: t.VM, Task: t.ID,
-		Fence: platform.Fence{Term: m.c.term, Generation: generation},
+		Fence: platform.Fence{Term: m.controller.term, Generation: generation},
 	})
 }
 
 func (m *commander) add(c platform.Command) *platform.Command {
-	m.out = append(m.out, c)
-	return &m.out[len(m.out)-1]
+	m.commands = append(m.commands, c)
+	return &m.commands[len(m.commands)-1]
 }
 
-// renew tells the platform the committed leases that it has not confirmed.
-func (m *commander) renew(tasks []*model.Task) {
+// addRenewals adds commands for the committed leases that the platform has not
+// confirmed.
+func (m *commander) addRenewals(tasks []*model.Task) {
 	byLease := map[model.Instant][]model.TaskID{}
 	var leases []model.Instant
 	for _, t := range tasks {
@@ -210,11 +213,11 @@
 		byLease[t.LeaseUntil] = append(byLease[t.LeaseUntil], t.ID)
 	}
 	for _, until := range leases {
-		m.c.soft.renews++
+		m.controller.softState.renewals++
 		m.add(platform.Command{
-			ID:   model.CommandID(fmt.Sprintf("renew/%s/%d/%d", m.c.config.Self, m.c.term, m.c.soft.renews)),
+			ID:   model.CommandID(fmt.Sprintf("renew/%s/%d/%d", m.controller.config.Self, m.controller.term, m.controller.softState.renewals)),
 			Kind: platform.Renew, Tasks: byLease[until], LeaseUntil: until,
-			Fence: platform.Fence{Term: m.c.term},
+			Fence: platform.Fence{Term: m.controller.term},
 		})
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,35 +23,35 @@
 const (
 	// DefaultInterval is the time between two rounds.
 	DefaultInterval = time.Second
-	// DefaultLease is how long a task's lease lasts. A platform that can't be
-	// reached for as long loses every task; a failed worker's job waits as
-	// long before it starts elsewhere.
+	// DefaultLease is how long a task's lease lasts. If the platform can't be
+	// reached for that long, every task is lost; the job of a failed worker
+	// waits that long before it starts elsewhere.
 	DefaultLease = time.Minute
-	// DefaultStaleAfter is how old the platform's list may be before nothing
-	// is taken out on purpose any more.
+	// DefaultStaleAfter is how old the platform's list may be before planned
+	// disruptions are suspended.
 	DefaultStaleAfter = 15 * time.Second
 )
 
 // Rules switches single safety rules off. The zero value has every rule on
-// and is the only one that the product uses; tests switch a rule off to see
-// that the invariants notice.
+// and is the only value used in production; tests switch a rule off to verify
+// that the invariants detect it.
 type Rules struct {
 	Budget budget.Rules
 	Wave   wave.Rules
-	// SkipLeaseWait ends a task as lapsed as soon as its VM does not answer.
+	// SkipLeaseWait ends a task as lapsed as soon as its VM is not up.
 	SkipLeaseWait bool
-	// SkipCommit sends the commands of a plan whether it was committed or not.
+	// SkipCommit sends the commands of a plan even if it was not committed.
 	SkipCommit bool
 }
 
-// Config sets up a Controller. Log, Platform and Self are needed; other zero
-// fields take their default.
+// Config configures a Controller. Log, Platform and Self are required; other
+// zero fields take their default.
 type Config struct {
 	Self     model.NodeID
 	Region   model.RegionID
 	Log      state.Log
 	Platform platform.Client
-	// Serving returns the instances that announced themselves as serving.
+	// Serving returns the instances that have announced that they serve.
 	Serving func() map[model.TaskID]bool
 	// Clock returns the time. Default: the system's clock.
 	Clock func() model.Instant
@@ -59,18 +59,19 @@
 	Interval time.Duration
 	// Lease is how long task leases last. Default DefaultLease.
 	Lease time.Duration
-	// StaleAfter bounds the age of the platform's list. Default DefaultStaleAfter.
+	// StaleAfter is the age at which the platform's list counts as stale.
+	// Default DefaultStaleAfter.
 	StaleAfter time.Duration
-	// RebootTimeout is how long a VM may show its old boot after a reboot was
-	// accepted before the reboot is commanded anew. Default 5 min.
+	// RebootTimeout is how long a VM may show its old boot ID after a reboot
+	// was accepted before the reboot is commanded again. Default 5 min.
 	RebootTimeout time.Duration
-	// RepairSoak is how long a VM that came back by itself does not count as
+	// RepairSoak is how long a VM that recovered by itself does not count as
 	// available. Default budget.DefaultSoak.
 	RepairSoak time.Duration
 	Fleet      fleet.Options
 	Placement  placement.Options
 	Health     health.Options
-	// Wave bounds waves. The product sets Wave.Ideas to wave.Chosen().
+	// Wave configures waves. Production sets Wave.Ideas to wave.Chosen().
 	Wave    wave.Options
 	Metrics metrics.Registry
 	Logger  log.Interface
@@ -103,59 +104,60 @@
 }
 
 // Controller is the leader's reconcile loop. Step and Run must not be called
-// at the same time; Status may be called at any time.
+// concurrently; Status may be called at any time.
 type Controller struct {
-	config Config
-	counts counts
-	// term is the term that this controller began; 0 for none.
-	term  uint64
-	soft  *soft
-	plans uint64
-	// checked is when the whole state was checked last.
-	checked model.Instant
+	config   Config
+	counters counters
+	// term is the term whose start this controller committed; 0 for none.
+	term      uint64
+	softState *softState
+	plans     uint64
+	// lastStateCheck is when the whole state was last checked.
+	lastStateCheck model.Instant
 
 	mu sync.Mutex
-	// last is the last round, nil before the first.
-	last   *decided
-	broken []Broken
+	// lastRound is nil before the first round.
+	lastRound  *roundDecision
+	violations []Broken
 }
 
-// soft is what a leader learns anew: it may be lost at any time without harm.
-type soft struct {
-	world     *world
-	sent      map[model.CommandID]sent
-	sizes     *estimate.Estimator
-	runtimes  *runtimes
-	history   *health.History
-	undrain   map[model.VMID]bool
-	ungranted []model.VMID
-	attempts  map[model.VMID]int
-	renews    uint64
-	// settled says that the last round found nothing to do; seen is what it
-	// looked at.
-	settled bool
-	seen    lastSeen
+// softState is what each leader learns again: it is not replicated and may be
+// lost at any time.
+type softState struct {
+	observed          *observedState
+	sent              map[model.CommandID]sentCommand
+	sizes             *estimate.Estimator
+	runtimes          *runtimes
+	history           *health.History
+	undrain           map[model.VMID]bool
+	uncommittedGrants []model.VMID
+	rebootAttempts    map[model.VMID]int
+	renewals          uint64
+	// idle is set when the last round found nothing to do; lastInputs is what
+	// that round read.
+	idle       bool
+	lastInputs roundInputs
 }
 
-func newSoft() *soft {
-	return &soft{
-		world:    newWorld(),
-		sent:     map[model.CommandID]sent{},
-		sizes:    estimate.NewEstimator(),
-		runtimes: newRuntimes(),
-		history:  health.NewHistory(),
-		attempts: map[model.VMID]int{},
+func newSoftState() *softState {
+	return &softState{
+		observed:       newObservedState(),
+		sent:           map[model.CommandID]sentCommand{},
+		sizes:          estimate.NewEstimator(),
+		runtimes:       newRuntimes(),
+		history:        health.NewHistory(),
+		rebootAttempts: map[model.VMID]int{},
 	}
 }
 
-// New returns a controller that has done nothing yet.
+// New returns a controller that has not taken a round.
 func New(c Config) *Controller {
 	c = c.withDefaults()
-	return &Controller{config: c, counts: newCounts(c.Metrics), soft: newSoft()}
+	return &Controller{config: c, counters: newCounters(c.Metrics), softState: newSoftState()}
 }
 
 // Run takes a round at every interval while this node is the leader, until
-// ctx ends.
+// ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.Interval)
 	defer ticker.Stop()
@@ -172,7 +174,7 @@
 func (c *Controller) round(ctx context.Context) {
 	err := c.Step(ctx)
 	if err != nil && ctx.Err() == nil {
-		c.counts.failedRounds.Inc(1)
+		c.counters.failedRounds.Inc(1)
 		c.config.Logger.WithError(err).Debug("controller: round failed")
 	}
 }
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -2,52 +2,53 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counts are the controller's counters.
-type counts struct {
+// counters holds the controller's metrics.
+type counters struct {
 	registry metrics.Registry
-	failedRounds, quiet, actions, refused, heldMoves,
-	commands, refusedCommands, notRun, unknown, unobserved metrics.Counter
-	// permits, leastLeft and stale are gauges of the last full round:
-	// leastLeft is what is left of the budget that has least.
+	failedRounds, skippedRounds, actions, refusedActions, heldMoves,
+	commands, refusedCommands, commandsNotRun, commandsUnknown, failedObservations metrics.Counter
+	// permits, leastLeft and stale are gauges of the last full round.
+	// leastLeft is the smallest remainder of any service's budget.
 	permits, leastLeft, stale metrics.Gauge
 }
 
-func newCounts(r metrics.Registry) counts {
+func newCounters(r metrics.Registry) counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("controller."+name, r) }
 	gauge := func(name string) metrics.Gauge { return metrics.GetOrRegisterGauge("controller."+name, r) }
-	return counts{
-		permits:         gauge("permits"),
-		leastLeft:       gauge("budget.least_left"),
-		stale:           gauge("platform.stale"),
-		registry:        r,
-		failedRounds:    counter("rounds.failed"),
-		quiet:           counter("rounds.quiet"),
-		actions:         counter("actions"),
-		refused:         counter("actions.refused"),
-		heldMoves:       counter("moves.held"),
-		commands:        counter("commands"),
-		refusedCommands: counter("commands.refused"),
-		notRun:          counter("commands.not_run"),
-		unknown:         counter("commands.unknown"),
-		unobserved:      counter("platform.unobserved"),
+	return counters{
+		permits:            gauge("permits"),
+		leastLeft:          gauge("budget.least_left"),
+		stale:              gauge("platform.stale"),
+		registry:           r,
+		failedRounds:       counter("rounds.failed"),
+		skippedRounds:      counter("rounds.quiet"),
+		actions:            counter("actions"),
+		refusedActions:     counter("actions.refused"),
+		heldMoves:          counter("moves.held"),
+		commands:           counter("commands"),
+		refusedCommands:    counter("commands.refused"),
+		commandsNotRun:     counter("commands.not_run"),
+		commandsUnknown:    counter("commands.unknown"),
+		failedObservations: counter("platform.unobserved"),
 	}
 }
 
-// observed counts a failed observation and reports whether there is one.
-func (c *counts) observed(err error) bool {
+// observationSucceeded reports whether an observation succeeded, and counts it
+// if it failed.
+func (c *counters) observationSucceeded(err error) bool {
 	if err != nil {
-		c.unobserved.Inc(1)
+		c.failedObservations.Inc(1)
 	}
 	return err == nil
 }
 
-// broken counts a broken invariant under its name.
-func (c *counts) broken(invariant string) {
+// countViolation counts a violated invariant under its name.
+func (c *counters) countViolation(invariant string) {
 	metrics.GetOrRegisterCounter("invariant.broken."+invariant, c.registry).Inc(1)
 }
 
-// measure sets the gauges.
-func (c *counts) measure(d *decided) {
+// setGauges updates the gauges from a round.
+func (c *counters) setGauges(d *roundDecision) {
 	c.permits.Update(int64(len(d.ix.Snap.View.Permits)))
 	c.leastLeft.Update(int64(d.ledger.LeastLeft()))
 	c.stale.Update(0)
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// decided is the outcome of one round of decisions.
-type decided struct {
+// roundDecision collects the decisions of one round.
+type roundDecision struct {
 	at      model.Instant
 	term    uint64
 	stale   bool
@@ -24,20 +24,21 @@
 	spared  []health.Spared
 	actions []state.Action
 	stopped map[model.TaskID]bool
-	// uneven are the services of which an instance has to move.
-	uneven map[model.ServiceID]bool
-	// lost counts the instances of each service whose VM failed.
-	lost map[model.ServiceID]int
-	// unhelped are the surges for which no VM of the pool helps.
-	unhelped map[model.PoolID]wave.Surge
-	// heldMoves are the VMs whose move to another pool a budget forbids now.
+	// unevenServices are the services of which an instance has to move to even
+	// out their spread.
+	unevenServices map[model.ServiceID]bool
+	// lostInstances counts, by service, the instances whose VM failed.
+	lostInstances map[model.ServiceID]int
+	// unmetSurges are the surges for which no VM of the pool is useful.
+	unmetSurges map[model.PoolID]wave.Surge
+	// heldMoves are the VMs whose move to another pool a budget currently forbids.
 	heldMoves []*fleet.VM
 }
 
-func (d *decided) add(actions ...state.Action) { d.actions = append(d.actions, actions...) }
+func (d *roundDecision) add(actions ...state.Action) { d.actions = append(d.actions, actions...) }
 
-// granted lists the VMs for which the round grants a permit.
-func (d *decided) granted() []model.VMID {
+// grantedVMs returns the VMs for which the round grants a permit.
+func (d *roundDecision) grantedVMs() []model.VMID {
 	var vms []model.VMID
 	for i := range d.actions {
 		if g := d.actions[i].GrantPermit; g != nil {
@@ -48,16 +49,16 @@
 }
 
 func (c *Controller) snapshot() *fleet.Snapshot {
-	w := c.soft.world
+	observed := c.softState.observed
 	return &fleet.Snapshot{
 		Now:     c.config.Clock(),
 		View:    c.config.Log.View(),
-		VMs:     w.listed,
+		VMs:     observed.listed,
 		Serving: c.config.Serving(),
 		Region:  c.config.Region,
 		Lease:   c.config.Lease,
-		Usage:   w.usage,
-		Absent:  w.absent,
+		Usage:   observed.usage,
+		Absent:  observed.absent,
 	}
 }
 
@@ -65,41 +66,41 @@
 	return budget.Options{Soak: c.config.RepairSoak, Stale: c.stale(now), Rules: c.config.Rules.Budget}
 }
 
-// decide takes all decisions of a round in their order; each sees what the
-// ones before it decided.
-func (c *Controller) decide() *decided {
+// decide takes all decisions of a round in order; each sees the result of the
+// earlier ones.
+func (c *Controller) decide() *roundDecision {
 	snap := c.snapshot()
-	d := &decided{at: snap.Now, term: c.term, stale: c.stale(snap.Now), ix: fleet.NewIndex(snap), stopped: map[model.TaskID]bool{}, uneven: map[model.ServiceID]bool{}, unhelped: map[model.PoolID]wave.Surge{}, lost: map[model.ServiceID]int{}}
-	d.add(c.settle(d.ix)...)
+	d := &roundDecision{at: snap.Now, term: c.term, stale: c.stale(snap.Now), ix: fleet.NewIndex(snap), stopped: map[model.TaskID]bool{}, unevenServices: map[model.ServiceID]bool{}, unmetSurges: map[model.PoolID]wave.Surge{}, lostInstances: map[model.ServiceID]int{}}
+	d.add(c.decideReportedTasks(d.ix)...)
 	d.ledger = budget.NewLedger(d.ix, c.budgetOptions(snap.Now))
 	if d.stale {
-		// Nothing is known for sure: only leases that lapsed are ended.
-		d.add(c.leases(d.ix)...)
+		// The list is too old to decide by: only leases are ended and renewed.
+		d.add(c.decideLeases(d.ix)...)
 		return d
 	}
 	c.decideHealth(d)
 	c.decideFleet(d)
 	c.decideWave(d)
-	c.respread(d)
+	c.rebalance(d)
 	c.decidePlacement(d)
-	c.checkDecided(d)
+	c.checkDecision(d)
 	return d
 }
 
-func (c *Controller) decideHealth(d *decided) {
-	actions, spared := health.Decide(d.ix, c.soft.history, c.config.Health)
+func (c *Controller) decideHealth(d *roundDecision) {
+	actions, spared := health.Decide(d.ix, c.softState.history, c.config.Health)
 	d.spared = spared
 	d.add(actions...)
 }
 
-// decideFleet takes the moves between pools that the budgets allow: a VM that
-// leaves its pool takes its instances with it, like one under maintenance.
-func (c *Controller) decideFleet(d *decided) {
+// decideFleet adds the moves between pools that the budgets allow: a VM that
+// leaves its pool loses its instances, like a VM under maintenance.
+func (c *Controller) decideFleet(d *roundDecision) {
 	options := c.config.Fleet
-	options.Sizes = c.soft.sizes
+	options.Sizes = c.softState.sizes
 	options.MayMove = func(v *fleet.VM) bool {
 		if ok, _ := d.ledger.MayTake(v); !ok {
-			c.counts.heldMoves.Inc(1)
+			c.counters.heldMoves.Inc(1)
 			d.heldMoves = append(d.heldMoves, v)
 			return false
 		}
@@ -109,21 +110,21 @@
 	d.add(fleet.Decide(d.ix, options)...)
 }
 
-func (c *Controller) decideWave(d *decided) {
+func (c *Controller) decideWave(d *roundDecision) {
 	facts := wave.Facts{
-		Returned: c.soft.world.returned(d.ix.Snap.View),
+		Returned: c.softState.observed.returned(d.ix.Snap.View),
 		Remaining: func(j *model.Job, t *model.Task) time.Duration {
-			return c.soft.runtimes.remaining(&j.Spec, d.at.Sub(t.Started))
+			return c.softState.runtimes.remaining(&j.Spec, d.at.Sub(t.Started))
 		},
 	}
 	options := c.config.Wave
 	options.Fleet = c.config.Fleet
-	options.Fleet.Sizes = c.soft.sizes
+	options.Fleet.Sizes = c.softState.sizes
 	d.wave = wave.Decide(d.ix, d.ledger, facts, options)
 	d.add(d.wave.Actions...)
-	c.soft.undrain = map[model.VMID]bool{}
+	c.softState.undrain = map[model.VMID]bool{}
 	for _, id := range d.wave.Undrain {
-		c.soft.undrain[id] = true
+		c.softState.undrain[id] = true
 	}
 	for _, s := range d.wave.Stops {
 		d.stop(s.Task, s.Reason)
@@ -131,10 +132,10 @@
 	d.replaceOutdated()
 	c.decideSurge(d)
 	c.decideBorrow(d)
-	c.breakStandstill(d)
+	c.resolveStalledWaves(d)
 }
 
-func (d *decided) stop(t *model.Task, reason string) {
+func (d *roundDecision) stop(t *model.Task, reason string) {
 	if d.stopped[t.ID] || t.State == model.TaskStopping {
 		return
 	}
@@ -142,23 +143,23 @@
 	d.add(state.Action{Reason: reason, UpdateTask: &state.UpdateTask{Task: t.ID, State: model.TaskStopping, Throttled: t.Throttled}})
 }
 
-func (c *Controller) decidePlacement(d *decided) {
+func (c *Controller) decidePlacement(d *roundDecision) {
 	options := c.config.Placement
-	options.Sizes = c.soft.sizes
+	options.Sizes = c.softState.sizes
 	options.SoonDrained = d.wave.SoonDrained
 	result := placement.Decide(d.ix, options)
 	for _, a := range result.Actions {
-		c.takePlacement(d, a)
+		c.applyPlacement(d, a)
 	}
-	for _, w := range result.Wishes {
-		c.takeWish(d, w)
+	for _, p := range result.Wishes {
+		c.applyPlannedAction(d, p)
 	}
 }
 
-func (c *Controller) takePlacement(d *decided, a state.Action) {
+func (c *Controller) applyPlacement(d *roundDecision, a state.Action) {
 	switch {
 	case a.RenewTasks != nil:
-		c.dropMissing(a.RenewTasks, d.ix.Snap.View)
+		c.excludeMissing(a.RenewTasks, d.ix.Snap.View)
 	case a.StartTask != nil:
 		if !c.mayStart(d, &a.StartTask.Task) {
 			return
@@ -168,66 +169,66 @@
 	d.add(a)
 }
 
-// mayStart keeps jobs off VMs that the wave has still to drain, where they
-// would be moved, or would hold up the drain because they must not be cut.
-// They wait for a VM that is done, for a while; urgent jobs never wait.
-func (c *Controller) mayStart(d *decided, t *model.Task) bool {
+// mayStart keeps jobs off VMs that the wave has yet to drain: the jobs would be
+// moved, or would delay the drain because they must not be interrupted. They
+// wait, for a limited time, for a VM that is done; urgent jobs never wait.
+func (c *Controller) mayStart(d *roundDecision, t *model.Task) bool {
 	job := d.ix.Job(t.Job)
 	if job == nil || t.Priority == model.Urgent {
 		return true
 	}
 	v := d.ix.VM(t.VM)
 	p := d.ix.Pool(v.Pool())
-	if p == nil || p.Wave == nil || v.Maintained || !waveGoesOn(d.ix, p) {
+	if p == nil || p.Wave == nil || v.Maintained || !waveInProgress(d.ix, p) {
 		return true
 	}
-	if d.at.Sub(job.Changed) > steerWait(t.Priority) {
+	if d.at.Sub(job.Changed) > maxSteerWait(t.Priority) {
 		return true
 	}
 	ideas := c.config.Wave.Ideas
 	displaced := ideas.DisplaceToDone && job.Moves > 0
-	return !displaced && !(ideas.SteerNew && c.outlasts(d, t, job))
+	return !displaced && !(ideas.SteerNew && c.outlastsDrain(d, t, job))
 }
 
-// outlasts reports whether a batch job, or one that must not be cut, would
-// still run when its VM is drained.
-func (c *Controller) outlasts(d *decided, t *model.Task, job *model.Job) bool {
+// outlastsDrain reports whether a batch job, or a job that must not be
+// interrupted, would still run when its VM is drained.
+func (c *Controller) outlastsDrain(d *roundDecision, t *model.Task, job *model.Job) bool {
 	if t.Priority != model.Batch && job.Spec.Idempotent {
 		return false
 	}
 	drain, known := d.wave.SoonDrained[t.VM]
-	return !known || d.at.Add(c.soft.runtimes.expected(&job.Spec)) > drain
+	return !known || d.at.Add(c.softState.runtimes.expected(&job.Spec)) > drain
 }
 
-// steerWait bounds how long a job waits for a VM that is done.
-func steerWait(p model.Priority) time.Duration {
+// maxSteerWait bounds how long a job waits for a VM that is done with the wave.
+func maxSteerWait(p model.Priority) time.Duration {
 	if p == model.Batch {
 		return time.Hour
 	}
 	return 5 * time.Minute
 }
 
-// waveGoesOn reports whether a VM of the pool is done or under maintenance, so
-// that jobs have a VM to wait for.
-func waveGoesOn(ix *fleet.Index, p *fleet.Pool) bool {
+// waveInProgress reports whether a VM of the pool is done or under maintenance,
+// so that jobs have a VM to wait for.
+func waveInProgress(ix *fleet.Index, p *fleet.Pool) bool {
 	return slices.ContainsFunc(p.VMs, func(v *fleet.VM) bool { return v.Permit != nil || v.Maintained })
 }
 
-// leases ends and renews leases and does nothing else.
-func (c *Controller) leases(ix *fleet.Index) []state.Action {
+// decideLeases only ends and renews leases.
+func (c *Controller) decideLeases(ix *fleet.Index) []state.Action {
 	actions := placement.Leases(ix, c.config.Placement)
 	for i := range actions {
 		if actions[i].RenewTasks != nil {
-			c.dropMissing(actions[i].RenewTasks, ix.Snap.View)
+			c.excludeMissing(actions[i].RenewTasks, ix.Snap.View)
 		}
 	}
 	return actions
 }
 
-// dropMissing takes tasks out of a renewal that the platform does not run, or
-// whose end was commanded: their leases lapse.
-func (c *Controller) dropMissing(r *state.RenewTasks, view *state.View) {
-	missing := c.soft.world.missing
+// excludeMissing removes from a renewal the tasks that the platform does not
+// run: their leases lapse.
+func (c *Controller) excludeMissing(r *state.RenewTasks, view *state.View) {
+	missing := c.softState.observed.missing
 	if len(missing) == 0 {
 		return
 	}
@@ -243,26 +244,27 @@
 	slices.Sort(r.Tasks)
 }
 
-// takeWish records what a task is to give up; the command follows from the
-// committed state.
-func (c *Controller) takeWish(d *decided, w placement.Wish) {
-	t := w.Task
-	switch w.Kind {
+// applyPlannedAction records that a task is to be throttled, unthrottled or
+// stopped; the command follows from the committed state.
+func (c *Controller) applyPlannedAction(d *roundDecision, p placement.Wish) {
+	t := p.Task
+	switch p.Kind {
 	case placement.Throttle, placement.Unthrottle:
 		if !d.stopped[t.ID] {
-			throttled := w.Kind == placement.Throttle
-			d.add(state.Action{Reason: w.Reason, UpdateTask: &state.UpdateTask{Task: t.ID, State: t.State, Throttled: throttled}})
+			throttled := p.Kind == placement.Throttle
+			d.add(state.Action{Reason: p.Reason, UpdateTask: &state.UpdateTask{Task: t.ID, State: t.State, Throttled: throttled}})
 		}
 	case placement.Checkpoint, placement.Stop:
 		if t.Service != "" && !c.mayStopInstance(d, t) {
 			return
 		}
-		d.stop(t, w.Reason)
+		d.stop(t, p.Reason)
 	}
 }
 
-// mayStopInstance asks the budgets, and keeps surge instances that a wave needs.
-func (c *Controller) mayStopInstance(d *decided, t *model.Task) bool {
+// mayStopInstance reports whether the budgets allow an instance to stop; surge
+// instances that are still needed are kept.
+func (c *Controller) mayStopInstance(d *roundDecision, t *model.Task) bool {
 	s := d.ix.Service(t.Service)
 	if c.keepSurge(d, s, t) {
 		return false
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -15,16 +15,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// inWave is a small site in mid-wave: permits are out, some in the phase.
-func inWave(t *testing.T, phase model.MaintenancePhase, o simOptions) *sim {
+// simInWave returns a simulation of a small site during a wave, with at least
+// one permit in the phase.
+func simInWave(t *testing.T, phase model.MaintenancePhase, o simOptions) *sim {
 	o.platform.RebootTime = 30 * time.Second
 	s := smallSim(3, o)
-	is.New(t).True(s.until(15*time.Minute, func() bool { return s.inPhase(phase) != "" }))
+	is.New(t).True(s.until(15*time.Minute, func() bool { return s.vmInPhase(phase) != "" }))
 	return s
 }
 
-// inPhase is a VM whose permit is in the phase; empty for none.
-func (s *sim) inPhase(phase model.MaintenancePhase) model.VMID {
+// vmInPhase returns a VM whose permit is in the phase; empty for none.
+func (s *sim) vmInPhase(phase model.MaintenancePhase) model.VMID {
 	found := model.VMID("")
 	for id, p := range s.view().Permits {
 		if p.Phase == phase && (found == "" || id < found) {
@@ -34,7 +35,7 @@
 	return found
 }
 
-// rebootedTwice lists the VMs that were commanded to reboot twice.
+// rebootedTwice returns the VMs that were commanded to reboot more than once.
 func (s *sim) rebootedTwice() []model.VMID {
 	var twice []model.VMID
 	for id, n := range s.platform.Tally().Asked {
@@ -45,8 +46,10 @@
 	return twice
 }
 
-// finish ends failures and lets the wave end, and checks what must hold.
-func (s *sim) finish(t *testing.T) {
+// finishWave ends all failures, waits for the wave to end, and checks that
+// every instance serves, no VM was rebooted twice and no invariant was
+// violated.
+func (s *sim) finishWave(t *testing.T) {
 	is := is.New(t)
 	everything := func(standin.VM) bool { return true }
 	s.platform.Repair(everything)
@@ -55,15 +58,15 @@
 	is.True(s.until(3*time.Hour, s.waveDone("kernel")))
 	is.True(s.until(10*time.Minute, func() bool { return len(s.view().Permits) == 0 && len(s.serving()) == 15 }))
 	is.Equal(s.rebootedTwice(), nil)
-	is.Equal(s.broken(), nil)
+	is.Equal(s.invariantViolations(), nil)
 }
 
-// Symptom: services stay below their budgets for as long as a rack is away.
-// Sequence: VMs are drained for a wave; a rack elsewhere fails.
-// Cause: the permits were granted for one failure and the drains go on.
-func TestRackFailsInMidWave(t *testing.T) {
+// A rack fails elsewhere while VMs drain for a wave. The permits were granted
+// before the failure; if the drains continued, services would stay below their
+// budgets for as long as the rack is down.
+func TestRackFailsDuringWave(t *testing.T) {
 	is := is.New(t)
-	s := inWave(t, model.PhaseDraining, simOptions{platform: standin.Config{StopGrace: time.Minute}})
+	s := simInWave(t, model.PhaseDraining, simOptions{platform: standin.Config{StopGrace: time.Minute}})
 	drained := map[model.VMID]bool{}
 	for id, p := range s.view().Permits {
 		if p.Phase < model.PhaseRebooting && p.Pool != "" {
@@ -81,19 +84,20 @@
 		return true
 	}))
 	for _, v := range s.platform.Truth() {
-		is.True(!drained[v.ID] || !v.Drained)                          // they take work again
+		is.True(!drained[v.ID] || !v.Drained)                          // accept work again
 		is.True(!drained[v.ID] || s.platform.Tally().Asked[v.ID] == 0) // were not rebooted
-		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)    // nor count as done
+		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)    // and do not count as done
 	}
-	s.finish(t)
+	s.finishWave(t)
 }
 
-// Symptom: a budget is missed though only one VM at a time fails.
-// Sequence: a VM fails, is repaired, and fails again at once.
-// Cause: the repaired VM counted, and a grant spent what it gave back.
+// A VM fails, is repaired, and fails again at once. If the repaired VM counted
+// as available, a new permit could use up the budget that it gave back, and its
+// second failure would take a service below its minimum, although only one VM
+// at a time fails.
 func TestSecondLossAfterRepair(t *testing.T) {
 	is := is.New(t)
-	s := inWave(t, model.PhaseSoaking, simOptions{})
+	s := simInWave(t, model.PhaseSoaking, simOptions{})
 	victim := model.VMID("")
 	for _, task := range sortedTasks(s.view(), func(t *model.Task) bool { return t.Service == "checks" }) {
 		if s.view().Permits[task.VM] == nil {
@@ -105,7 +109,7 @@
 	s.platform.Repair(standin.OneVM(victim))
 	for range 60 {
 		s.step(time.Second)
-		is.True(s.node("a").last.ledger.Down(s.node("a").last.ix.VM(victim)) != budget.Available)
+		is.True(s.node("a").lastRound.ledger.Down(s.node("a").lastRound.ix.VM(victim)) != budget.Available)
 	}
 	s.platform.Fail(standin.OneVM(victim))
 	for range 120 {
@@ -116,15 +120,14 @@
 				up++
 			}
 		}
-		is.True(up >= 4) // the least of service checks
+		is.True(up >= 4) // min_available of service checks
 	}
-	s.finish(t)
+	s.finishWave(t)
 }
 
-// Symptom: a service has one instance less for a minute after a VM failed, and
-// a second failure in that minute takes it below its budget.
-// Sequence: a VM fails; the lease of its instance has not ended.
-// Cause: the ordinal may not start again before the lease ends.
+// After a VM fails, the ordinal of its instance may not start again before the
+// lease ends. Without a surge instance the service would have one instance
+// fewer for that minute, and a second failure would take it below its budget.
 func TestLostInstanceIsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := smallSim(7, simOptions{})
@@ -133,49 +136,46 @@
 	s.platform.Fail(standin.OneVM(victim))
 	is.True(s.until(6*time.Second, func() bool { return len(s.serving()) == 15 }))
 	s.until(2*time.Minute, func() bool { return false })
-	is.Equal(len(s.serving()), 15) // the stand-in stopped when the ordinal was back
-	is.Equal(s.broken(), nil)
+	is.Equal(len(s.serving()), 15) // the surge instance stopped when the ordinal was back
+	is.Equal(s.invariantViolations(), nil)
 }
 
-// Symptom: a VM is rebooted twice in one wave.
-// Sequence: the leader changes between the commit and each command, in every
-// phase; each new leader finds the permit.
-// Cause: the new leader repeats the command instead of comparing boot IDs.
+// The leader changes in every phase of a permit, between the commit and the
+// command. A new leader that repeated the command instead of comparing boot IDs
+// would reboot a VM twice in one wave.
 func TestLeaderChangesInEveryPhase(t *testing.T) {
 	for phase := model.PhaseGranted; phase <= model.PhaseSoaking; phase++ {
 		t.Run(fmt.Sprint(phase), func(t *testing.T) {
-			s := inWave(t, phase, simOptions{})
+			s := simInWave(t, phase, simOptions{})
 			s.elect("b")
 			s.step(time.Second)
 			s.elect("c")
-			s.finish(t)
+			s.finishWave(t)
 		})
 	}
 }
 
-// Symptom: two leaders command the platform against one another.
-// Sequence: the leader is cut off and still takes itself for the leader, with
-// an old state, while the others elect another one.
-// Cause: nothing at the platform tells the two apart.
-func TestCutOffLeader(t *testing.T) {
+// A partitioned leader still considers itself the leader, with an old state,
+// while the other voters elect a new one. The platform must distinguish the two
+// by their terms, or both would command it with conflicting decisions.
+func TestPartitionedLeaderStopsCommanding(t *testing.T) {
 	is := is.New(t)
-	s := inWave(t, model.PhaseDraining, simOptions{})
-	s.cutLeader("b")
+	s := simInWave(t, model.PhaseDraining, simOptions{})
+	s.partitionLeader("b")
 	s.until(20*time.Minute, func() bool { return false })
 	old := s.node("a")
 	is.True(old.superseded())
-	is.True(s.node("b").counts.commands.Count() > 0)
-	sent := old.counts.commands.Count()
+	is.True(s.node("b").counters.commands.Count() > 0)
+	sent := old.counters.commands.Count()
 	s.until(time.Minute, func() bool { return false })
-	is.Equal(old.counts.commands.Count(), sent) // it found out and is silent
-	clear(s.log.cut)
-	s.finish(t)
+	is.Equal(old.counters.commands.Count(), sent) // it noticed and sends nothing more
+	clear(s.log.partitioned)
+	s.finishWave(t)
 }
 
-// Symptom: after a restart the platform sees actions of hours ago.
-// Sequence: no leader for a while; hundreds of jobs are submitted, most are
-// cancelled, the manifest changes ten times; then a leader starts.
-// Cause: the log is replayed as commands.
+// While there is no leader, hundreds of jobs are submitted, most are cancelled,
+// and the manifest changes ten times. A new leader that replayed the log as
+// commands would send the platform actions that are hours old.
 func TestRestartAfterManyChanges(t *testing.T) {
 	is := is.New(t)
 	s := smallSim(4, simOptions{platform: standin.Config{RebootTime: 30 * time.Second}})
@@ -195,17 +195,16 @@
 	}
 	s.step(30 * time.Second)
 	s.elect("b")
-	commands := s.node("b").counts.commands
+	commands := s.node("b").counters.commands
 	is.True(s.until(time.Minute, func() bool { return len(s.platform.Tally().Done) == 10 }))
 	is.Equal(len(s.platform.Tally().Starts), 10) // no cancelled job was started
 	is.True(commands.Count() < 10+15+30)         // each job and lease once, not 500 changes
-	is.Equal(s.broken(), nil)
+	is.Equal(s.invariantViolations(), nil)
 }
 
-// Symptom: a wave of cancellations stalls everything.
-// Sequence: 10,000 jobs are queued and cancelled in one batch.
-// Cause: each cancellation costs a round.
-func TestCancelWave(t *testing.T) {
+// 10,000 jobs are queued and cancelled in one batch. If each cancellation took
+// a round, everything else would stall.
+func TestMassCancellation(t *testing.T) {
 	is := is.New(t)
 	s := smallSim(5, simOptions{platform: standin.Config{Behaviour: func(p platform.TaskSpec) standin.Work {
 		return standin.Work{Runtime: time.Hour, Used: p.Size}
@@ -230,12 +229,11 @@
 		return true
 	}))
 	is.Equal(len(s.platform.Tally().Starts), started+1) // a cancelled job never starts
-	is.Equal(s.broken(), nil)
+	is.Equal(s.invariantViolations(), nil)
 }
 
-// Symptom: the wrong VM reboots, and the right one never does.
-// Sequence: the platform accepts a reboot and reboots another VM.
-// Cause: the accepted command is taken for its effect.
+// The platform accepts a reboot and reboots another VM. If acceptance counted
+// as the effect, the right VM would never reboot.
 func TestWrongVMRebooted(t *testing.T) {
 	is := is.New(t)
 	s := smallSim(6, simOptions{platform: standin.Config{RebootTime: 30 * time.Second, WrongVM: 0.5}, config: Config{RebootTimeout: time.Minute}})
@@ -243,15 +241,15 @@
 	tally := s.platform.Tally()
 	is.True(tally.WrongReboots > 0)
 	for id := range s.view().Maintained {
-		is.True(tally.Reboots[id] > 0) // each really went through
+		is.True(tally.Reboots[id] > 0) // each was actually rebooted
 	}
-	is.Equal(s.broken(), nil)
+	is.Equal(s.invariantViolations(), nil)
 }
 
-// Symptom: an operator cannot tell where a wave is and why it waits.
-func TestStatusTellsTheArithmetic(t *testing.T) {
+// The status has to show an operator how far a wave is and why it waits.
+func TestStatusReportsBudgetsAndWave(t *testing.T) {
 	is := is.New(t)
-	s := inWave(t, model.PhaseSoaking, simOptions{})
+	s := simInWave(t, model.PhaseSoaking, simOptions{})
 	is.NoErr(s.node("a").Step(context.Background()))
 	status := s.node("a").Status()
 	is.Equal(len(status.Budgets.Services), 3)
--- a/internal/controller/manifest_change_test.go
+++ b/internal/controller/manifest_change_test.go
@@ -12,42 +12,42 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// revise accepts the next revision of the site, changed, and lets the
-// controllers follow it for the time. At every step no invariant may break and
-// no service may have fewer instances that serve than its least, or than it
-// had when the revision came, whichever is lower.
-func (s *sim) revise(t *testing.T, d time.Duration, change func(*model.Site)) {
+// applyChange applies the next revision of the site, with a change, and lets
+// the controllers run for the duration. No invariant may be violated at any
+// step, and no service may have fewer serving instances than its minimum, or
+// than it had when the revision was applied, whichever is lower.
+func (s *sim) applyChange(t *testing.T, d time.Duration, change func(*model.Site)) {
 	t.Helper()
 	site := copySite(s.view().Site)
 	site.Revision++
 	change(site)
 	s.apply(*site)
-	s.follow(t, d)
+	s.stepChecked(t, d)
 }
 
-func (s *sim) follow(t *testing.T, d time.Duration) {
+func (s *sim) stepChecked(t *testing.T, d time.Duration) {
 	t.Helper()
 	floor := map[model.ServiceID]int{}
-	before := s.servingOf()
+	before := s.servingByService()
 	for _, service := range s.view().Site.Services {
 		floor[service.ID] = min(service.MinAvailable, before[service.ID])
 	}
 	for passed := time.Duration(0); passed < d; passed += time.Second {
 		s.step(time.Second)
-		now := s.servingOf()
-		for id, least := range floor {
-			if now[id] < least {
-				t.Fatalf("%s after the change service %s has %d of %d", passed, id, now[id], least)
+		now := s.servingByService()
+		for id, minimum := range floor {
+			if now[id] < minimum {
+				t.Fatalf("%s after the change, service %s has %d serving instances, want at least %d", passed, id, now[id], minimum)
 			}
 		}
-		if broken := s.broken(); broken != nil {
-			t.Fatal(passed, broken)
+		if violations := s.invariantViolations(); violations != nil {
+			t.Fatal(passed, violations)
 		}
 	}
 }
 
-// servingOf counts the instances that serve in truth.
-func (s *sim) servingOf() map[model.ServiceID]int {
+// servingByService counts, by service, the instances that actually serve.
+func (s *sim) servingByService() map[model.ServiceID]int {
 	count := map[model.ServiceID]int{}
 	for id := range s.serving() {
 		if task := s.view().Tasks[id]; task != nil {
@@ -66,10 +66,10 @@
 	return &site
 }
 
-// unlike lists where the site is not as the manifest in force says.
-func (s *sim) unlike() []string {
-	var all []string
-	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
+// manifestMismatches lists where the site differs from the manifest in force.
+func (s *sim) manifestMismatches() []string {
+	var mismatches []string
+	add := func(format string, args ...any) { mismatches = append(mismatches, fmt.Sprintf(format, args...)) }
 	site := s.view().Site
 	pools := map[model.PoolID]*model.Pool{}
 	sizes := map[model.PoolID]int{}
@@ -79,25 +79,25 @@
 	ix := fleet.NewIndex(s.node(s.log.leader).snapshot())
 	for _, v := range ix.VMs {
 		if v.Owner == nil || v.Moving() {
-			say("VM %s is without a pool or moves", v.ID)
+			add("VM %s has no pool or is moving", v.ID)
 			continue
 		}
 		sizes[v.Owner.Pool]++
 		if p := pools[v.Owner.Pool]; v.Owner.Pool != "" && (p == nil || !fleet.Eligible(p, v.Listed)) {
-			say("VM %s is in pool %s, which does not allow it", v.ID, v.Owner.Pool)
+			add("VM %s is in pool %s, which does not allow it", v.ID, v.Owner.Pool)
 		}
 	}
 	for id, p := range pools {
 		if sizes[id] < p.MinVMs || sizes[id] > p.MaxVMs {
-			say("pool %s has %d VMs", id, sizes[id])
+			add("pool %s has %d VMs", id, sizes[id])
 		}
 	}
-	serving, wanted := s.servingOf(), 0
+	serving, wanted := s.servingByService(), 0
 	for i := range site.Services {
 		spec := &site.Services[i]
 		wanted += spec.Instances
 		if serving[spec.ID] != spec.Instances {
-			say("service %s has %d instances", spec.ID, serving[spec.ID])
+			add("service %s has %d serving instances", spec.ID, serving[spec.ID])
 		}
 	}
 	instances := 0
@@ -106,13 +106,13 @@
 		spec := ix.Service(task.Service)
 		owner := s.view().Owners[task.VM]
 		if spec == nil || owner == nil || owner.Pool != spec.Spec.Pool || task.Size != spec.Spec.Size {
-			say("task %s is not as its service", task.ID)
+			add("task %s differs from its service in pool or size", task.ID)
 		}
 	}
 	if instances != wanted {
-		say("%d instances are recorded", instances)
+		add("%d instances are recorded", instances)
 	}
-	return all
+	return mismatches
 }
 
 func service(site *model.Site, id model.ServiceID) *model.Service {
@@ -125,21 +125,21 @@
 	return &site.Pools[i]
 }
 
-// calmSim is a small site in which everything runs and no wave comes.
-func calmSim(t *testing.T, seed uint64, o simOptions) *sim {
+// settledSim returns a simulation of a small site without a wave in which all
+// instances run.
+func settledSim(t *testing.T, seed uint64, o simOptions) *sim {
 	if o.site.Revision == 0 {
 		o.site = smallSite()
 		o.site.Waves = nil
 	}
 	s := smallSim(seed, o)
-	is.New(t).True(s.until(2*time.Minute, func() bool { return s.unlike() == nil }))
+	is.New(t).True(s.until(2*time.Minute, func() bool { return s.manifestMismatches() == nil }))
 	return s
 }
 
-// Symptom: a changed manifest is accepted but never wholly in force.
-// Sequence: everything runs; the manifest changes.
-// Cause: a decision that is safe at the present state waits for one that
-// nothing will bring about.
+// The manifest changes while everything runs. The change must come fully into
+// force: a decision must not wait for a condition that no other decision brings
+// about.
 func TestManifestChanges(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -174,27 +174,26 @@
 		{"min_vms raised", func(m *model.Site) { pool(m, "drafts").MinVMs = 9 }},
 		{"max_vms lowered", func(m *model.Site) { pool(m, "drafts").MinVMs, pool(m, "drafts").MaxVMs = 3, 4 }},
 		{"zones narrowed", func(m *model.Site) { pool(m, "drafts").Zones = []model.ZoneID{"az1", "az2"} }},
-		{"least available raised", func(m *model.Site) { service(m, "checks").MinAvailable = 5 }},
+		{"min_available raised", func(m *model.Site) { service(m, "checks").MinAvailable = 5 }},
 		{"policy weights", func(m *model.Site) { m.Policy = model.Policy{MoveWeight: 0.1, BufferWeight: 0.9} }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := calmSim(t, 21, simOptions{})
-			s.revise(t, 15*time.Minute, c.change)
-			is.New(t).Equal(s.unlike(), nil)
+			s := settledSim(t, 21, simOptions{})
+			s.applyChange(t, 15*time.Minute, c.change)
+			is.New(t).Equal(s.manifestMismatches(), nil)
 		})
 	}
 }
 
-// Symptom: a service loses instances to a change that can't be carried out.
-// Sequence: the manifest raises an instance's size beyond what the VMs have.
-// Cause: the outdated instance is stopped though none can start in its place.
-func TestChangeWithoutRoomStopsNothing(t *testing.T) {
+// The manifest raises the size of an instance beyond the capacity of every VM.
+// An outdated instance must not stop when none can start in its place.
+func TestUnplaceableChangeStopsNothing(t *testing.T) {
 	is := is.New(t)
-	s := calmSim(t, 22, simOptions{})
-	s.revise(t, 5*time.Minute, func(m *model.Site) {
+	s := settledSim(t, 22, simOptions{})
+	s.applyChange(t, 5*time.Minute, func(m *model.Site) {
 		service(m, "plans").Size, service(m, "plans").MinAvailable = cores(17), 1
 	})
-	is.Equal(s.servingOf()["plans"], 5) // a VM has 16 cores
+	is.Equal(s.servingByService()["plans"], 5) // a VM has 16 cores
 }
--- a/internal/controller/manifest_random_test.go
+++ b/internal/controller/manifest_random_test.go
@@ -10,23 +10,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform/standin"
 )
 
-// operate accepts a manifest with one to three random changes to the small
-// site, so that each undoes the ones before.
-func (c *chaos) operate() {
+// applyRandomManifest proposes a manifest with one to three random changes to
+// the small site. Each manifest undoes the changes of the earlier ones.
+func (c *faultInjection) applyRandomManifest() {
 	site := smallSite()
 	site.Revision = c.view().Site.Revision + 1
 	for range 1 + c.draw(3) {
-		c.change(&site)
+		c.changeRandomly(&site)
 	}
-	if !c.offer(site) {
+	if !c.proposeManifest(site) {
 		return
 	}
-	c.waves += len(site.Waves) // each may reboot each VM once
+	c.waves += len(site.Waves) // each wave may reboot each VM once
 }
 
-// offer proposes a site. It is refused exactly when two of its parts share an
-// ID, as two changes that add the same pool make them.
-func (c *chaos) offer(site model.Site) bool {
+// proposeManifest proposes a site and reports whether it is valid. It must be
+// refused if and only if two pools or two waves share an ID, as when two
+// changes add the same pool.
+func (c *faultInjection) proposeManifest(site model.Site) bool {
 	pools := map[model.PoolID]int{}
 	for _, p := range site.Pools {
 		pools[p.ID]++
@@ -35,15 +36,15 @@
 	for _, w := range site.Waves {
 		waves[w.ID]++
 	}
-	sound := len(pools) == len(site.Pools) && len(waves) == len(site.Waves)
-	refused := c.ask(manifestOf(site)).Refused
-	if sound != (refused == "") {
-		panic(fmt.Sprintf("sound: %t, refused: %q", sound, refused))
+	valid := len(pools) == len(site.Pools) && len(waves) == len(site.Waves)
+	refused := c.tryPropose(manifestOf(site)).Refused
+	if valid != (refused == "") {
+		panic(fmt.Sprintf("manifest valid: %t, but refused: %q", valid, refused))
 	}
-	return sound
+	return valid
 }
 
-func (c *chaos) change(m *model.Site) {
+func (c *faultInjection) changeRandomly(m *model.Site) {
 	zones := []model.ZoneID{"az1", "az2", "az3"}
 	s := &m.Services[c.draw(len(m.Services))]
 	p := &m.Pools[c.draw(len(m.Pools))]
@@ -80,55 +81,56 @@
 	}
 }
 
-// Symptom: a promise breaks, or the site never gets to its last manifest.
-// Sequence: manifests change at random while VMs, racks and leaders fail,
-// answers are lost and jobs run; then the failures end.
+// Manifests change at random while VMs, racks and leaders fail, answers are
+// lost and jobs run. No invariant may be violated, and after the failures end
+// the site must reach its last manifest.
 func TestRandomManifests(t *testing.T) {
 	steps, total := longSteps(t), 0
-	// The first are seeds that once failed: instances beyond the number kept
-	// VMs from leaving (17, 21), and a wave stood still (92).
+	// The first seeds are regressions: surge instances kept VMs from leaving their
+	// pool (17, 21), and a wave stalled (92).
 	seeds := []uint64{17, 21, 92}
 	for next := uint64(1); total < steps; next++ {
 		seeds = append(seeds, next)
 		seed := seeds[0]
 		seeds = seeds[1:]
-		total += playManifests(t, seed)
+		total += runRandomManifests(t, seed)
 	}
 }
 
-// playManifests plays one seed and returns its steps.
-func playManifests(t *testing.T, seed uint64) int {
+// runRandomManifests runs one seed and returns the number of its steps.
+func runRandomManifests(t *testing.T, seed uint64) int {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 43))
-	c := newChaos(seed, random.IntN, simOptions{})
+	c := newFaultInjection(seed, random.IntN, simOptions{})
 	for c.steps < 400 {
 		if c.draw(3) == 0 {
-			c.operate()
+			c.applyRandomManifest()
 		}
 		if c.draw(2) == 0 {
 			c.step(time.Second)
 			continue
 		}
-		c.act()
+		c.randomAction()
 	}
-	if wrong := c.rest(); len(wrong) > 0 {
+	if wrong := c.recoverWithManifest(); len(wrong) > 0 {
 		t.Errorf("seed %d after %d steps: %v", seed, c.steps, wrong)
 	}
 	return c.steps
 }
 
-// Symptom: a check reports that a pool would exceed its largest size. Sequence:
-// seed 47, a manifest comes that lists one pool twice. Cause: each of the two
-// was filled up to its own size, and only the moves' targets were counted.
-func TestPlannedMoveKeepsThePoolsSize(t *testing.T) {
-	playManifests(t, 47)
+// Regression of seed 47: a check reported that a pool would exceed its maximum
+// size. A manifest listed one pool twice; each of the two was filled up to its
+// own size, and only the targets of moves were counted.
+func TestPlannedMovesKeepPoolMaximum(t *testing.T) {
+	runRandomManifests(t, 47)
 }
 
-// rest ends failures and changes, and reports what is not as it must be.
-func (c *chaos) rest() []string {
+// recoverWithManifest ends all failures, applies the original manifest, and
+// returns what does not recover and which invariants were violated.
+func (c *faultInjection) recoverWithManifest() []string {
 	c.client.SetFaults(standin.Faults{})
-	c.log.lose = 0
-	clear(c.log.cut)
+	c.log.lossRate = 0
+	clear(c.log.partitioned)
 	everything := func(standin.VM) bool { return true }
 	c.platform.Repair(everything)
 	c.platform.Reconnect(everything)
@@ -140,8 +142,8 @@
 	c.site.Waves[0].Start = c.platform.Now()
 	c.apply(c.site)
 	// A quarantine may keep a worker from its pool for a day.
-	if !c.untilBy(4*time.Second, 30*time.Hour, func() bool { return c.settled() == "" && c.unlike() == nil }) {
-		return append(append(c.unlike(), c.settled()), c.violations()...)
+	if !c.untilBy(4*time.Second, 30*time.Hour, func() bool { return c.unfinished() == "" && c.manifestMismatches() == nil }) {
+		return append(append(c.manifestMismatches(), c.unfinished()), c.violations()...)
 	}
 	return c.violations()
 }
--- a/internal/controller/manifest_wave_test.go
+++ b/internal/controller/manifest_wave_test.go
@@ -10,9 +10,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform/standin"
 )
 
-// asked counts the reboots that were commanded of VMs that the manifest no
-// longer asks for: all, or those of one pool.
-func (s *sim) asked(only model.PoolID) int {
+// rebootsCommanded counts the commanded reboots of the VMs of one pool, or of
+// all VMs if only is empty.
+func (s *sim) rebootsCommanded(only model.PoolID) int {
 	n := 0
 	for id, asked := range s.platform.Tally().Asked {
 		if only == "" || s.view().Owners[id].Pool == only {
@@ -22,18 +22,17 @@
 	return n
 }
 
-// Symptom: VMs go on being rebooted after the operator took the wave back.
-// Sequence: a wave is in mid-way; the next manifest lacks it, puts off its
-// start or takes a pool out of it.
-// Cause: a permit that was granted is carried through whatever the manifest says.
-func TestWaveTakenBack(t *testing.T) {
+// During a wave, the next manifest removes it, postpones its start or removes a
+// pool from it. Permits that were already granted must be withdrawn, or VMs
+// would still be rebooted.
+func TestWaveWithdrawn(t *testing.T) {
 	cases := []struct {
 		name   string
 		pool   model.PoolID
 		change func(*model.Site)
 	}{
 		{"removed", "", func(m *model.Site) { m.Waves = nil }},
-		{"put off", "", func(m *model.Site) { m.Waves[0].Start = simStart.Add(48 * time.Hour) }},
+		{"start postponed", "", func(m *model.Site) { m.Waves[0].Start = simStart.Add(48 * time.Hour) }},
 		{"without a pool", "night", func(m *model.Site) { m.Waves[0].Pools = m.Waves[0].Pools[:1] }},
 	}
 	for _, c := range cases {
@@ -41,25 +40,25 @@
 			t.Run(c.name+" "+phase.String(), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				s := inWave(t, phase, simOptions{platform: standin.Config{StopGrace: time.Minute}})
+				s := simInWave(t, phase, simOptions{platform: standin.Config{StopGrace: time.Minute}})
 				late := 0
 				for _, p := range s.view().Permits {
 					if p.Phase >= model.PhaseRebooting && (c.pool == "" || p.Pool == c.pool) && s.platform.Tally().Asked[p.VM] == 0 {
-						late++ // its reboot was committed already
+						late++ // its reboot was already committed
 					}
 				}
-				before := s.asked(c.pool)
-				s.revise(t, 15*time.Minute, c.change)
-				is.True(s.asked(c.pool) <= before+late)
+				before := s.rebootsCommanded(c.pool)
+				s.applyChange(t, 15*time.Minute, c.change)
+				is.True(s.rebootsCommanded(c.pool) <= before+late)
 				for _, v := range s.platform.Truth() {
 					is.True(!v.Drained || s.view().Permits[v.ID] != nil)
 				}
 				if c.pool == "" {
 					is.Equal(len(s.view().Permits), 0)
-					is.Equal(s.unlike(), nil)
+					is.Equal(s.manifestMismatches(), nil)
 				}
-				s.revise(t, time.Second, func(m *model.Site) { m.Waves = smallSite().Waves })
-				s.finish(t)
+				s.applyChange(t, time.Second, func(m *model.Site) { m.Waves = smallSite().Waves })
+				s.finishWave(t)
 			})
 		}
 	}
--- a/internal/controller/path_test.go
+++ b/internal/controller/path_test.go
@@ -26,9 +26,9 @@
 	return newSim(o)
 }
 
-// The whole path: VMs enter pools, instances start, a job runs, a wave goes
-// through every VM once and no budget is missed.
-func TestWholePath(t *testing.T) {
+// End to end: VMs join pools, instances start, jobs run, and a wave reboots
+// every VM exactly once without a violated invariant.
+func TestWaveEndToEnd(t *testing.T) {
 	is := is.New(t)
 	s := smallSim(1, simOptions{platform: standin.Config{RebootTime: 30 * time.Second}})
 	serving := func() bool { return len(s.serving()) == 15 }
@@ -44,5 +44,5 @@
 		is.True(s.view().Maintained[id] != nil)
 	}
 	is.True(s.until(time.Minute, func() bool { return len(s.view().Permits) == 0 && serving() }))
-	is.Equal(s.broken(), nil)
+	is.Equal(s.invariantViolations(), nil)
 }
--- a/internal/controller/policy_test.go
+++ b/internal/controller/policy_test.go
@@ -8,10 +8,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// moved counts the stops of jobs for the system's own sake, and the most of
-// any one job.
-func (r *policyRun) moved() (total, displaced, most int) {
-	for _, n := range r.stops {
+// jobMoves counts the stops of jobs by the wave, the jobs that were stopped,
+// and the most stops of any one job.
+func (r *policyRun) jobMoves() (total, displaced, most int) {
+	for _, n := range r.moves {
 		total += n
 		displaced++
 		most = max(most, n)
@@ -28,8 +28,9 @@
 	return moves
 }
 
-// wrong counts the jobs that were lost or doubled.
-func (r *policyRun) wrong() int {
+// lostOrDoubled counts the jobs that were lost or ran twice, and the violated
+// invariants.
+func (r *policyRun) lostOrDoubled() int {
 	tally := r.platform.Tally()
 	wrong := tally.Overlaps
 	for id, j := range r.view().Jobs {
@@ -39,7 +40,7 @@
 			wrong++
 		}
 	}
-	return wrong + len(r.broken())
+	return wrong + len(r.invariantViolations())
 }
 
 var policyVariants = []struct {
@@ -55,76 +56,77 @@
 	{"chosen", wave.Chosen()},
 }
 
-// BenchmarkPolicy carries a wave through each site, under load, lies about
-// sizes, failures and cancel storms, in the plain way, with each idea alone and
-// with the chosen set. Run it with -benchtime 1x.
+// BenchmarkPolicy runs a wave through each site under load, with misdeclared
+// sizes, failures and mass cancellations: without any idea, with each idea
+// alone and with the chosen set. Run it with -benchtime 1x.
 func BenchmarkPolicy(b *testing.B) {
 	const seeds = 2
 	for _, p := range policySites {
 		for _, v := range policyVariants {
 			b.Run(p.name+"/"+v.name, func(b *testing.B) {
 				for range b.N {
-					report(b, p, v.ideas, seeds)
+					reportPolicy(b, p, v.ideas, seeds)
 				}
 			})
 		}
 	}
 }
 
-func report(b *testing.B, p policySite, ideas wave.Ideas, seeds uint64) {
-	var ratio, minutes, held, heldMost, wait, total, most, vmMoves, jobs, yields float64
-	violations, dip, wrong := 0, 0, 0
+func reportPolicy(b *testing.B, p policySite, ideas wave.Ideas, seeds uint64) {
+	var ratio, minutes, reserved, maxReserved, wait, total, most, vmMoves, jobs, preemptions float64
+	violations, shortfall, wrong := 0, 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
 		r := newPolicyRun(p, ideas, seed)
 		r.run()
-		took := r.end.Sub(simStart.Add(policyWarm))
+		took := r.end.Sub(simStart.Add(policyWarmup))
 		minutes += took.Minutes() / float64(seeds)
 		ratio += float64(took) / float64(r.lowerBound()) / float64(seeds)
-		held += mean(r.held) / float64(seeds)
-		heldMost = max(heldMost, quantile(r.held, 1))
+		reserved += mean(r.reserved) / float64(seeds)
+		maxReserved = max(maxReserved, quantile(r.reserved, 1))
 		wait = max(wait, quantile(r.waits, 0.99))
-		n, displaced, worst := r.moved()
+		n, displaced, worst := r.jobMoves()
 		total += float64(n) / float64(seeds)
 		jobs += float64(displaced) / float64(seeds)
 		most = max(most, float64(worst))
 		vmMoves += float64(r.vmMoves()) / float64(seeds)
-		yields += float64(r.yields) / float64(seeds)
+		preemptions += float64(r.preemptions) / float64(seeds)
 		violations += r.violations
-		dip = max(dip, r.worstDip)
-		wrong += r.wrong()
+		shortfall = max(shortfall, r.worstShortfall)
+		wrong += r.lostOrDoubled()
 	}
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(minutes, "rollout-min")
 	b.ReportMetric(ratio, "rollout-ratio")
-	b.ReportMetric(held, "held-mean")
-	b.ReportMetric(heldMost, "held-worst")
+	b.ReportMetric(reserved, "held-mean")
+	b.ReportMetric(maxReserved, "held-worst")
 	b.ReportMetric(total, "job-moves")
 	b.ReportMetric(jobs, "jobs-moved")
 	b.ReportMetric(most, "moves-a-job")
 	b.ReportMetric(vmMoves, "vm-moves")
-	b.ReportMetric(yields, "yields")
+	b.ReportMetric(preemptions, "yields")
 	b.ReportMetric(wait, "urgent-p99-s")
 	b.ReportMetric(float64(violations), "violations")
-	b.ReportMetric(float64(dip), "worst-dip")
+	b.ReportMetric(float64(shortfall), "worst-dip")
 	b.ReportMetric(float64(wrong), "lost-or-doubled")
 }
 
-// BenchmarkPolicyCalm is the chosen set without failures, seed by seed: the
-// lower bound is then that of the load alone, or of a job that must not be cut.
-func BenchmarkPolicyCalm(b *testing.B) {
+// BenchmarkPolicyWithoutFailures runs the chosen set without failures, seed by
+// seed: the lower bound then depends only on the load, or on a job that must
+// not be interrupted.
+func BenchmarkPolicyWithoutFailures(b *testing.B) {
 	for _, p := range policySites {
 		for seed := uint64(1); seed <= 6; seed++ {
 			b.Run(fmt.Sprint(p.name, "/", seed), func(b *testing.B) {
 				for range b.N {
 					r := newPolicyRun(p, wave.Chosen(), seed)
-					r.calm = true
+					r.withoutFailures = true
 					r.run()
-					moves, _, most := r.moved()
-					took := r.end.Sub(simStart.Add(policyWarm))
+					moves, _, most := r.jobMoves()
+					took := r.end.Sub(simStart.Add(policyWarmup))
 					b.ReportMetric(0, "ns/op")
 					b.ReportMetric(took.Minutes(), "rollout-min")
 					b.ReportMetric(float64(took)/float64(r.lowerBound()), "rollout-ratio")
-					b.ReportMetric(r.uncuttable.Minutes(), "uncuttable-min")
+					b.ReportMetric(r.uninterruptible.Minutes(), "uncuttable-min")
 					b.ReportMetric(float64(moves), "job-moves")
 					b.ReportMetric(float64(most), "moves-a-job")
 					b.ReportMetric(quantile(r.waits, 0.99), "urgent-p99-s")
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -19,8 +19,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// chaos drives a sim through random failures. Every choice is drawn.
-type chaos struct {
+// faultInjection drives a simulation through random failures. Every choice is
+// made by draw.
+type faultInjection struct {
 	*sim
 	draw  func(n int) int
 	jobs  []model.JobID
@@ -31,7 +32,7 @@
 
 var simNodes = []model.NodeID{"a", "b", "c"}
 
-func newChaos(seed uint64, draw func(n int) int, o simOptions) *chaos {
+func newFaultInjection(seed uint64, draw func(n int) int, o simOptions) *faultInjection {
 	o.platform.RebootTime = 30 * time.Second
 	o.platform.StopGrace = 2 * time.Second
 	o.platform.WrongVM = 0.1
@@ -41,16 +42,16 @@
 		n := len(s.Payload)
 		return standin.Work{Runtime: time.Duration(5+20*n) * time.Second, Used: cores(int64(1 + n%4)), Fails: n%11 == 10}
 	}
-	return &chaos{sim: smallSim(seed, o), draw: draw, site: smallSite()}
+	return &faultInjection{sim: smallSim(seed, o), draw: draw, site: smallSite()}
 }
 
-func (c *chaos) vm() standin.Truth {
+func (c *faultInjection) vm() standin.Truth {
 	truth := c.platform.Truth()
 	return truth[c.draw(len(truth))]
 }
 
-// act does one random thing.
-func (c *chaos) act() {
+// randomAction takes one random action and runs a few rounds.
+func (c *faultInjection) randomAction() {
 	switch c.draw(24) {
 	case 0:
 		c.platform.Fail(standin.OneVM(c.vm().ID))
@@ -76,18 +77,18 @@
 	case 11:
 		c.elect(simNodes[c.draw(3)])
 	case 12:
-		if len(c.log.cut) == 0 {
-			c.cutLeader(simNodes[(c.draw(2)+1)%3])
+		if len(c.log.partitioned) == 0 {
+			c.partitionLeader(simNodes[(c.draw(2)+1)%3])
 		}
 	case 13:
-		clear(c.log.cut)
+		clear(c.log.partitioned)
 	case 14:
 		rate := float64(c.draw(3)) / 10
 		c.client.SetFaults(standin.Faults{Refuse: rate / 2, LoseRequest: rate / 2, LoseAnswer: rate, Late: rate, Double: rate, OldList: rate, LateBy: 40 * time.Second})
 	case 15:
 		c.client.SetFaults(standin.Faults{})
 	case 16:
-		c.log.lose = float64(c.draw(3)) / 10
+		c.log.lossRate = float64(c.draw(3)) / 10
 	case 17, 18, 19:
 		c.submitJob()
 	case 20:
@@ -106,7 +107,7 @@
 	}
 }
 
-func (c *chaos) submitJob() {
+func (c *faultInjection) submitJob() {
 	n := len(c.jobs)
 	spec := job(fmt.Sprintf("j%05d", n), []model.PoolID{"drafts", "night"}[c.draw(2)], model.Priority(c.draw(3)-1), cores(int64(1+c.draw(4))), time.Minute)
 	spec.Idempotent = c.draw(3) > 0
@@ -118,7 +119,7 @@
 	c.jobs = append(c.jobs, spec.ID)
 }
 
-func (c *chaos) cancelSome() {
+func (c *faultInjection) cancelSome() {
 	var some []model.JobID
 	for range min(len(c.jobs), 20) {
 		some = append(some, c.jobs[c.draw(len(c.jobs))])
@@ -128,42 +129,44 @@
 	}
 }
 
-func (c *chaos) nextWave() {
+func (c *faultInjection) nextWave() {
 	c.waves++
 	c.site.Revision++
 	c.site.Waves = []model.Wave{{ID: model.WaveID(fmt.Sprint("wave", c.waves)), Pools: []model.PoolID{"drafts", "night"}, Start: c.platform.Now(), Soak: time.Minute}}
 	c.apply(c.site)
 }
 
-// violations are the invariants that do not hold, in the program and in truth.
-func (c *chaos) violations() []string {
-	all := c.broken()
+// violations returns the violated invariants, of the program and of the
+// platform's actual state.
+func (c *faultInjection) violations() []string {
+	all := c.invariantViolations()
 	tally := c.platform.Tally()
 	if tally.Overlaps > 0 {
-		all = append(all, "truth: two attempts of a job ran at once")
+		all = append(all, "platform: two attempts of a job ran at once")
 	}
 	for id, n := range tally.Starts {
 		if j := c.view().Jobs[id]; j != nil && !j.Spec.Idempotent && n > 1 {
-			all = append(all, fmt.Sprintf("truth: job %s is not idempotent and ran %d times", id, n))
+			all = append(all, fmt.Sprintf("platform: job %s is not idempotent and ran %d times", id, n))
 		}
 	}
-	// A reboot that hit another VM is commanded again.
+	// A reboot that was carried out on the wrong VM is commanded again.
 	for id, n := range tally.Asked {
 		if n > c.waves+1+tally.WrongReboots {
-			all = append(all, fmt.Sprintf("truth: VM %s was rebooted %d times in %d waves", id, n, c.waves+1))
+			all = append(all, fmt.Sprintf("platform: VM %s was rebooted %d times in %d waves", id, n, c.waves+1))
 		}
 	}
 	return all
 }
 
-// calmLimit is how long, in virtual time, all may take to come right.
-var calmLimit = 6 * time.Hour
+// recoveryLimit is how long, in virtual time, recovery may take.
+var recoveryLimit = 6 * time.Hour
 
-// calm ends all failures and reports what does not come right by itself.
-func (c *chaos) calm() []string {
+// endFaults ends all faults and returns what does not recover by itself and
+// which invariants were violated.
+func (c *faultInjection) endFaults() []string {
 	c.client.SetFaults(standin.Faults{})
-	c.log.lose = 0
-	clear(c.log.cut)
+	c.log.lossRate = 0
+	clear(c.log.partitioned)
 	everything := func(standin.VM) bool { return true }
 	c.platform.Repair(everything)
 	c.platform.Reconnect(everything)
@@ -171,17 +174,18 @@
 		c.platform.Mend(v.Worker)
 	}
 	var wrong []string
-	if !c.untilBy(4*time.Second, calmLimit, func() bool { return c.settled() == "" }) {
-		wrong = append(wrong, "calm: "+c.settled())
+	if !c.untilBy(4*time.Second, recoveryLimit, func() bool { return c.unfinished() == "" }) {
+		wrong = append(wrong, "not recovered: "+c.unfinished())
 	}
 	return append(wrong, c.violations()...)
 }
 
-// settled says what is still to come; empty when all is well.
-func (c *chaos) settled() string {
+// unfinished describes what has not been completed yet; empty when everything
+// has.
+func (c *faultInjection) unfinished() string {
 	for id, j := range c.view().Jobs {
-		// A job that fails everywhere is held once other jobs show that the
-		// workers are good; until then it may wait.
+		// A job that fails everywhere is held once other jobs succeed on the same
+		// workers; until then it may wait.
 		fails := len(j.Spec.Payload)%11 == 10 && len(j.FailedOn) > 0
 		if !j.State.Final() && !fails {
 			return fmt.Sprintf("job %s is %s: %s", id, j.State, j.Reason)
@@ -204,23 +208,23 @@
 	return ""
 }
 
-// Every promise holds through correlated failures, races, leader changes, a
-// leader that was cut off, and a platform that answers late, twice, out of
-// order, not at all, or reboots the wrong VM.
+// Every invariant holds under correlated failures, races, leader changes, a
+// partitioned leader, and a platform that answers late, twice, out of order or
+// not at all, or that reboots the wrong VM.
 func TestRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		numbers := rapid.IntRange(0, 1<<20)
-		c := newChaos(rapid.Uint64().Draw(t, "seed"), func(n int) int { return numbers.Draw(t, "n") % n }, simOptions{})
+		c := newFaultInjection(rapid.Uint64().Draw(t, "seed"), func(n int) int { return numbers.Draw(t, "n") % n }, simOptions{})
 		for range 25 {
-			c.act()
+			c.randomAction()
 		}
-		if wrong := c.calm(); len(wrong) > 0 {
+		if wrong := c.endFaults(); len(wrong) > 0 {
 			t.Fatal(wrong)
 		}
 	})
 }
 
-// longSteps is how many controller rounds the long run takes.
+// longSteps returns how many controller rounds the long run takes.
 func longSteps(t *testing.T) int {
 	steps, err := strconv.Atoi(os.Getenv("COMFREYLOOM_STEPS"))
 	if err != nil {
@@ -232,25 +236,25 @@
 	return steps
 }
 
-// The same with fixed seeds, as long as COMFREYLOOM_STEPS says.
+// Like TestRandomRuns with fixed seeds, for COMFREYLOOM_STEPS rounds.
 func TestLongRun(t *testing.T) {
 	total, seed := 0, uint64(1)
 	for limit := longSteps(t); total < limit; seed++ {
 		random := rand.New(rand.NewPCG(seed, 42))
-		c := newChaos(seed, random.IntN, simOptions{})
+		c := newFaultInjection(seed, random.IntN, simOptions{})
 		for c.steps < 1000 {
-			c.act()
+			c.randomAction()
 		}
 		total += c.steps
-		if wrong := c.calm(); len(wrong) > 0 {
+		if wrong := c.endFaults(); len(wrong) > 0 {
 			t.Fatalf("seed %d after %d steps: %v", seed, c.steps, wrong)
 		}
 	}
 	t.Logf("seeds 1 to %d, %d steps", seed-1, total)
 }
 
-// Each rule that is switched off is found by the same runs.
-func TestRulesAreNeeded(t *testing.T) {
+// With a rule switched off, the same runs detect a violated invariant.
+func TestInvariantsDetectDisabledRules(t *testing.T) {
 	for name, o := range map[string]simOptions{
 		"commit before command": {config: Config{Rules: Rules{SkipCommit: true}}},
 		"compare boots":         {config: Config{Rules: Rules{Wave: wave.Rules{IgnoreBoot: true}}}},
@@ -265,9 +269,9 @@
 			found, steps := "", 0
 			for seed := uint64(1); found == "" && seed <= 40; seed++ {
 				random := rand.New(rand.NewPCG(seed, 42))
-				c := newChaos(seed, random.IntN, o)
+				c := newFaultInjection(seed, random.IntN, o)
 				for c.steps < 1500 && found == "" {
-					c.act()
+					c.randomAction()
 					if wrong := c.violations(); len(wrong) > 0 {
 						found = wrong[0]
 					}
--- a/internal/controller/replace.go
+++ b/internal/controller/replace.go
@@ -8,15 +8,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// replaceOutdated asks for instances beyond the number of each service that has
-// an instance which is not as the manifest says and can't be spared: they
-// start first, and the outdated one can then go.
+// replaceOutdated requests surge instances for each service with an instance
+// that differs from the manifest and that the budget can't spare: the surge
+// instances start first, then the outdated one can stop.
 //
-// A budget may have nothing left while all instances run, as with two of six
-// in each of three availability zones and four that must stay. A service whose
-// pool or size changes would then stay as it was for good. One notices by
-// instances on VMs of another pool than their service's.
-func (d *decided) replaceOutdated() {
+// A budget may have nothing left although all instances run: for example two of
+// six instances in each of three availability zones, with at least four
+// required. A service whose pool or size changes would then never change. The
+// symptom is instances on VMs of a pool that is not their service's.
+func (d *roundDecision) replaceOutdated() {
 	for _, s := range d.ix.Services {
 		i := slices.IndexFunc(s.Tasks, func(t *model.Task) bool { return t != nil && outdated(d.ix, s, t) })
 		if i < 0 {
@@ -33,36 +33,36 @@
 	}
 }
 
-// outdated reports whether an instance that runs is of another size, or on a
-// VM of another pool, than the manifest says.
+// outdated reports whether the size of a running instance, or the pool of its
+// VM, differs from the manifest.
 func outdated(ix *fleet.Index, s *fleet.Service, t *model.Task) bool {
 	v := ix.VM(t.VM)
 	return v != nil && (t.Size != s.Spec.Size || v.Pool() != s.Spec.Pool)
 }
 
-// replace brings about that the service can spare its instances on a VM: as
-// many as it has there run elsewhere first, where they will be afterwards. If
-// that is not enough, it asks for more as a wave does.
-func (d *decided) replace(s *fleet.Service, v *fleet.VM) {
-	lacks := d.ledger.Lacks(s.Spec.ID, v)
+// replace prepares the service to lose its instances on a VM: it first starts
+// as many elsewhere, spread as they are to be afterwards. If that is not
+// enough, it requests more surge instances, as a wave does.
+func (d *roundDecision) replace(s *fleet.Service, v *fleet.VM) {
+	shortfall := d.ledger.Lacks(s.Spec.ID, v)
 	if d.wave.KeepSurge == nil {
 		return
 	}
 	d.wave.KeepSurge[s.Spec.Pool] = true
-	asked := func(n wave.Surge) bool { return n.Service == s.Spec.ID }
-	if lacks == 0 || slices.ContainsFunc(d.wave.Surge, asked) {
+	requested := func(surge wave.Surge) bool { return surge.Service == s.Spec.ID }
+	if shortfall == 0 || slices.ContainsFunc(d.wave.Surge, requested) {
 		return
 	}
-	if missing := toReplace(s, v); missing > 0 {
+	if missing := replacementsNeeded(s, v); missing > 0 {
 		d.startElsewhere(s, v, missing)
 		return
 	}
-	d.wave.Surge = append(d.wave.Surge, wave.Surge{Service: s.Spec.ID, Target: v.ID, Count: lacks})
+	d.wave.Surge = append(d.wave.Surge, wave.Surge{Service: s.Spec.ID, Target: v.ID, Count: shortfall})
 }
 
-// toReplace counts the service's instances on a VM for which no other, beyond
-// its number, runs elsewhere.
-func toReplace(s *fleet.Service, v *fleet.VM) int {
+// replacementsNeeded counts the service's instances on a VM that have no surge
+// instance elsewhere to replace them.
+func replacementsNeeded(s *fleet.Service, v *fleet.VM) int {
 	n := 0
 	for _, t := range s.Tasks {
 		if t != nil && t.VM == v.ID {
@@ -77,10 +77,10 @@
 	return n
 }
 
-// startElsewhere starts missing instances beyond the service's number on VMs
-// other than v, spread as if the instances on v were gone.
-func (d *decided) startElsewhere(s *fleet.Service, v *fleet.VM, missing int) {
-	counts := d.byDomain(s)
+// startElsewhere starts missing surge instances of the service on VMs other
+// than v, spread as if the instances on v had ended.
+func (d *roundDecision) startElsewhere(s *fleet.Service, v *fleet.VM, missing int) {
+	counts := d.instancesByDomain(s)
 	for _, t := range append(slices.Clone(s.Tasks), s.Extra...) {
 		if t == nil || d.ix.VM(t.VM) == nil {
 			continue
--- a/internal/controller/settle.go
+++ b/internal/controller/reported_tasks.go
@@ -11,18 +11,18 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// settle turns what the platform reported about tasks into actions.
-func (c *Controller) settle(ix *fleet.Index) []state.Action {
+// decideReportedTasks turns the platform's reports on tasks into actions.
+func (c *Controller) decideReportedTasks(ix *fleet.Index) []state.Action {
 	var actions []state.Action
-	for _, t := range sortedTasks(ix.Snap.View, c.toSettle) {
-		report, known := c.soft.world.tasks[t.ID]
+	for _, t := range sortedTasks(ix.Snap.View, c.hasNewReport) {
+		report, known := c.softState.observed.tasks[t.ID]
 		switch {
 		case known && report.Ended != "":
-			c.learn(ix, t, report.Ended)
+			c.recordOutcome(ix, t, report.Ended)
 			actions = append(actions, endAction(ix, t, report.Ended))
 		case known && t.State == model.TaskStarting:
 			actions = append(actions, state.Action{UpdateTask: &state.UpdateTask{Task: t.ID, State: model.TaskRunning, Throttled: t.Throttled}})
-		case c.config.Rules.SkipLeaseWait && gone(ix.VM(t.VM)):
+		case c.config.Rules.SkipLeaseWait && notUp(ix.VM(t.VM)):
 			actions = append(actions, state.Action{EndTask: &state.EndTask{Task: t.ID, Outcome: state.OutcomeLapsed}})
 		}
 	}
@@ -30,13 +30,14 @@
 	return actions
 }
 
-// toSettle leaves out the tasks of which nothing new is known: nearly all.
-func (c *Controller) toSettle(t *model.Task) bool {
-	report, known := c.soft.world.tasks[t.ID]
+// hasNewReport reports whether a task's report may need an action. Nearly all
+// tasks have none.
+func (c *Controller) hasNewReport(t *model.Task) bool {
+	report, known := c.softState.observed.tasks[t.ID]
 	return known && (report.Ended != "" || t.State == model.TaskStarting) || c.config.Rules.SkipLeaseWait
 }
 
-func gone(v *fleet.VM) bool { return v != nil && v.Listed != nil && v.Listed.Health != model.VMUp }
+func notUp(v *fleet.VM) bool { return v != nil && v.Listed != nil && v.Listed.Health != model.VMUp }
 
 func endAction(ix *fleet.Index, t *model.Task, ended platform.Ended) state.Action {
 	outcome := outcomeOf(t, ended)
@@ -48,8 +49,8 @@
 	}
 }
 
-// outcomeOf reads the platform's word. A lapse that the platform reports is
-// sure: the task has ended and may have done part of its work.
+// outcomeOf translates the platform's report. A lapse that the platform reports
+// is certain: the task has ended and may have done part of its work.
 func outcomeOf(t *model.Task, ended platform.Ended) state.TaskOutcome {
 	switch ended {
 	case platform.Succeeded:
@@ -66,8 +67,9 @@
 	}
 }
 
-// learn remembers how a task ended for the estimates and for health.
-func (c *Controller) learn(ix *fleet.Index, t *model.Task, ended platform.Ended) {
+// recordOutcome records how a task ended, for run time estimates and for
+// health.
+func (c *Controller) recordOutcome(ix *fleet.Index, t *model.Task, ended platform.Ended) {
 	if ended != platform.Succeeded && ended != platform.Failed {
 		return
 	}
@@ -75,21 +77,21 @@
 	if job := ix.Job(t.Job); job != nil {
 		class = health.JobClass(&job.Spec)
 		if ended == platform.Succeeded {
-			c.soft.runtimes.observe(&job.Spec, ix.Now().Sub(t.Started))
+			c.softState.runtimes.observe(&job.Spec, ix.Now().Sub(t.Started))
 		}
 	}
-	c.soft.history.Observe(health.Outcome{
+	c.softState.history.Observe(health.Outcome{
 		Subject: health.SubjectOf(t), Class: class, Worker: t.Worker,
 		Failed: ended == platform.Failed, At: ix.Now(),
 	})
 }
 
-// sortedTasks lists the tasks to look at, by ID, so that equal states yield
-// equal decisions.
-func sortedTasks(view *state.View, which func(*model.Task) bool) []*model.Task {
+// sortedTasks returns the tasks that match, sorted by ID, so that equal states
+// yield equal decisions.
+func sortedTasks(view *state.View, match func(*model.Task) bool) []*model.Task {
 	var tasks []*model.Task
 	for _, t := range view.Tasks {
-		if which(t) {
+		if match(t) {
 			tasks = append(tasks, t)
 		}
 	}
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -9,8 +9,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// runtimes learns how long jobs of a kind really run against what they
-// declare: declared run times are far off. It is soft state.
+// runtimes learns the actual run time of jobs by kind, relative to the
+// declared run time, which is often far off. It is soft state.
 type runtimes struct {
 	kinds map[runtimeKey]*runtimeStat
 }
@@ -20,30 +20,31 @@
 	kind string
 }
 
-// runtimeStat holds a decaying mean of the logarithm of run time over
-// declared run time, or of the run time where none is declared.
+// runtimeStat holds a decaying mean of the logarithm of the ratio of actual to
+// declared run time, or of the run time in seconds where none is declared.
 type runtimeStat struct {
 	declared bool
 	mean     float64
-	n        float64
+	count    float64
 }
 
 const (
-	// runtimeDecay is the weight of the newest run once many were seen.
+	// runtimeDecay is the weight of the newest run after many runs.
 	runtimeDecay = 0.1
-	// runtimeKinds bounds the kinds kept: callers name them.
-	runtimeKinds = 4096
-	// unknownRuntime stands for jobs about whose kind nothing is known.
+	// maxRuntimeKinds bounds the kinds that are kept: callers choose the names.
+	maxRuntimeKinds = 4096
+	// unknownRuntime is the estimate for jobs without a declared or learned run
+	// time.
 	unknownRuntime = 10 * time.Minute
-	// overdueShare is what is taken to be left of a task that ran longer than
-	// expected, as a share of its run time so far: what is overdue by much
-	// tends to last.
+	// overdueShare is the estimated remaining time of a task that has run longer
+	// than expected, as a share of its run time so far: a task that is long
+	// overdue tends to run much longer.
 	overdueShare = 0.5
 )
 
 func newRuntimes() *runtimes { return &runtimes{kinds: map[runtimeKey]*runtimeStat{}} }
 
-// observe learns from one task that ended with success.
+// observe records the run time of a task that succeeded.
 func (r *runtimes) observe(spec *model.JobSpec, ran time.Duration) {
 	key := runtimeKey{spec.Team, spec.Kind}
 	value := ran.Seconds()
@@ -52,18 +53,18 @@
 	}
 	s := r.kinds[key]
 	if s == nil || s.declared != (spec.Runtime > 0) {
-		if len(r.kinds) >= runtimeKinds {
+		if len(r.kinds) >= maxRuntimeKinds {
 			clear(r.kinds)
 		}
 		s = &runtimeStat{declared: spec.Runtime > 0}
 		r.kinds[key] = s
 	}
-	s.n++
-	weight := max(1/s.n, runtimeDecay)
+	s.count++
+	weight := max(1/s.count, runtimeDecay)
 	s.mean += weight * (math.Log(max(value, math.SmallestNonzeroFloat32)) - s.mean)
 }
 
-// expected is how long a job is taken to run.
+// expected returns the estimated run time of a job.
 func (r *runtimes) expected(spec *model.JobSpec) time.Duration {
 	s := r.kinds[runtimeKey{spec.Team, spec.Kind}]
 	switch {
@@ -78,7 +79,7 @@
 	}
 }
 
-// remaining is how long a task is taken to run on.
+// remaining returns the estimated remaining run time of a task.
 func (r *runtimes) remaining(spec *model.JobSpec, ran time.Duration) time.Duration {
 	expected := r.expected(spec)
 	if ran < expected {
@@ -87,4 +88,4 @@
 	return time.Duration(overdueShare * float64(ran))
 }
 
-func seen(u platform.Usage) estimate.Seen { return estimate.Seen{Used: u.Used, At: u.At} }
+func usageSample(u platform.Usage) estimate.Seen { return estimate.Seen{Used: u.Used, At: u.At} }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -15,8 +15,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// scaleSim is a site of n workers in the proportions of 1,300 workers, 42
-// pools and 200 teams, with four jobs a worker running and a wave under way.
+// scaleSim returns a simulation of a site of n workers in the proportions of
+// 1,300 workers, 42 pools and 200 teams, with four running jobs per worker and
+// a wave in progress.
 func scaleSim(n int, runtime time.Duration) *sim {
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	pools, teams := max(n*42/1300, 3), max(n*200/1300, 8)
@@ -58,7 +59,7 @@
 	return s
 }
 
-// BenchmarkRound measures the parts of a controller's round in mid-wave.
+// BenchmarkRound measures the parts of a controller's round during a wave.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{50, 200, 800, 1300} {
 		s := scaleSim(n, 3*time.Hour)
@@ -98,9 +99,9 @@
 	}
 }
 
-// BenchmarkWaveAtSize carries a wave through 1,300 workers and 42 pools in
-// virtual time, with a VM failing every two minutes, and reports how long it
-// takes: every VM has to be maintained once in 4 weeks. Run it with -benchtime 1x.
+// BenchmarkWaveAtSize runs a wave through 1,300 workers and 42 pools in virtual
+// time, with a VM failing every two minutes, and reports how long it takes:
+// every VM has to be maintained once in 4 weeks. Run it with -benchtime 1x.
 func BenchmarkWaveAtSize(b *testing.B) {
 	for range b.N {
 		s := scaleSim(1300, 10*time.Minute)
@@ -114,8 +115,8 @@
 			}
 			s.step(2 * time.Second)
 		}
-		if broken := s.broken(); len(broken) > 0 {
-			b.Fatal(broken)
+		if violations := s.invariantViolations(); len(violations) > 0 {
+			b.Fatal(violations)
 		}
 		twice := 0
 		for _, n := range s.platform.Tally().Asked {
--- a/internal/controller/send.go
+++ b/internal/controller/send.go
@@ -8,10 +8,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// sent is what is known about a command that was sent.
-type sent struct {
+// sentCommand records a command that was sent and whether it was accepted.
+type sentCommand struct {
 	at model.Instant
-	// accepted says that the platform answered; otherwise the outcome is unknown.
+	// accepted is set when the platform answered; otherwise the outcome is
+	// unknown.
 	accepted bool
 	command  platform.Command
 }
@@ -19,119 +20,118 @@
 const (
 	// maxCommands bounds the commands of one round.
 	maxCommands = 2000
-	// maxAsks bounds the questions about single tasks in one round.
-	maxAsks = 50
-	// shownAfter is how long the platform may take to show the effect of a
-	// command that it accepted before the command is sent again.
-	shownAfter = 10 * time.Second
-	// forgetSent is how long sent commands are remembered.
-	forgetSent = 10 * time.Minute
+	// maxQueries bounds the queries for single tasks in one round.
+	maxQueries = 50
+	// effectTimeout is how long the platform may take to show the effect of an
+	// accepted command before the command is sent again.
+	effectTimeout = 10 * time.Second
+	// sentRetention is how long sent commands are remembered.
+	sentRetention = 10 * time.Minute
 )
 
-// send hands over the commands that are due. A command whose outcome is
-// unknown waits until the platform was asked: its list is newer than the
-// command, or the task was asked about.
+// send sends the commands that are due. A command with an unknown outcome is
+// not repeated until a list was requested after the command was sent.
 func (c *Controller) send(ctx context.Context, m *commander) {
-	due := make([]platform.Command, 0, len(m.out))
-	for _, command := range m.out {
+	due := make([]platform.Command, 0, len(m.commands))
+	for _, command := range m.commands {
 		if c.due(command, m.now) && len(due) < maxCommands {
 			due = append(due, command)
 		}
 	}
 	c.checkCommands(m.view, due)
-	c.forgetOld(m.now)
+	c.pruneSent(m.now)
 	if len(due) == 0 {
 		return
 	}
-	c.counts.commands.Inc(int64(len(due)))
+	c.counters.commands.Inc(int64(len(due)))
 	answers, err := c.config.Platform.Send(ctx, due)
 	if err != nil {
-		c.notAnswered(due, m.now, err)
+		c.recordUnanswered(due, m.now, err)
 		return
 	}
 	for i, answer := range answers {
-		c.take(due[i], answer, m.now)
+		c.applyAnswer(due[i], answer, m.now)
 	}
 }
 
 func (c *Controller) due(command platform.Command, now model.Instant) bool {
-	before, known := c.soft.sent[command.ID]
-	w := c.soft.world
+	sent, known := c.softState.sent[command.ID]
+	observed := c.softState.observed
 	switch {
 	case !known:
 		return true
-	case before.accepted && command.Kind == platform.Reboot:
-		c.countLostReboot(command, before, now)
+	case sent.accepted && command.Kind == platform.Reboot:
+		c.countLostReboot(command, sent, now)
 		return false
-	case before.accepted:
-		return now.Sub(before.at) > shownAfter
+	case sent.accepted:
+		return now.Sub(sent.at) > effectTimeout
 	case command.Kind.ForVM():
-		return w.vmsSeen > before.at
+		return observed.vmsRequestedAt > sent.at
 	default:
-		return w.tasksSeen > before.at
+		return observed.tasksRequestedAt > sent.at
 	}
 }
 
-// countLostReboot counts an attempt when an accepted reboot had no effect for
-// RebootTimeout: the next round then commands it under a new ID. The platform
-// may have rebooted another VM by mistake; the boot ID that the command names
-// keeps this VM from being rebooted twice.
-func (c *Controller) countLostReboot(command platform.Command, before sent, now model.Instant) {
-	if now.Sub(before.at) > c.config.RebootTimeout {
-		c.soft.attempts[command.VM]++
+// countLostReboot counts an attempt when an accepted reboot had no effect
+// within RebootTimeout: the next round then commands it under a new ID. The
+// platform may have rebooted another VM by mistake. The boot ID in the command
+// prevents a second reboot of this VM.
+func (c *Controller) countLostReboot(command platform.Command, sent sentCommand, now model.Instant) {
+	if now.Sub(sent.at) > c.config.RebootTimeout {
+		c.softState.rebootAttempts[command.VM]++
 	}
 }
 
-func (c *Controller) notAnswered(due []platform.Command, now model.Instant, err error) {
+func (c *Controller) recordUnanswered(due []platform.Command, now model.Instant, err error) {
 	if platform.VerdictOf(err) == model.NotRun {
-		c.counts.notRun.Inc(1)
+		c.counters.commandsNotRun.Inc(1)
 		return
 	}
-	c.counts.unknown.Inc(1)
+	c.counters.commandsUnknown.Inc(1)
 	for _, command := range due {
 		if command.Kind != platform.Renew {
-			c.soft.sent[command.ID] = sent{at: now, command: command}
+			c.softState.sent[command.ID] = sentCommand{at: now, command: command}
 		}
 	}
 }
 
-func (c *Controller) take(command platform.Command, answer platform.Answer, now model.Instant) {
-	w := c.soft.world
+func (c *Controller) applyAnswer(command platform.Command, answer platform.Answer, now model.Instant) {
+	observed := c.softState.observed
 	switch answer.Code {
 	case platform.Accepted:
 		if command.Kind == platform.Renew {
-			c.takeRenewed(command, answer)
+			c.applyRenewal(command, answer)
 			return
 		}
 		if command.Kind == platform.Start {
-			w.renewed[command.Task] = command.LeaseUntil
+			observed.confirmedLeases[command.Task] = command.LeaseUntil
 		}
-		c.soft.sent[command.ID] = sent{at: now, accepted: true, command: command}
+		c.softState.sent[command.ID] = sentCommand{at: now, accepted: true, command: command}
 	case platform.Refused, platform.Stale:
-		c.counts.refusedCommands.Inc(1)
-		c.soft.sent[command.ID] = sent{at: now, accepted: true, command: command}
+		c.counters.refusedCommands.Inc(1)
+		c.softState.sent[command.ID] = sentCommand{at: now, accepted: true, command: command}
 		if command.Kind == platform.Start {
-			// The platform promises that the task never runs.
-			w.takeTask(platform.TaskReport{Task: command.Task, Ended: platform.NeverStarted, Revision: w.tasks[command.Task].Revision})
+			// The platform guarantees that the task never runs.
+			observed.applyTaskReport(platform.TaskReport{Task: command.Task, Ended: platform.NeverStarted, Revision: observed.tasks[command.Task].Revision})
 		}
 	}
 }
 
-func (c *Controller) takeRenewed(command platform.Command, answer platform.Answer) {
-	w := c.soft.world
+func (c *Controller) applyRenewal(command platform.Command, answer platform.Answer) {
+	observed := c.softState.observed
 	for _, id := range command.Tasks {
-		w.renewed[id] = command.LeaseUntil
+		observed.confirmedLeases[id] = command.LeaseUntil
 	}
 	for _, id := range answer.Missing {
-		w.missing[id] = true
+		observed.missing[id] = true
 	}
 }
 
-// ask learns what became of tasks about which the platform's list says
-// nothing.
-func (c *Controller) ask(ctx context.Context, ids []model.TaskID) {
+// queryTasks queries the platform for single tasks whose state its list does
+// not show.
+func (c *Controller) queryTasks(ctx context.Context, ids []model.TaskID) {
 	for i, id := range ids {
-		if i == maxAsks {
+		if i == maxQueries {
 			return
 		}
 		report, known, err := c.config.Platform.Task(ctx, id)
@@ -139,15 +139,15 @@
 			return
 		}
 		if known {
-			c.soft.world.takeTask(report)
+			c.softState.observed.applyTaskReport(report)
 		}
 	}
 }
 
-func (c *Controller) forgetOld(now model.Instant) {
-	for id, s := range c.soft.sent {
-		if now.Sub(s.at) > forgetSent {
-			delete(c.soft.sent, id)
+func (c *Controller) pruneSent(now model.Instant) {
+	for id, s := range c.softState.sent {
+		if now.Sub(s.at) > sentRetention {
+			delete(c.softState.sent, id)
 		}
 	}
 }
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -19,61 +19,62 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// memLog is a control log of one member over the real state machine. With
-// lose it loses answers: half of the lost commands were committed.
+// memLog is an in-memory control log with one member and the real state
+// machine. It loses answers at lossRate; half of the lost commands were
+// committed.
 type memLog struct {
 	state.Log
-	machine *state.Machine
-	leader  model.NodeID
-	term    uint64
-	index   uint64
-	random  *rand.Rand
-	lose    float64
-	// bytes and entries count what was committed.
+	machine  *state.Machine
+	leader   model.NodeID
+	term     uint64
+	index    uint64
+	random   *rand.Rand
+	lossRate float64
+	// bytes and entries count committed commands.
 	bytes, entries int
-	// cut are nodes that a partition keeps from the others: each still takes
-	// itself for the leader, sees an old state and commits nothing.
-	cut map[model.NodeID]cutOff
+	// partitioned are the nodes that a partition separates from the others: each
+	// still considers itself the leader, sees an old state and commits nothing.
+	partitioned map[model.NodeID]partitionedNode
 }
 
-type cutOff struct {
+type partitionedNode struct {
 	view *state.View
 	term uint64
 }
 
-// nodeLog is the log as one node sees it.
+// nodeLog is the log as seen by one node.
 type nodeLog struct {
 	*memLog
 	self model.NodeID
 }
 
 func (l nodeLog) Propose(ctx context.Context, c state.Command) (state.Result, error) {
-	if _, cut := l.cut[l.self]; cut {
+	if _, found := l.partitioned[l.self]; found {
 		return state.Result{}, state.ErrOutcomeUnknown
 	}
 	return l.memLog.Propose(ctx, c)
 }
 
 func (l nodeLog) View() *state.View {
-	if c, cut := l.cut[l.self]; cut {
+	if c, found := l.partitioned[l.self]; found {
 		return c.view
 	}
 	return l.memLog.View()
 }
 
 func (l nodeLog) Leader() (model.NodeID, uint64) {
-	if c, cut := l.cut[l.self]; cut {
+	if c, found := l.partitioned[l.self]; found {
 		return l.self, c.term
 	}
 	return l.memLog.Leader()
 }
 
 func newMemLog(rules state.Rules, seed uint64) *memLog {
-	return &memLog{machine: state.NewMachine(state.Options{Rules: rules}), random: rand.New(rand.NewPCG(seed, 7)), cut: map[model.NodeID]cutOff{}, leader: "a", term: 1}
+	return &memLog{machine: state.NewMachine(state.Options{Rules: rules}), random: rand.New(rand.NewPCG(seed, 7)), partitioned: map[model.NodeID]partitionedNode{}, leader: "a", term: 1}
 }
 
 func (l *memLog) Propose(_ context.Context, c state.Command) (state.Result, error) {
-	lost := l.lose > 0 && l.random.Float64() < l.lose
+	lost := l.lossRate > 0 && l.random.Float64() < l.lossRate
 	if lost && l.random.IntN(2) == 0 {
 		return state.Result{}, state.ErrNotProposed
 	}
@@ -94,7 +95,7 @@
 func (l *memLog) View() *state.View              { return l.machine.View() }
 func (l *memLog) Leader() (model.NodeID, uint64) { return l.leader, l.term }
 
-// sim runs controllers against the stand-in platform in virtual time.
+// sim simulates controllers against the stand-in platform in virtual time.
 type sim struct {
 	log      *memLog
 	platform *standin.Platform
@@ -102,7 +103,7 @@
 	config   Config
 	nodes    map[model.NodeID]*Controller
 	ids      int
-	// startup is how long an instance takes until it serves.
+	// startup is how long an instance takes to start serving.
 	startup time.Duration
 	started map[model.TaskID]model.Instant
 	onStart func(standin.Running)
@@ -140,7 +141,7 @@
 	return s
 }
 
-// serving lists the instances that run for longer than the startup time.
+// serving returns the instances that have run for at least the startup time.
 func (s *sim) serving() map[model.TaskID]bool {
 	serving := s.platform.Serving()
 	for id := range serving {
@@ -152,22 +153,22 @@
 }
 
 func (s *sim) propose(c state.Command) state.Result {
-	result := s.ask(c)
+	result := s.tryPropose(c)
 	if result.Refused != "" {
 		panic(result.Refused)
 	}
 	return result
 }
 
-// ask proposes a command that may be refused.
-func (s *sim) ask(c state.Command) state.Result {
+// tryPropose proposes a command that may be refused.
+func (s *sim) tryPropose(c state.Command) state.Result {
 	s.ids++
 	c.ID = model.CommandID(fmt.Sprintf("sim/%d", s.ids))
 	c.At = s.platform.Now()
-	lose := s.log.lose
-	s.log.lose = 0
+	lossRate := s.log.lossRate
+	s.log.lossRate = 0
 	result, err := s.log.Propose(context.Background(), c)
-	s.log.lose = lose
+	s.log.lossRate = lossRate
 	if err != nil {
 		panic(err)
 	}
@@ -196,16 +197,18 @@
 	return s.nodes[id]
 }
 
-// step lets time pass and takes one round on the leader.
+// step advances the time and takes one round on the leader and on partitioned
+// nodes.
 func (s *sim) step(d time.Duration) {
 	s.platform.Advance(s.platform.Now().Add(d))
 	_ = s.node(s.log.leader).Step(context.Background())
-	for id := range s.log.cut {
+	for id := range s.log.partitioned {
 		_ = s.node(id).Step(context.Background())
 	}
 }
 
-// until steps a second at a time until done says so, at most limit.
+// until steps a second at a time until done returns true, for at most limit. It
+// reports whether done returned true.
 func (s *sim) until(limit time.Duration, done func() bool) bool {
 	return s.untilBy(time.Second, limit, done)
 }
@@ -220,9 +223,9 @@
 	return done()
 }
 
-// cutLeader keeps the leader from the others, who elect another.
-func (s *sim) cutLeader(next model.NodeID) {
-	s.log.cut[s.log.leader] = cutOff{s.view(), s.log.term}
+// partitionLeader separates the leader from the others, who elect next.
+func (s *sim) partitionLeader(next model.NodeID) {
+	s.log.partitioned[s.log.leader] = partitionedNode{s.view(), s.log.term}
 	s.elect(next)
 }
 
@@ -233,8 +236,9 @@
 
 func (s *sim) view() *state.View { return s.log.View() }
 
-// broken are all invariants that broke, in the program and in truth.
-func (s *sim) broken() []string {
+// invariantViolations returns all violated invariants, of the controllers and
+// of the state.
+func (s *sim) invariantViolations() []string {
 	var all []string
 	for _, node := range s.nodes {
 		for _, b := range node.Broken() {
@@ -262,7 +266,7 @@
 	}
 }
 
-// siteVMs builds VMs in zones and racks.
+// siteVMs returns VMs spread over zones and racks.
 func siteVMs(zones, n, perRack int, size model.Resources) []standin.VM {
 	var vms []standin.VM
 	for i := range n {
@@ -279,10 +283,11 @@
 
 func cores(n int64) model.Resources { return model.Resources{MilliCPU: n * 1000, MemoryMB: n * 4000} }
 
-// smallSite has two pools of three services, and a wave over both.
+// smallSite returns a site with two pools, three services and a wave over both
+// pools.
 func smallSite() model.Site {
-	service := func(id model.ServiceID, pool model.PoolID, instances, least int, p model.Priority) model.Service {
-		return model.Service{ID: id, Pool: pool, Instances: instances, MinAvailable: least, Size: cores(2), Slots: 8, Connections: 64, Priority: p}
+	service := func(id model.ServiceID, pool model.PoolID, instances, minAvailable int, p model.Priority) model.Service {
+		return model.Service{ID: id, Pool: pool, Instances: instances, MinAvailable: minAvailable, Size: cores(2), Slots: 8, Connections: 64, Priority: p}
 	}
 	return model.Site{
 		Name: "test", Revision: 1, Policy: model.Policy{MoveWeight: 0.7, BufferWeight: 0.3},
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -10,10 +10,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// byDomain counts the instances of a service, up to its number, by the
-// failure domain whose loss its budget absorbs. Those beyond the number are
-// left out: they go again. So are those whose VM failed.
-func (d *decided) byDomain(s *fleet.Service) map[string]int {
+// instancesByDomain counts the regular instances of a service by the failure
+// domain whose loss its budget absorbs. Surge instances are not counted, since
+// they are temporary, nor are instances whose VM failed.
+func (d *roundDecision) instancesByDomain(s *fleet.Service) map[string]int {
 	counts := map[string]int{}
 	for _, t := range s.Tasks {
 		if t == nil || t.State == model.TaskStopping || d.stopped[t.ID] {
@@ -26,19 +26,19 @@
 	return counts
 }
 
-// spreadStart puts an instance that placement starts into the failure domain
-// with the fewest, as the service's budget counts them: what is left of a
-// budget shrinks with the fullest domain.
-func (c *Controller) spreadStart(d *decided, start *state.StartTask) {
+// spreadStart moves an instance that placement starts to the failure domain
+// with the fewest instances, as the service's budget counts them: the larger
+// the fullest domain, the less of the budget remains.
+func (c *Controller) spreadStart(d *roundDecision, start *state.StartTask) {
 	s, placed := d.ix.Service(start.Task.Service), d.ix.VM(start.Task.VM)
 	if s == nil || placed == nil || start.Task.Ordinal >= s.Spec.Instances {
 		return
 	}
-	// The round planned the instance where placement put it.
-	counts := d.byDomain(s)
+	// The index already counts the instance where placement put it.
+	counts := d.instancesByDomain(s)
 	here := d.ledger.Domain(s.Spec.ID, placed)
 	counts[here]--
-	best := d.emptiest(s, counts)
+	best := d.vmInEmptiestDomain(s, counts)
 	if best == nil || counts[d.ledger.Domain(s.Spec.ID, best)] >= counts[here] {
 		return
 	}
@@ -48,25 +48,26 @@
 	s.Tasks[t.Ordinal] = &moved
 }
 
-// emptiest is the open VM with room in the domain with the fewest instances.
-func (d *decided) emptiest(s *fleet.Service, counts map[string]int) *fleet.VM {
-	return d.emptiestBut(s, counts, nil)
+// vmInEmptiestDomain returns an open VM with enough free capacity in the domain
+// with the fewest instances, nil for none.
+func (d *roundDecision) vmInEmptiestDomain(s *fleet.Service, counts map[string]int) *fleet.VM {
+	return d.vmInEmptiestDomainExcept(s, counts, nil)
 }
 
-// emptiestBut leaves out one VM.
-func (d *decided) emptiestBut(s *fleet.Service, counts map[string]int, but *fleet.VM) *fleet.VM {
+// vmInEmptiestDomainExcept is vmInEmptiestDomain without one VM.
+func (d *roundDecision) vmInEmptiestDomainExcept(s *fleet.Service, counts map[string]int, excluded *fleet.VM) *fleet.VM {
 	p := d.ix.Pool(s.Spec.Pool)
 	if p == nil {
 		return nil
 	}
-	near := nearness(d.ix, s)
+	closeness := proximity(d.ix, s)
 	var best *fleet.VM
 	var bestScore int
 	for _, v := range p.VMs {
-		if v == but || v.Block != fleet.Open || !s.Spec.Size.Fits(v.Free()) {
+		if v == excluded || v.Block != fleet.Open || !s.Spec.Size.Fits(v.Free()) {
 			continue
 		}
-		score := inDomain*counts[d.ledger.Domain(s.Spec.ID, v)] + near(v)
+		score := domainWeight*counts[d.ledger.Domain(s.Spec.ID, v)] + closeness(v)
 		if p.Wave != nil && !v.Maintained {
 			score++
 		}
@@ -77,25 +78,26 @@
 	return best
 }
 
-// inDomain weighs the instances in a failure domain above all else.
-const inDomain = 100_000
+// domainWeight makes the number of instances in a failure domain outweigh all
+// other criteria.
+const domainWeight = 100_000
 
-// respread moves one instance of each service that lies too unevenly, as
-// failures leave it: what is left of its budget would stay low for good. It
-// waits until all instances are available, and for a wave that goes on in the
-// pool, unless the service is short, so that the wave can't go on either.
-func (c *Controller) respread(d *decided) {
+// rebalance moves one instance of each service whose spread is uneven, as after
+// failures: the remainder of its budget would stay low otherwise. It waits
+// until all instances are available, and until the pool's wave has ended,
+// unless the budget is exceeded, which blocks the wave too.
+func (c *Controller) rebalance(d *roundDecision) {
 	for _, s := range d.ix.Services {
-		goesOn := d.wave.KeepSurge[s.Spec.Pool] && d.ledger.Left(s.Spec.ID) >= 0
-		if d.leaveQuarantined(s) || goesOn {
+		waveActive := d.wave.KeepSurge[s.Spec.Pool] && d.ledger.Left(s.Spec.ID) >= 0
+		if d.leaveQuarantined(s) || waveActive {
 			continue
 		}
-		counts := d.byDomain(s)
-		t := d.fullest(s, counts)
-		if t == nil || !d.mayBeUneven(s, t, counts) {
+		counts := d.instancesByDomain(s)
+		t := d.taskInFullestDomain(s, counts)
+		if t == nil || !d.isUneven(s, t, counts) {
 			continue
 		}
-		place := d.emptiest(s, counts)
+		place := d.vmInEmptiestDomain(s, counts)
 		if place == nil {
 			continue
 		}
@@ -103,16 +105,16 @@
 		if counts[from] < counts[to]+2 {
 			continue
 		}
-		d.uneven[s.Spec.ID] = true
+		d.unevenServices[s.Spec.ID] = true
 		if d.ledger.Whole(s.Spec.ID) {
-			d.respreadOne(s, t, place)
+			d.rebalanceOne(s, t, place)
 		}
 	}
 }
 
-// mayBeUneven reports whether a failure domain of the pool has two instances
-// less than the fullest; whether there is room in it is another question.
-func (d *decided) mayBeUneven(s *fleet.Service, fullest *model.Task, counts map[string]int) bool {
+// isUneven reports whether a failure domain of the pool has at least two
+// instances fewer than the fullest. It does not check free capacity there.
+func (d *roundDecision) isUneven(s *fleet.Service, fullest *model.Task, counts map[string]int) bool {
 	most := counts[d.ledger.Domain(s.Spec.ID, d.ix.VM(fullest.VM))]
 	if most < 2 {
 		return false
@@ -124,14 +126,15 @@
 }
 
 // leaveQuarantined stops one instance on a quarantined worker, where it does
-// not count, when there is room elsewhere and enough others are available.
-func (d *decided) leaveQuarantined(s *fleet.Service) bool {
+// not count as available, if another VM has free capacity for it and enough
+// other instances are available. It reports whether it stopped one.
+func (d *roundDecision) leaveQuarantined(s *fleet.Service) bool {
 	if len(d.ix.Snap.View.Quarantines) == 0 || d.ledger.Available(s.Spec.ID) < s.Spec.MinAvailable {
 		return false
 	}
-	room := d.emptiest(s, nil) != nil
+	placeable := d.vmInEmptiestDomain(s, nil) != nil
 	for _, t := range append(slices.Clone(s.Extra), s.Tasks...) {
-		if t == nil || t.State == model.TaskStopping || !room && t.Ordinal < s.Spec.Instances {
+		if t == nil || t.State == model.TaskStopping || !placeable && t.Ordinal < s.Spec.Instances {
 			continue
 		}
 		if v := d.ix.VM(t.VM); v != nil && v.Quarantine != nil {
@@ -142,8 +145,8 @@
 	return false
 }
 
-func (d *decided) respreadOne(s *fleet.Service, t *model.Task, place *fleet.VM) {
-	if d.maySpread(s, t) {
+func (d *roundDecision) rebalanceOne(s *fleet.Service, t *model.Task, place *fleet.VM) {
+	if d.mayStopForSpread(s, t) {
 		d.ledger.Stop(t)
 		d.stop(t, fmt.Sprintf("instances of service %s lie too close together", s.Spec.ID))
 		return
@@ -156,17 +159,17 @@
 	}
 }
 
-// maySpread reports whether the budget allows to stop an instance so that it
-// starts elsewhere: something is left without it, or nothing is lost by it.
-func (d *decided) maySpread(s *fleet.Service, t *model.Task) bool {
+// mayStopForSpread reports whether an instance may stop so that it starts
+// elsewhere: the budget allows it, or the instance contributes nothing to it.
+func (d *roundDecision) mayStopForSpread(s *fleet.Service, t *model.Task) bool {
 	if ok, _ := d.ledger.MayStop(t); ok {
 		return true
 	}
 	return d.ledger.Useless(t, nil) && d.ledger.Available(s.Spec.ID) > s.Spec.MinAvailable
 }
 
-// fullest is an instance in the domain with the most.
-func (d *decided) fullest(s *fleet.Service, counts map[string]int) *model.Task {
+// taskInFullestDomain returns an instance in the domain with the most.
+func (d *roundDecision) taskInFullestDomain(s *fleet.Service, counts map[string]int) *model.Task {
 	var found *model.Task
 	most := 0
 	for _, t := range s.Tasks {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,37 +10,38 @@
 	"github.com/comfreyloom/comfreyloom/internal/wave"
 )
 
-// Status is what the last round found, for operators.
+// Status is the result of the last round, for operators.
 type Status struct {
 	At   model.Instant `json:"at_ms"`
 	Term uint64        `json:"term"`
-	// Stale says that the platform's list is too old to act on.
+	// Stale is set when the platform's list is too old to act on.
 	Stale   bool            `json:"stale"`
 	Budgets budget.Report   `json:"budgets"`
 	Waves   []wave.Progress `json:"waves,omitempty"`
-	// Spares is the arithmetic of the shared spares in words.
+	// Spares describes how the number of shared spares is computed.
 	Spares string          `json:"spares,omitempty"`
 	Pools  []PoolStatus    `json:"pools"`
 	Spared []health.Spared `json:"spared,omitempty"`
 	Broken []Broken        `json:"broken,omitempty"`
 }
 
-// PoolStatus is one pool's demand in words.
+// PoolStatus describes a pool's demand.
 type PoolStatus struct {
 	Pool  model.PoolID `json:"pool"`
 	VMs   int          `json:"vms"`
 	Words string       `json:"words"`
 }
 
-// Status returns what the last round found; zero before the first.
+// Status returns the result of the last round; before the first, only the
+// violations are set.
 func (c *Controller) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Status{Broken: slices.Clone(c.broken)}
-	if c.last == nil {
+	s := Status{Broken: slices.Clone(c.violations)}
+	if c.lastRound == nil {
 		return s
 	}
-	d := c.last
+	d := c.lastRound
 	s.At, s.Term, s.Stale = d.at, d.term, d.stale
 	s.Budgets = d.ledger.Report()
 	s.Waves = wave.ProgressOf(d.ix, d.wave.Waiting, c.config.Wave)
@@ -52,10 +53,10 @@
 	return s
 }
 
-// publish keeps the round for Status; the next round builds its own.
-func (c *Controller) publish(d *decided) {
-	c.counts.measure(d)
+// publish makes the round available to Status. Later rounds don't modify it.
+func (c *Controller) publish(d *roundDecision) {
+	c.counters.setGauges(d)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = d
+	c.lastRound = d
 }
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -25,61 +25,61 @@
 	}
 	c.observe(ctx)
 	c.checkState()
-	if c.quiet() {
-		c.counts.quiet.Inc(1)
+	if c.unchanged() {
+		c.counters.skippedRounds.Inc(1)
 		return nil
 	}
-	decided := c.decide()
+	decision := c.decide()
 	if c.config.Rules.SkipCommit {
-		c.soft.ungranted = decided.granted()
+		c.softState.uncommittedGrants = decision.grantedVMs()
 	}
-	err := c.commit(ctx, decided)
+	err := c.commit(ctx, decision)
 	if c.superseded() {
 		return errSuperseded
 	}
 	sent := c.command(ctx)
-	c.publish(decided)
-	c.soft.settled = err == nil && len(decided.actions) == 0 && !sent
+	c.publish(decision)
+	c.softState.idle = err == nil && len(decision.actions) == 0 && !sent
 	return err
 }
 
-// quiet reports whether a round would find the same as the last one, which
-// found nothing to do: neither the state nor the platform nor the announced
-// instances changed since, and the last round is not long ago. Leases, soaks
-// and other times pass without a change, so rounds are left out for a short
-// while only.
-func (c *Controller) quiet() bool {
-	s := c.soft
-	seen := lastSeen{index: c.config.Log.View().Index, changes: s.world.changes, serving: c.config.Serving()}
+// unchanged reports whether the last round found nothing to do and a new one
+// would find the same: the state, the platform's reports and the announced
+// instances are as they were. Leases, soaks and other timers expire without any
+// such change, so rounds are skipped for at most maxSkipTime.
+func (c *Controller) unchanged() bool {
+	s := c.softState
+	inputs := roundInputs{index: c.config.Log.View().Index, changes: s.observed.changes, serving: c.config.Serving()}
 	now := c.config.Clock()
-	same := s.settled && s.seen.index == seen.index && s.seen.changes == seen.changes && maps.Equal(s.seen.serving, seen.serving)
-	if same && now.Sub(s.seen.at) < quietFor && !c.stale(now) {
+	same := s.idle && s.lastInputs.index == inputs.index && s.lastInputs.changes == inputs.changes && maps.Equal(s.lastInputs.serving, inputs.serving)
+	if same && now.Sub(s.lastInputs.at) < maxSkipTime && !c.stale(now) {
 		return true
 	}
-	seen.at = now
-	s.seen = seen
+	inputs.at = now
+	s.lastInputs = inputs
 	return false
 }
 
-// quietFor bounds how long rounds are left out.
-const quietFor = 3 * time.Second
+// maxSkipTime bounds how long rounds are skipped.
+const maxSkipTime = 3 * time.Second
 
-// lastSeen is what the last full round looked at.
-type lastSeen struct {
+// roundInputs identifies what a full round read.
+type roundInputs struct {
 	at      model.Instant
 	index   uint64
 	changes uint64
 	serving map[model.TaskID]bool
 }
 
-// errSuperseded says that the platform took commands of a later term.
+// errSuperseded is returned when the platform has taken commands of a later
+// term.
 var errSuperseded = errors.New("controller: a later controller commands the platform")
 
-// superseded reports whether the platform took commands of a later term. A
-// leader that is cut off from the other voters may not know yet that it was
-// replaced; it then sends nothing more.
+// superseded reports whether the platform has taken commands of a later term. A
+// leader that is partitioned from the other voters may not have noticed yet
+// that it was replaced; it then sends no more commands.
 func (c *Controller) superseded() bool {
-	for _, r := range c.soft.world.vms {
+	for _, r := range c.softState.observed.vms {
 		if r.Fence.Term > c.term {
 			return true
 		}
@@ -87,20 +87,20 @@
 	return false
 }
 
-// stepDown forgets what was learned as leader: when this node leads again the
-// world has moved on.
+// stepDown drops the soft state: by the time this node leads again it is out of
+// date.
 func (c *Controller) stepDown() {
 	if c.term == 0 {
 		return
 	}
-	c.config.Logger.WithField("term", c.term).Info("controller: not the leader any more")
+	c.config.Logger.WithField("term", c.term).Info("controller: lost leadership")
 	c.term = 0
-	c.soft = newSoft()
+	c.softState = newSoftState()
 }
 
-// beginTerm commits the start of the term before anything else: it fences the
-// plans of earlier leaders, and once it is applied here this node has applied
-// every plan that they committed.
+// beginTerm commits the start of the term before anything else. This fences the
+// plans of earlier leaders, and once it is applied on this node, every plan
+// that they committed is applied too.
 func (c *Controller) beginTerm(ctx context.Context, term uint64) error {
 	if c.term == term {
 		return nil
@@ -114,18 +114,18 @@
 		StartTerm: &state.StartTerm{Leader: c.config.Self},
 	})
 	if err != nil {
-		return oops.Wrapf(err, "controller: begin term %d", term)
+		return oops.Wrapf(err, "controller: start term %d", term)
 	}
 	if result.Refused != "" {
-		return oops.Errorf("controller: begin term %d: %s", term, result.Refused)
+		return oops.Errorf("controller: start of term %d refused: %s", term, result.Refused)
 	}
 	c.term = term
-	c.config.Logger.WithField("term", term).Info("controller: term begins")
+	c.config.Logger.WithField("term", term).Info("controller: term started")
 	return nil
 }
 
-// commit proposes what the round decided as one plan.
-func (c *Controller) commit(ctx context.Context, d *decided) error {
+// commit proposes the round's actions as one plan.
+func (c *Controller) commit(ctx context.Context, d *roundDecision) error {
 	if len(d.actions) == 0 {
 		return nil
 	}
@@ -143,10 +143,10 @@
 	if result.Refused != "" {
 		return oops.Errorf("controller: plan refused: %s", result.Refused)
 	}
-	c.counts.actions.Inc(int64(len(d.actions)))
+	c.counters.actions.Inc(int64(len(d.actions)))
 	for i, refusal := range result.Actions {
 		if refusal != "" {
-			c.counts.refused.Inc(1)
+			c.counters.refusedActions.Inc(1)
 			c.config.Logger.WithField("reason", d.actions[i].Reason).Debugf("controller: action refused: %s", refusal)
 		}
 	}
--- a/internal/controller/surge.go
+++ b/internal/controller/surge.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// decideSurge starts the instances beyond a service's number that a wave
-// asked for. They run at ordinals from the number up, and stop once no VM of
-// the pool is left to be drained.
-func (c *Controller) decideSurge(d *decided) {
+// decideSurge starts the surge instances that a wave requested: instances
+// beyond the number in the service's spec. Their ordinals start at that number,
+// and they stop once no VM of the pool is left to drain.
+func (c *Controller) decideSurge(d *roundDecision) {
 	for _, s := range d.ix.Services {
 		c.replaceLost(d, s)
 	}
@@ -21,7 +21,7 @@
 		if s == nil || target == nil {
 			continue
 		}
-		missing := need.Count - starting(d.ix, s)
+		missing := need.Count - countStarting(d.ix, s)
 		for i := 0; i < s.Spec.MaxSurge() && missing > 0; i++ {
 			ordinal := s.Spec.Instances + i
 			if !hasOrdinal(s, ordinal) && c.startSurge(d, s, ordinal, target) {
@@ -29,29 +29,30 @@
 			}
 		}
 		if missing > 0 && len(s.Extra) >= s.Spec.MaxSurge() {
-			c.dropUseless(d, s, target)
+			c.stopUnhelpful(d, s, target)
 		} else if missing > 0 {
-			d.unhelped[s.Spec.Pool] = need
+			d.unmetSurges[s.Spec.Pool] = need
 		}
 	}
 }
 
-// replaceLost starts an instance elsewhere, at once, for each whose VM failed.
-// The ordinal itself waits until the lost task's lease has ended; until then
-// the service would have one less, and a second failure could break its budget.
-func (c *Controller) replaceLost(d *decided, s *fleet.Service) {
+// replaceLost immediately starts a surge instance elsewhere for each instance
+// whose VM failed. The ordinal itself can't start again until the lost task's
+// lease has ended; until then the service would have one instance fewer, and a
+// second failure could take it below its budget.
+func (c *Controller) replaceLost(d *roundDecision, s *fleet.Service) {
 	lost := 0
 	for _, t := range s.Tasks {
 		if t != nil && d.ledger.Down(d.ix.VM(t.VM)) == budget.Failed && !d.ix.Ending(t.ID) {
 			lost++
 		}
 	}
-	d.lost[s.Spec.ID] = lost
-	missing := lost - running(s.Extra)
+	d.lostInstances[s.Spec.ID] = lost
+	missing := lost - countRunning(s.Extra)
 	if missing <= 0 {
 		return
 	}
-	counts := d.byDomain(s)
+	counts := d.instancesByDomain(s)
 	for _, t := range s.Extra {
 		if v := d.ix.VM(t.VM); v != nil {
 			counts[d.ledger.Domain(s.Spec.ID, v)]++
@@ -60,15 +61,15 @@
 	d.startSpread(s, counts, nil, missing, "the VM of another failed")
 }
 
-// startSpread starts up to n instances beyond the service's number, each in
-// the failure domain with the fewest by counts, none on the VM but.
-func (d *decided) startSpread(s *fleet.Service, counts map[string]int, but *fleet.VM, n int, why string) {
+// startSpread starts up to n surge instances, each in the failure domain with
+// the fewest instances by counts, none of them on the excluded VM.
+func (d *roundDecision) startSpread(s *fleet.Service, counts map[string]int, excluded *fleet.VM, n int, why string) {
 	for i := 0; i < s.Spec.MaxSurge() && n > 0; i++ {
 		ordinal := s.Spec.Instances + i
 		if hasOrdinal(s, ordinal) {
 			continue
 		}
-		place := d.emptiestBut(s, counts, but)
+		place := d.vmInEmptiestDomainExcept(s, counts, excluded)
 		if place == nil {
 			return
 		}
@@ -78,7 +79,7 @@
 	}
 }
 
-func running(tasks []*model.Task) int {
+func countRunning(tasks []*model.Task) int {
 	n := 0
 	for _, t := range tasks {
 		if t.State != model.TaskStopping {
@@ -88,8 +89,8 @@
 	return n
 }
 
-// starting counts the instances beyond the number that do not serve yet.
-func starting(ix *fleet.Index, s *fleet.Service) int {
+// countStarting counts the surge instances that do not serve yet.
+func countStarting(ix *fleet.Index, s *fleet.Service) int {
 	n := 0
 	for _, t := range s.Extra {
 		if t.State != model.TaskStopping && !ix.Snap.Serving[t.ID] {
@@ -99,10 +100,10 @@
 	return n
 }
 
-// dropUseless stops an instance beyond the number that does not help the
-// target, or is on it, to free its ordinal. The budget as it is now must allow
-// it too: what helps no target may be what a permit just granted stands on.
-func (c *Controller) dropUseless(d *decided, s *fleet.Service, target *fleet.VM) {
+// stopUnhelpful stops a surge instance that does not help to drain the target,
+// or runs on it, to free its ordinal. The current budget must allow that too: a
+// permit that was just granted may depend on an instance that helps no target.
+func (c *Controller) stopUnhelpful(d *roundDecision, s *fleet.Service, target *fleet.VM) {
 	for _, t := range s.Extra {
 		if t.State == model.TaskStopping || t.VM != target.ID && !d.ledger.Useless(t, target) {
 			continue
@@ -116,18 +117,18 @@
 	}
 }
 
-// keepSurge reports whether an instance beyond its service's number is to
-// stay: it stands in for one whose VM failed or for one that moves, or VMs of
-// its pool are yet to be drained and it will be needed again.
-func (c *Controller) keepSurge(d *decided, s *fleet.Service, t *model.Task) bool {
+// keepSurge reports whether a surge instance has to stay: it replaces an
+// instance whose VM failed or one that moves, or VMs of its pool are yet to be
+// drained, so that it will be needed again.
+func (c *Controller) keepSurge(d *roundDecision, s *fleet.Service, t *model.Task) bool {
 	if s == nil || t.Ordinal < s.Spec.Instances || t.Ordinal >= s.Spec.Instances+s.Spec.MaxSurge() {
 		return false
 	}
 	if v := d.ix.VM(t.VM); v == nil || v.Moving() || outdated(d.ix, s, t) {
-		// Kept, it would keep its VM from ever leaving the pool.
+		// If it stayed, its VM could never leave the pool.
 		return false
 	}
-	return d.lost[t.Service] > 0 || d.wave.KeepSurge[s.Spec.Pool] || d.uneven[t.Service] && !d.ledger.Useless(t, nil)
+	return d.lostInstances[t.Service] > 0 || d.wave.KeepSurge[s.Spec.Pool] || d.unevenServices[t.Service] && !d.ledger.Useless(t, nil)
 }
 
 func hasOrdinal(s *fleet.Service, ordinal int) bool {
@@ -139,8 +140,8 @@
 	return false
 }
 
-func (c *Controller) startSurge(d *decided, s *fleet.Service, ordinal int, target *fleet.VM) bool {
-	v := surgePlace(d, d.ix.Pool(s.Spec.Pool), s, target)
+func (c *Controller) startSurge(d *roundDecision, s *fleet.Service, ordinal int, target *fleet.VM) bool {
+	v := surgeVM(d, d.ix.Pool(s.Spec.Pool), s, target)
 	if v == nil {
 		return false
 	}
@@ -148,7 +149,7 @@
 	return true
 }
 
-func (d *decided) startSurgeOn(s *fleet.Service, ordinal int, v *fleet.VM, why string) {
+func (d *roundDecision) startSurgeOn(s *fleet.Service, ordinal int, v *fleet.VM, why string) {
 	name := fmt.Sprintf("%s.%d.%d", s.Spec.ID, ordinal, d.ix.Snap.View.Index)
 	if d.ix.Snap.Region != "" {
 		name = model.Qualify(d.ix.Snap.Region, name)
@@ -165,21 +166,21 @@
 	d.add(a)
 }
 
-// surgePlace is the open VM with room where an instance helps to drain the
-// target, that shares the fewest failure domains with the service's instances;
-// one that is done with the wave before others.
-func surgePlace(d *decided, p *fleet.Pool, s *fleet.Service, target *fleet.VM) *fleet.VM {
+// surgeVM returns the open VM with enough free capacity where an instance helps
+// to drain the target and that is least close to the service's instances; VMs
+// that are done with the wave come first among equals. It returns nil for none.
+func surgeVM(d *roundDecision, p *fleet.Pool, s *fleet.Service, target *fleet.VM) *fleet.VM {
 	if p == nil {
 		return nil
 	}
-	near := nearness(d.ix, s)
+	closeness := proximity(d.ix, s)
 	var best *fleet.VM
 	var bestScore int
 	for _, v := range p.VMs {
 		if v.Block != fleet.Open || !s.Spec.Size.Fits(v.Free()) || !d.ledger.Helps(s.Spec.ID, target, v) {
 			continue
 		}
-		score := near(v)
+		score := closeness(v)
 		if !v.Maintained {
 			score++
 		}
@@ -190,9 +191,9 @@
 	return best
 }
 
-// nearness weighs how close a VM is to the service's instances: on the same
+// proximity scores how close a VM is to the service's instances: on the same
 // VM, rack or availability zone.
-func nearness(ix *fleet.Index, s *fleet.Service) func(*fleet.VM) int {
+func proximity(ix *fleet.Index, s *fleet.Service) func(*fleet.VM) int {
 	const onVM, inRack, inZone = 1000, 100, 10
 	vms, racks, zones := map[model.VMID]int{}, map[int]int{}, map[int]int{}
 	for _, t := range append(append([]*model.Task(nil), s.Tasks...), s.Extra...) {
--- a/internal/controller/world.go
+++ b/internal/controller/world.go
@@ -11,171 +11,175 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// world is what the platform said last.
-type world struct {
+// observedState is what the platform reported last.
+type observedState struct {
 	vms map[model.VMID]platform.VMReport
-	// vmsAt is when the list was made, by the platform's clock; vmsSeen when
-	// it was asked for, by ours.
-	vmsAt     model.Instant
-	vmsSeen   model.Instant
-	vmsCursor platform.Cursor
-	vmsFullAt model.Instant
-	// listed is the form of vms that decisions read.
+	// vmsListedAt is when the platform made the list, by its own clock;
+	// vmsRequestedAt is when the list was requested, by the clock of this node.
+	vmsListedAt    model.Instant
+	vmsRequestedAt model.Instant
+	vmsCursor      platform.Cursor
+	vmsFullListAt  model.Instant
+	// listed holds vms in the form that decisions read.
 	listed map[model.VMID]*model.VM
 
-	tasks       map[model.TaskID]platform.TaskReport
-	tasksAt     model.Instant
-	tasksSeen   model.Instant
-	tasksCursor platform.Cursor
-	tasksFullAt model.Instant
-	// missing are tasks that the platform does not run, by a renewal's answer.
+	tasks            map[model.TaskID]platform.TaskReport
+	tasksListedAt    model.Instant
+	tasksRequestedAt model.Instant
+	tasksCursor      platform.Cursor
+	tasksFullListAt  model.Instant
+	// missing holds the tasks that the platform does not run, according to its
+	// answer to a renewal.
 	missing map[model.TaskID]bool
-	// renewed is the lease that the platform confirmed for each task.
-	renewed map[model.TaskID]model.Instant
+	// confirmedLeases is the lease that the platform confirmed for each task.
+	confirmedLeases map[model.TaskID]model.Instant
 
 	usage       map[model.TaskID]fleet.Usage
 	usageCursor platform.Cursor
 
-	// changes counts what the platform reported as changed; measuredAt and
-	// cleanedAt say for which changes, and which state, the rest was worked out.
-	changes, measuredAt, cleanedAt uint64
+	// changes counts the changes that the platform reported. listedChanges is
+	// the value of changes for which listed was built, and prunedIndex the index
+	// of the state for which ended tasks were pruned.
+	changes, listedChanges, prunedIndex uint64
 
 	absence fleet.Absence
 	absent  map[model.VMID]model.Instant
 }
 
-func newWorld() *world {
-	return &world{
-		vms:     map[model.VMID]platform.VMReport{},
-		listed:  map[model.VMID]*model.VM{},
-		tasks:   map[model.TaskID]platform.TaskReport{},
-		missing: map[model.TaskID]bool{},
-		renewed: map[model.TaskID]model.Instant{},
-		usage:   map[model.TaskID]fleet.Usage{},
+func newObservedState() *observedState {
+	return &observedState{
+		vms:             map[model.VMID]platform.VMReport{},
+		listed:          map[model.VMID]*model.VM{},
+		tasks:           map[model.TaskID]platform.TaskReport{},
+		missing:         map[model.TaskID]bool{},
+		confirmedLeases: map[model.TaskID]model.Instant{},
+		usage:           map[model.TaskID]fleet.Usage{},
 	}
 }
 
-// fullEvery is how often whole lists are asked for though only changes are
-// needed, so that no lost change lasts.
-const fullEvery = 10 * time.Minute
+// fullListInterval is how often full lists are requested although only changes
+// are needed, so that a lost change is repaired.
+const fullListInterval = 10 * time.Minute
 
-// cursorAt is the cursor to ask with: none, which asks for the whole list, when
-// the last whole list is older than fullEvery.
+// cursorAt returns the cursor to request with: an empty one, which requests the
+// full list, when the last full list is older than fullListInterval.
 func cursorAt(now, fullAt model.Instant, cursor platform.Cursor) platform.Cursor {
-	if now.Sub(fullAt) > fullEvery {
+	if now.Sub(fullAt) > fullListInterval {
 		return ""
 	}
 	return cursor
 }
 
-// observe asks the platform what changed. What can't be had stays as it was.
+// observe requests changes from the platform. Data that can't be read stays as
+// it was.
 //
-// An answer to another question than was asked, such as one that comes late,
-// may lack changes that its cursor leaves behind: the end of a task would then
-// never be seen. It names the cursor that it answers to, and is dropped.
+// An answer to a different request, such as one that arrives late, may lack
+// changes that its next cursor skips, so that the end of a task would never be
+// seen. Every answer names the cursor that was requested; an answer for another
+// cursor is dropped.
 func (c *Controller) observe(ctx context.Context) {
-	w := c.soft.world
+	o := c.softState.observed
 	now := c.config.Clock()
-	since := cursorAt(now, w.vmsFullAt, w.vmsCursor)
+	since := cursorAt(now, o.vmsFullListAt, o.vmsCursor)
 	vms, err := c.config.Platform.VMs(ctx, since)
-	if !c.counts.observed(err) {
-		return // what does not answer now would only hold up the round
+	if !c.counters.observationSucceeded(err) {
+		return // further requests to an unavailable platform would delay the round
 	}
 	if vms.Since == since {
-		w.takeVMs(vms, now)
+		o.applyVMList(vms, now)
 	}
-	since = cursorAt(now, w.tasksFullAt, w.tasksCursor)
-	if list, err := c.config.Platform.Tasks(ctx, since); c.counts.observed(err) && list.Since == since {
-		w.takeTasks(list, now)
+	since = cursorAt(now, o.tasksFullListAt, o.tasksCursor)
+	if list, err := c.config.Platform.Tasks(ctx, since); c.counters.observationSucceeded(err) && list.Since == since {
+		o.applyTaskList(list, now)
 	}
-	if list, err := c.config.Platform.Usage(ctx, w.usageCursor); c.counts.observed(err) {
-		c.takeUsage(list)
+	if list, err := c.config.Platform.Usage(ctx, o.usageCursor); c.counters.observationSucceeded(err) {
+		c.applyUsage(list)
 	}
 	view := c.config.Log.View()
-	if view.Index != w.cleanedAt {
-		w.cleanedAt = view.Index
-		w.forget(view)
+	if view.Index != o.prunedIndex {
+		o.prunedIndex = view.Index
+		o.pruneTasks(view)
 	}
-	if w.changes != w.measuredAt || len(w.listed) != len(w.vms) {
-		w.measuredAt = w.changes
-		w.measure(view)
+	if o.changes != o.listedChanges || len(o.listed) != len(o.vms) {
+		o.listedChanges = o.changes
+		o.rebuildListed(view)
 	}
-	if w.vmsFullAt > 0 {
-		w.absent = w.absence.Observe(now, w.listed, view.Owners)
+	if o.vmsFullListAt > 0 {
+		o.absent = o.absence.Observe(now, o.listed, view.Owners)
 	}
 }
 
-// stale reports whether the list of VMs is too old to take anything out on
-// purpose: VMs may have failed that it still shows as up. A new leader knows
-// nothing until it has a full list; an answer to an earlier question may list
-// some VMs only, and the others are not gone.
+// stale reports whether the list of VMs is too old for planned disruptions: VMs
+// that it shows as up may have failed. A new leader's list is stale until it
+// has a full one: an answer to an earlier request may hold only some VMs, and
+// the others are not lost.
 func (c *Controller) stale(now model.Instant) bool {
-	w := c.soft.world
-	return w.vmsFullAt == 0 || now.Sub(w.vmsSeen) > c.config.StaleAfter
+	o := c.softState.observed
+	return o.vmsFullListAt == 0 || now.Sub(o.vmsRequestedAt) > c.config.StaleAfter
 }
 
-// takeVMs enters a list. A list made before the one in hand is an answer that
-// came late; it would show VMs as up that failed since.
-func (w *world) takeVMs(list platform.VMList, now model.Instant) {
-	if list.At <= w.vmsAt || list.Next == "" {
+// applyVMList applies a list. A list made before the current one is a late
+// answer and is dropped; it would show VMs as up that have failed since.
+func (o *observedState) applyVMList(list platform.VMList, now model.Instant) {
+	if list.At <= o.vmsListedAt || list.Next == "" {
 		return
 	}
 	if list.Full {
-		clear(w.vms)
-		w.vmsFullAt = now
+		clear(o.vms)
+		o.vmsFullListAt = now
 	}
 	for _, id := range list.Removed {
-		delete(w.vms, id)
+		delete(o.vms, id)
 	}
-	w.changes += uint64(len(list.VMs) + len(list.Removed))
+	o.changes += uint64(len(list.VMs) + len(list.Removed))
 	for _, report := range list.VMs {
-		if known, ok := w.vms[report.VM]; !ok || report.Revision >= known.Revision {
-			w.vms[report.VM] = report
+		if known, ok := o.vms[report.VM]; !ok || report.Revision >= known.Revision {
+			o.vms[report.VM] = report
 		}
 	}
-	w.vmsAt, w.vmsSeen = list.At, now
-	w.vmsCursor = list.Next
+	o.vmsListedAt, o.vmsRequestedAt = list.At, now
+	o.vmsCursor = list.Next
 }
 
-func (w *world) takeTasks(list platform.TaskList, now model.Instant) {
-	if list.At <= w.tasksAt || list.Next == "" {
+func (o *observedState) applyTaskList(list platform.TaskList, now model.Instant) {
+	if list.At <= o.tasksListedAt || list.Next == "" {
 		return
 	}
 	if list.Full {
-		w.tasksFullAt = now
+		o.tasksFullListAt = now
 	}
 	for _, report := range list.Tasks {
-		w.takeTask(report)
+		o.applyTaskReport(report)
 	}
-	w.changes += uint64(len(list.Tasks))
-	w.tasksAt, w.tasksSeen = list.At, now
-	w.tasksCursor = list.Next
+	o.changes += uint64(len(list.Tasks))
+	o.tasksListedAt, o.tasksRequestedAt = list.At, now
+	o.tasksCursor = list.Next
 }
 
-// takeTask enters a report unless a later one is known. What ended stays
-// ended, whatever comes late.
-func (w *world) takeTask(report platform.TaskReport) {
-	known, ok := w.tasks[report.Task]
+// applyTaskReport applies a report unless a later one is known. A task that
+// ended stays ended, whatever reports arrive late.
+func (o *observedState) applyTaskReport(report platform.TaskReport) {
+	known, ok := o.tasks[report.Task]
 	if ok && (known.Ended != "" || report.Revision < known.Revision) {
 		return
 	}
-	w.tasks[report.Task] = report
+	o.tasks[report.Task] = report
 	if report.Ended == "" {
-		delete(w.missing, report.Task)
+		delete(o.missing, report.Task)
 	}
 }
 
-// forget drops what is known of tasks that the state no longer has.
-func (w *world) forget(view *state.View) {
-	dropGone(w.tasks, view)
-	dropGone(w.missing, view)
-	dropGone(w.renewed, view)
-	// Status may still read the map of measurements that the last round used.
-	w.usage = maps.Clone(w.usage)
-	dropGone(w.usage, view)
+// pruneTasks drops the data of tasks that are no longer in the state.
+func (o *observedState) pruneTasks(view *state.View) {
+	pruneMissingTasks(o.tasks, view)
+	pruneMissingTasks(o.missing, view)
+	pruneMissingTasks(o.confirmedLeases, view)
+	// Status may still read the usage map of the last round.
+	o.usage = maps.Clone(o.usage)
+	pruneMissingTasks(o.usage, view)
 }
 
-func dropGone[T any](known map[model.TaskID]T, view *state.View) {
+func pruneMissingTasks[T any](known map[model.TaskID]T, view *state.View) {
 	for id := range known {
 		if view.Tasks[id] == nil {
 			delete(known, id)
@@ -183,57 +187,58 @@
 	}
 }
 
-// measure builds the VMs as decisions read them, with their measured use.
-func (w *world) measure(view *state.View) {
-	w.listed = make(map[model.VMID]*model.VM, len(w.vms))
-	for id, r := range w.vms {
-		w.listed[id] = &model.VM{
+// rebuildListed builds the VMs as decisions read them, with their measured
+// usage.
+func (o *observedState) rebuildListed(view *state.View) {
+	o.listed = make(map[model.VMID]*model.VM, len(o.vms))
+	for id, r := range o.vms {
+		o.listed[id] = &model.VM{
 			ID: id, Worker: r.Worker, Zone: r.Zone, Rack: r.Rack, Capacity: r.Capacity,
 			Health: platform.ParseHealth(r.Health), HealthSince: r.HealthSince,
 			BootID: r.BootID, Drained: r.Drained,
 		}
 	}
-	for id, u := range w.usage {
+	for id, u := range o.usage {
 		t := view.Tasks[id]
 		if t == nil {
 			continue
 		}
-		if vm := w.listed[t.VM]; vm != nil {
+		if vm := o.listed[t.VM]; vm != nil {
 			vm.Busy = vm.Busy.Plus(u.Used)
 			vm.UsageAt = max(vm.UsageAt, u.At)
 		}
 	}
 }
 
-// takeUsage enters measurements and learns from them.
-func (c *Controller) takeUsage(list platform.UsageList) {
-	w := c.soft.world
+// applyUsage applies usage measurements and adds them to the size estimates.
+func (c *Controller) applyUsage(list platform.UsageList) {
+	o := c.softState.observed
 	view := c.config.Log.View()
 	if len(list.Usage) > 0 {
-		w.usage = maps.Clone(w.usage)
+		o.usage = maps.Clone(o.usage)
 	}
 	for _, u := range list.Usage {
 		t := view.Tasks[u.Task]
-		if t == nil || u.At < w.usage[u.Task].At {
+		if t == nil || u.At < o.usage[u.Task].At {
 			continue
 		}
-		w.usage[u.Task] = fleet.Usage{Used: u.Used, At: u.At}
+		o.usage[u.Task] = fleet.Usage{Used: u.Used, At: u.At}
 		if job := view.Jobs[t.Job]; job != nil {
-			c.soft.sizes.Observe(&job.Spec, t, seen(u))
+			c.softState.sizes.Observe(&job.Spec, t, usageSample(u))
 		}
 	}
-	w.changes += uint64(len(list.Usage))
+	o.changes += uint64(len(list.Usage))
 	if list.Next != "" {
-		w.usageCursor = list.Next
+		o.usageCursor = list.Next
 	}
 }
 
-// returned holds the VMs under permit for which the platform accepted the
-// last step, an undrain or return, of this very permit.
-func (w *world) returned(view *state.View) map[model.VMID]bool {
+// returned returns the VMs with a permit for which the platform has accepted
+// the permit's last step, an undrain or a return.
+func (o *observedState) returned(view *state.View) map[model.VMID]bool {
 	returned := map[model.VMID]bool{}
 	for id, p := range view.Permits {
-		f := w.vms[id].Fence
+		f := o.vms[id].Fence
 		if f.Generation == p.Generation && f.Step == platform.Undrain.Step() {
 			returned[id] = true
 		}
