--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -103,7 +103,7 @@
 		all = append(all, state.Violation{Invariant: "registry", Detail: detail})
 	}
 	if a.controller != nil {
-		for _, b := range a.controller.Broken() {
+		for _, b := range a.controller.Violations() {
 			all = append(all, state.Violation{Invariant: b.Invariant, Detail: b.Detail})
 		}
 	}
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -12,18 +12,18 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Broken is a violated invariant.
-type Broken struct {
+// Violation is a violated invariant.
+type Violation struct {
 	Invariant string
 	Detail    string
 }
 
 // checker collects violated invariants.
-type checker struct{ violations []Broken }
+type checker struct{ violations []Violation }
 
 func (k *checker) expect(holds bool, invariant, format string, args ...any) {
 	if !holds {
-		k.violations = append(k.violations, Broken{invariant, fmt.Sprintf(format, args...)})
+		k.violations = append(k.violations, Violation{invariant, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -37,7 +37,7 @@
 //
 // VMs commanded by a controller of a later term are skipped: their permits may
 // not have reached this view.
-func Check(view *state.View, vms map[model.VMID]platform.VMReport) []Broken {
+func Check(view *state.View, vms map[model.VMID]platform.VMReport) []Violation {
 	k := &checker{}
 	for id, r := range vms {
 		permit := view.Permits[id]
@@ -60,7 +60,7 @@
 //   - commit-before-command: every command follows from a committed record;
 //   - one-reboot-a-permit: a reboot names the boot ID that the permit names;
 //   - lease-committed: no lease is sent to a worker before it is committed.
-func CheckCommands(view *state.View, commands []platform.Command) []Broken {
+func CheckCommands(view *state.View, commands []platform.Command) []Violation {
 	k := &checker{}
 	for i := range commands {
 		c := &commands[i]
@@ -102,7 +102,7 @@
 // below their budgets: the remainder must not be negative for any service that
 // a planned action costs an instance (budget-kept). It computes the budgets
 // again from the snapshot, with every rule on.
-func CheckBudgets(snap *fleet.Snapshot, o budget.Options, planned []state.Action) []Broken {
+func CheckBudgets(snap *fleet.Snapshot, o budget.Options, planned []state.Action) []Violation {
 	o.Rules = budget.Rules{}
 	ix := fleet.NewIndex(snap)
 	ledger := budget.NewLedger(ix, o)
@@ -152,14 +152,14 @@
 
 // checkDecision checks a round's decisions before they are committed.
 func (c *Controller) checkDecision(d *roundDecision) {
-	var violations []Broken
+	var violations []Violation
 	for _, b := range d.ix.Broken() {
-		violations = append(violations, Broken(b))
+		violations = append(violations, Violation(b))
 	}
 	c.reportViolations(violations)
 	disrupts := false
 	for i := range d.actions {
-		disrupts = disrupts || d.actions[i].Grant != nil || d.actions[i].BeginMove != nil
+		disrupts = disrupts || d.actions[i].GrantPermit != nil || d.actions[i].BeginMove != nil
 	}
 	if disrupts {
 		c.reportViolations(CheckBudgets(d.ix.Snap, c.budgetOptions(d.at), d.actions))
@@ -179,9 +179,9 @@
 		return
 	}
 	c.lastStateCheck = now
-	var violations []Broken
+	var violations []Violation
 	for _, b := range state.Check(c.config.Log.View()) {
-		violations = append(violations, Broken{b.Invariant, b.Detail})
+		violations = append(violations, Violation{b.Invariant, b.Detail})
 	}
 	c.reportViolations(violations)
 }
@@ -190,7 +190,7 @@
 const stateCheckInterval = time.Minute
 
 // reportViolations counts violated invariants and logs those that are new.
-func (c *Controller) reportViolations(violations []Broken) {
+func (c *Controller) reportViolations(violations []Violation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, b := range violations {
@@ -206,10 +206,10 @@
 // maxViolations bounds the violations that are kept.
 const maxViolations = 64
 
-// Broken returns the invariants violated since the start, at most
+// Violations returns the invariants violated since the start, at most
 // maxViolations.
-func (c *Controller) Broken() []Broken {
+func (c *Controller) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Broken(nil), c.violations...)
+	return append([]Violation(nil), c.violations...)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -118,7 +118,7 @@
 	mu sync.Mutex
 	// lastRound is nil before the first round.
 	lastRound  *roundDecision
-	violations []Broken
+	violations []Violation
 }
 
 // softState is what each leader learns again: it is not replicated and may be
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -258,5 +258,5 @@
 	is.True(status.Waves[0].Active > 0 && status.Waves[0].Total > status.Waves[0].Done)
 	is.True(status.Waves[0].End > status.At)
 	is.Equal(len(status.Pools), 2)
-	is.Equal(status.Broken, nil)
+	is.Equal(status.Violations, nil)
 }
--- a/internal/controller/manifest_pool_test.go
+++ b/internal/controller/manifest_pool_test.go
@@ -140,7 +140,7 @@
 	is.Equal(len(s.serving()), 15)
 	descriptions := ""
 	for _, p := range s.node("a").Status().Pools {
-		descriptions += p.Words + "\n"
+		descriptions += p.Description + "\n"
 	}
 	is.True(strings.Contains(descriptions, "least 12")) // and the status reports what is missing
 	is.True(strings.Contains(descriptions, "least 10"))
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -241,7 +241,7 @@
 func (s *sim) invariantViolations() []string {
 	var all []string
 	for _, node := range s.nodes {
-		for _, b := range node.Broken() {
+		for _, b := range node.Violations() {
 			all = append(all, b.Invariant+": "+b.Detail)
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,17 +19,17 @@
 	Budgets budget.Report   `json:"budgets"`
 	Waves   []wave.Progress `json:"waves,omitempty"`
 	// Spares describes how the number of shared spares is computed.
-	Spares string          `json:"spares,omitempty"`
-	Pools  []PoolStatus    `json:"pools"`
-	Spared []health.Spared `json:"spared,omitempty"`
-	Broken []Broken        `json:"broken,omitempty"`
+	Spares     string          `json:"spares,omitempty"`
+	Pools      []PoolStatus    `json:"pools"`
+	Spared     []health.Spared `json:"spared,omitempty"`
+	Violations []Violation     `json:"broken,omitempty"`
 }
 
 // PoolStatus describes a pool's demand.
 type PoolStatus struct {
-	Pool  model.PoolID `json:"pool"`
-	VMs   int          `json:"vms"`
-	Words string       `json:"words"`
+	Pool        model.PoolID `json:"pool"`
+	VMs         int          `json:"vms"`
+	Description string       `json:"words"`
 }
 
 // Status returns the result of the last round; before the first, only the
@@ -37,7 +37,7 @@
 func (c *Controller) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Status{Broken: slices.Clone(c.violations)}
+	s := Status{Violations: slices.Clone(c.violations)}
 	if c.lastRound == nil {
 		return s
 	}
