--- a/internal/placement/evacuate.go
+++ b/internal/placement/evacuate.go
@@ -7,16 +7,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Evacuate asks for the end of tasks that may not stay: of cancelled jobs, on
-// VMs that move to another pool, instances which the manifest no longer asks
-// for, and instances that lie too close together. An instance is stopped only
-// while its service stays above its budget without it.
+// Evacuate plans the end of tasks that may not stay where they are: tasks of
+// cancelled jobs, tasks on VMs that move to another pool, instances that the
+// manifest no longer asks for, and instances that are too concentrated on one
+// VM. An instance is stopped only while its service stays above its budget
+// without it.
 func Evacuate(ix *fleet.Index, o Options) []Wish {
 	return evacuate(ix, newHolds(ix, o.withDefaults()))
 }
 
 func evacuate(ix *fleet.Index, held holds) []Wish {
-	var wishes []Wish
+	var planned []Wish
 	margins := stopMargins(ix)
 	for _, v := range ix.VMs {
 		if !mayEvacuate(ix, v) {
@@ -26,37 +27,37 @@
 			if t.State == model.TaskStopping || ix.Ending(t.ID) {
 				continue
 			}
-			if w, ok := evacuateTask(ix, v, t, margins); ok {
-				wishes = append(wishes, w)
+			if a, ok := evacuateTask(ix, v, t, margins); ok {
+				planned = append(planned, a)
 			}
 		}
 	}
-	wishes = append(wishes, held.makeClear(ix, margins)...)
-	return append(wishes, spreadOut(ix, margins, held)...)
+	planned = append(planned, held.clearInstances(ix, margins)...)
+	return append(planned, reduceCrowding(ix, margins, held)...)
 }
 
-// mayEvacuate reports whether a task of the VM may have to end: the VM moves,
-// a job was cancelled, or an instance does not belong there.
+// mayEvacuate reports whether a task of the VM may have to end: the VM moves, a
+// job was cancelled, or an instance does not match its service.
 func mayEvacuate(ix *fleet.Index, v *fleet.VM) bool {
 	if v.Moving() {
 		return true
 	}
 	for i := range v.Running {
 		r := &v.Running[i]
-		if r.Cancelled() || r.Task.Job == "" && misplaced(ix, v, r.Task) {
+		if r.Cancelled() || r.Task.Job == "" && notAsSpecified(ix, v, r.Task) {
 			return true
 		}
 	}
 	return false
 }
 
-func misplaced(ix *fleet.Index, v *fleet.VM, t *model.Task) bool {
+func notAsSpecified(ix *fleet.Index, v *fleet.VM, t *model.Task) bool {
 	s := ix.Service(t.Service)
 	return s == nil || t.Ordinal >= s.Spec.Instances || s.Spec.Pool != v.Pool() || s.Spec.Size != t.Size
 }
 
-// stopMargins is how many available instances each service can spare now.
-// Instances that were told to stop may still serve and are taken off.
+// stopMargins returns how many available instances each service can lose now.
+// Instances that were told to stop may still serve and are subtracted.
 func stopMargins(ix *fleet.Index) map[model.ServiceID]int {
 	margins := make(map[model.ServiceID]int, len(ix.Services))
 	for _, s := range ix.Services {
@@ -81,22 +82,22 @@
 		return Wish{Stop, ForMove, t, fmt.Sprintf("the manifest has no service %s", t.Service)}, true
 	case t.Ordinal >= s.Spec.Instances:
 		return Wish{Stop, ForMove, t, fmt.Sprintf("service %s asks for %d instances", t.Service, s.Spec.Instances)}, true
-	case !v.Moving() && !hasRoom(ix, s, v, t):
+	case !v.Moving() && !canRestart(ix, s, v, t):
 		return Wish{}, false
 	case v.Moving(), v.Pool() != s.Spec.Pool:
 		why := fmt.Sprintf("VM %s leaves pool %s", v.ID, s.Spec.Pool)
-		return Wish{Stop, ForMove, t, why}, spend(ix, t, margins)
+		return Wish{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
 	case t.Size != s.Spec.Size:
-		why := fmt.Sprintf("service %s asks for %s an instance", t.Service, sizeWords(s.Spec.Size))
-		return Wish{Stop, ForMove, t, why}, spend(ix, t, margins)
+		why := fmt.Sprintf("service %s asks for %s an instance", t.Service, formatSize(s.Spec.Size))
+		return Wish{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
 	}
 	return Wish{}, false
 }
 
-// hasRoom reports whether an instance that is stopped could start again as the
-// manifest asks for it. Stopped without, it would be lost: an outdated instance
-// serves better than none.
-func hasRoom(ix *fleet.Index, s *fleet.Service, v *fleet.VM, t *model.Task) bool {
+// canRestart reports whether an instance that is stopped could start again as
+// the manifest specifies it. If it could not, the instance would be lost, and
+// an outdated instance is better than none.
+func canRestart(ix *fleet.Index, s *fleet.Service, v *fleet.VM, t *model.Task) bool {
 	p := ix.Pool(s.Spec.Pool)
 	if p == nil {
 		return false
@@ -113,9 +114,10 @@
 	return false
 }
 
-// spend takes an instance off its service's margin, unless it is not
-// available anyway.
-func spend(ix *fleet.Index, t *model.Task, margins map[model.ServiceID]int) bool {
+// consumeMargin takes an available instance off its service's margin and
+// reports whether it may be stopped. An instance that is not available may
+// always be stopped.
+func consumeMargin(ix *fleet.Index, t *model.Task, margins map[model.ServiceID]int) bool {
 	if !ix.InstanceAvailable(t) {
 		return true
 	}
@@ -126,8 +128,8 @@
 	return true
 }
 
-// evacuateJob stops cancelled jobs, and batch jobs that can be undone on VMs
-// that move. Others end by themselves: a move can wait.
+// evacuateJob stops tasks of cancelled jobs, and idempotent batch jobs on VMs
+// that move. Other jobs run to their end, because a move can wait.
 func evacuateJob(ix *fleet.Index, v *fleet.VM, t *model.Task) (Wish, bool) {
 	job := ix.Job(t.Job)
 	switch {
@@ -138,7 +140,8 @@
 	case !v.Moving() || t.Priority != model.Batch || !job.Spec.Idempotent:
 		return Wish{}, false
 	case ix.Pool(job.Spec.Pool) == nil:
-		// The manifest dropped the pool: stopped, the job could never go on.
+		// The manifest dropped the pool: once stopped, the job could never run
+		// again.
 		return Wish{}, false
 	}
 	kind := Stop
@@ -148,36 +151,36 @@
 	return Wish{kind, ForMove, t, fmt.Sprintf("VM %s moves to another pool", v.ID)}, true
 }
 
-// spreadOut asks for the move of one instance of each service of which one
-// VM carries more instances than the service can spare, when another open VM
-// could carry one without the same fault.
-func spreadOut(ix *fleet.Index, margins map[model.ServiceID]int, held holds) []Wish {
-	var wishes []Wish
+// reduceCrowding plans the move of one instance of each service that has more
+// instances on one VM than may be unavailable at once, if another open VM could
+// take the instance without exceeding that number itself.
+func reduceCrowding(ix *fleet.Index, margins map[model.ServiceID]int, held holds) []Wish {
+	var planned []Wish
 	for _, s := range ix.Services {
-		spare := s.Spec.Instances - s.Spec.MinAvailable
+		maxUnavailable := s.Spec.Instances - s.Spec.MinAvailable
 		p := ix.Pool(s.Spec.Pool)
-		if p == nil || spare <= 0 || margins[s.Spec.ID] <= 0 {
+		if p == nil || maxUnavailable <= 0 || margins[s.Spec.ID] <= 0 {
 			continue
 		}
 		count := newSpread(ix, s)
-		t := crowded(ix, s, count, spare)
+		t := instanceOnCrowdedVM(ix, s, count, maxUnavailable)
 		if t == nil {
 			continue
 		}
-		if v, _ := count.pick(p, s.Spec.Size, held.vm(p)); v != nil && v != held.vm(p) && count.vm[v] < spare && spend(ix, t, margins) {
-			why := fmt.Sprintf("VM %s carries %d of %d instances; service %s can spare %d", t.VM, count.vm[ix.VM(t.VM)], s.Spec.Instances, s.Spec.ID, spare)
-			wishes = append(wishes, Wish{Stop, ForSpread, t, why})
+		if v, _ := count.pick(p, s.Spec.Size, held.vm(p)); v != nil && v != held.vm(p) && count.vm[v] < maxUnavailable && consumeMargin(ix, t, margins) {
+			why := fmt.Sprintf("VM %s carries %d of %d instances; service %s can spare %d", t.VM, count.vm[ix.VM(t.VM)], s.Spec.Instances, s.Spec.ID, maxUnavailable)
+			planned = append(planned, Wish{Stop, ForSpread, t, why})
 		}
 	}
-	return wishes
+	return planned
 }
 
-func crowded(ix *fleet.Index, s *fleet.Service, count *spread, spare int) *model.Task {
+func instanceOnCrowdedVM(ix *fleet.Index, s *fleet.Service, count *spread, maxUnavailable int) *model.Task {
 	for _, t := range s.Tasks {
 		if t == nil || t.State != model.TaskRunning || ix.Ending(t.ID) {
 			continue
 		}
-		if v := ix.VM(t.VM); v != nil && v.Block == fleet.Open && count.vm[v] > spare {
+		if v := ix.VM(t.VM); v != nil && v.Block == fleet.Open && count.vm[v] > maxUnavailable {
 			return t
 		}
 	}
--- a/internal/placement/guard.go
+++ b/internal/placement/guard.go
@@ -5,31 +5,33 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Names of the invariants that guardWishes checks.
+// Names of the invariants that guardPlanned checks.
 const (
-	// InvariantUrgentLast: urgent jobs and instances never yield to others.
+	// InvariantUrgentLast: urgent jobs and instances are never preempted.
 	InvariantUrgentLast = "urgent-yields-last"
 	// InvariantNoLostRun: a job that can't run again is stopped only when it
 	// was cancelled.
 	InvariantNoLostRun = "stop-only-what-can-run-again"
-	// InvariantStopBudget: no stop of instances brings a service below its budget.
+	// InvariantStopBudget: stopping instances never brings a service below its
+	// budget.
 	InvariantStopBudget = "stops-keep-budget"
 )
 
-// guardWishes notes the wishes that break an invariant, from the tables alone.
-func guardWishes(ix *fleet.Index, wishes []Wish) {
+// guardPlanned records the planned actions that break an invariant. It reads
+// only the tables, not the decisions that led to the actions.
+func guardPlanned(ix *fleet.Index, planned []Wish) {
 	stopped := make(map[model.ServiceID]int)
-	for _, w := range wishes {
-		if w.Kind != Stop && w.Kind != Checkpoint {
+	for _, a := range planned {
+		if a.Kind != Stop && a.Kind != Checkpoint {
 			continue
 		}
-		if w.Task.Job == "" {
-			stopped[w.Task.Service] += counted(ix, w.Task)
+		if a.Task.Job == "" {
+			stopped[a.Task.Service] += countsForBudget(ix, a.Task)
 			continue
 		}
-		job := ix.Job(w.Task.Job)
-		ix.Guard(w.Cause == ForCancel || w.Task.Priority != model.Urgent, InvariantUrgentLast, "%s", &w)
-		ix.Guard(w.Cause == ForCancel || job != nil && job.Spec.Idempotent, InvariantNoLostRun, "%s", &w)
+		job := ix.Job(a.Task.Job)
+		ix.Guard(a.Cause == ForCancel || a.Task.Priority != model.Urgent, InvariantUrgentLast, "%s", &a)
+		ix.Guard(a.Cause == ForCancel || job != nil && job.Spec.Idempotent, InvariantNoLostRun, "%s", &a)
 	}
 	for id, n := range stopped {
 		if n == 0 {
@@ -41,8 +43,9 @@
 	}
 }
 
-// counted is 1 for an instance that counts for its service's budget.
-func counted(ix *fleet.Index, t *model.Task) int {
+// countsForBudget returns 1 for an instance that counts towards its service's
+// budget, else 0.
+func countsForBudget(ix *fleet.Index, t *model.Task) int {
 	s := ix.Service(t.Service)
 	if s == nil || t.Ordinal >= s.Spec.Instances || !ix.InstanceAvailable(t) {
 		return 0
--- a/internal/placement/hold.go
+++ b/internal/placement/hold.go
@@ -8,43 +8,45 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// holdAfter is how long a normal job finds no room before a VM is held for it.
+// holdAfter is how long a normal job finds no free capacity before a VM is held
+// for it.
 const holdAfter = 10 * time.Minute
 
-// hold is a VM that is kept for a job which found no room.
+// hold is a VM that is reserved for a job for which no VM had enough free
+// capacity.
 //
-// Smaller jobs would take each bit of room that becomes free, and instances,
-// which never end by themselves, may lie on every VM of the pool. Without the
-// hold a large job would wait for ever although the pool has room in sum.
+// Without it a large job could wait for ever although the pool has enough free
+// capacity in total: smaller jobs would take whatever becomes free, and
+// instances, which never end by themselves, may run on every VM of the pool.
 type hold struct {
 	job  *model.Job
 	vm   *fleet.VM
 	size model.Resources
-	// left is what instances leave of the VM.
-	left model.Resources
+	// afterInstances is the VM's capacity without what its instances use.
+	afterInstances model.Resources
 }
 
 // holds maps each pool to the hold for its first job that needs one.
 type holds map[*fleet.Pool]*hold
 
-// newHolds finds the jobs that need a hold: urgent ones at once, normal ones,
-// and batch ones that count as normal by their age, after a while.
+// newHolds finds the jobs that need a hold: urgent jobs at once, normal jobs
+// and batch jobs old enough to count as normal after holdAfter.
 func newHolds(ix *fleet.Index, o Options) holds {
 	found := make(holds)
-	rooms := make(map[*fleet.Pool]*room)
+	pools := make(map[*fleet.Pool]*poolState)
 	for _, level := range []int{levelUrgent, levelNormal} {
 		for _, j := range ix.Queue {
 			p := ix.Pool(j.Spec.Pool)
 			if p == nil || found[p] != nil || levelOf(ix, o, j) != level {
 				continue
 			}
-			if level == levelNormal && ix.Now().Sub(j.Submitted) < holdAfter || !mayRun(ix, j) {
+			if level == levelNormal && ix.Now().Sub(j.Submitted) < holdAfter || !quotaAllows(ix, j) {
 				continue
 			}
-			if rooms[p] == nil {
-				rooms[p] = newRoom(ix, p, o.Rules)
+			if pools[p] == nil {
+				pools[p] = newPoolState(ix, p, o.Rules)
 			}
-			if h := rooms[p].holdFor(ix, j, o); h != nil {
+			if h := pools[p].holdFor(ix, j, o); h != nil {
 				found[p] = h
 			}
 		}
@@ -52,44 +54,46 @@
 	return found
 }
 
-// mayRun reports whether the job's team could run it by its quota.
-func mayRun(ix *fleet.Index, j *model.Job) bool {
+// quotaAllows reports whether the job would fit into its team's quota now.
+func quotaAllows(ix *fleet.Index, j *model.Job) bool {
 	team := ix.Team(j.Spec.Team)
 	return team != nil && team.Allows(j.Spec.Declared)
 }
 
-// holdFor picks the one VM on which the job fits now, or else that of which
-// instances leave the most; nil when the job has a choice, or can find none.
+// holdFor picks the only VM on which the job fits now, or else the VM on which
+// instances leave the most capacity. It returns nil when the job fits on
+// several VMs, or could fit on none.
 //
-// The one VM must be held too: an instance that was moved off it for the job
+// The only VM must be held too: an instance that was moved off it for the job
 // would otherwise come back to it before the job starts. A VM on which the job
-// failed is held only when it failed on all: it tries one again in time.
-func (r *room) holdFor(ix *fleet.Index, j *model.Job, o Options) *hold {
-	size, no := r.fitShape(&j.Spec, o.Sizes)
-	if no != Placed {
+// failed is held only when the job failed on all of them, since it then retries
+// on one of them later.
+func (ps *poolState) holdFor(ix *fleet.Index, j *model.Job, o Options) *hold {
+	size, reject := ps.sizeFor(&j.Spec, o.Sizes)
+	if reject != Placed {
 		return nil
 	}
-	if h, any := r.holdAmong(j, size, false); any {
+	if h, possible := ps.holdAmong(j, size, false); possible {
 		return h
 	}
-	h, _ := r.holdAmong(j, size, true)
+	h, _ := ps.holdAmong(j, size, true)
 	return h
 }
 
-// holdAmong looks at the VMs on which the job failed, or at the others. Any
-// says that there are some that could hold the job.
-func (r *room) holdAmong(j *model.Job, size model.Resources, failed bool) (best *hold, any bool) {
+// holdAmong considers either the VMs on which the job failed or the others.
+// Possible reports whether any of them could hold the job.
+func (ps *poolState) holdAmong(j *model.Job, size model.Resources, failed bool) (best *hold, possible bool) {
 	fitting := 0
-	for _, s := range r.slots {
-		if failedOn(j, s.vm) != failed || !size.Fits(s.vm.Capacity()) {
+	for _, vs := range ps.vms {
+		if failedOn(j, vs.vm) != failed || !size.Fits(vs.vm.Capacity()) {
 			continue
 		}
-		h := &hold{job: j, vm: s.vm, size: size, left: s.vm.Capacity().Minus(instanceCharges(s.vm))}
+		h := &hold{job: j, vm: vs.vm, size: size, afterInstances: vs.vm.Capacity().Minus(instanceCharges(vs.vm))}
 		switch {
-		case size.Fits(s.vm.Free()):
+		case size.Fits(vs.vm.Free()):
 			fitting++
 			best = h
-		case fitting == 0 && (best == nil || !best.fits() && moreLeft(h.left, best.left)):
+		case fitting == 0 && (best == nil || !best.fits() && isLarger(h.afterInstances, best.afterInstances)):
 			best = h
 		}
 		if fitting > 1 {
@@ -99,9 +103,9 @@
 	return best, best != nil
 }
 
-func (h *hold) fits() bool { return h.size.Fits(h.left) }
+func (h *hold) fits() bool { return h.size.Fits(h.afterInstances) }
 
-func moreLeft(a, b model.Resources) bool { return a.MilliCPU+a.MemoryMB/4 > b.MilliCPU+b.MemoryMB/4 }
+func isLarger(a, b model.Resources) bool { return a.MilliCPU+a.MemoryMB/4 > b.MilliCPU+b.MemoryMB/4 }
 
 func instanceCharges(v *fleet.VM) model.Resources {
 	var sum model.Resources
@@ -113,7 +117,7 @@
 	return sum
 }
 
-// vm is the VM held in the pool, or nil.
+// vm returns the VM held in the pool, or nil.
 func (h holds) vm(p *fleet.Pool) *fleet.VM {
 	if h[p] == nil {
 		return nil
@@ -121,17 +125,17 @@
 	return h[p].vm
 }
 
-// makeClear asks for the move of instances off the VMs that are held for jobs
-// which fit beside none, as far as their services can spare them and another
-// VM has room.
-func (h holds) makeClear(ix *fleet.Index, margins map[model.ServiceID]int) []Wish {
-	var wishes []Wish
+// clearInstances plans to move instances off a held VM if the job does not fit
+// beside them, as far as their services can spare them and another VM has
+// enough free capacity.
+func (h holds) clearInstances(ix *fleet.Index, margins map[model.ServiceID]int) []Wish {
+	var planned []Wish
 	for _, p := range ix.Pools {
 		held := h[p]
 		if held == nil {
 			continue
 		}
-		left := held.left
+		left := held.afterInstances
 		for _, t := range held.vm.SortedTasks() {
 			s := ix.Service(t.Service)
 			if held.size.Fits(left) {
@@ -141,13 +145,13 @@
 				continue
 			}
 			other, _ := newSpread(ix, s).pick(p, t.Size, held.vm)
-			if other == nil || other == held.vm || !spend(ix, t, margins) {
+			if other == nil || other == held.vm || !consumeMargin(ix, t, margins) {
 				continue
 			}
 			left = left.Plus(ix.Charge(t))
 			why := fmt.Sprintf("VM %s is held for job %s, which does not fit beside the instance", held.vm.ID, held.job.Spec.ID)
-			wishes = append(wishes, Wish{Stop, ForRoom, t, why})
+			planned = append(planned, Wish{Stop, ForRoom, t, why})
 		}
 	}
-	return wishes
+	return planned
 }
--- a/internal/placement/instances.go
+++ b/internal/placement/instances.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Shortage is an instance that found no VM, with the reason.
+// Shortage is an instance for which no VM was found, with the reason.
 type Shortage struct {
 	Service model.ServiceID
 	Ordinal int
@@ -39,9 +39,9 @@
 			if count == nil {
 				count = newSpread(ix, s)
 			}
-			v, no := count.pick(p, s.Spec.Size, held.vm(p))
+			v, reject := count.pick(p, s.Spec.Size, held.vm(p))
 			if v == nil {
-				shortages = append(shortages, shortage(s, p, ordinal, no))
+				shortages = append(shortages, shortage(s, p, ordinal, reject))
 				continue
 			}
 			a := startInstance(ix, s, ordinal, v)
@@ -64,12 +64,12 @@
 	return start(ix, v, task, fmt.Sprintf("instance %d of service %s has no task", ordinal, s.Spec.ID))
 }
 
-func shortage(s *fleet.Service, p *fleet.Pool, ordinal int, no No) Shortage {
-	reason := fmt.Sprintf("no open VM of pool %s has %s left", p.Spec.ID, sizeWords(s.Spec.Size))
-	if no == NoOpenVM {
-		reason = fmt.Sprintf("no VM of pool %s takes new work: %s", p.Spec.ID, blockWords(p))
+func shortage(s *fleet.Service, p *fleet.Pool, ordinal int, reject No) Shortage {
+	reason := fmt.Sprintf("no open VM of pool %s has %s left", p.Spec.ID, formatSize(s.Spec.Size))
+	if reject == NoOpenVM {
+		reason = fmt.Sprintf("no VM of pool %s takes new work: %s", p.Spec.ID, formatBlocks(p))
 	}
-	return Shortage{Service: s.Spec.ID, Ordinal: ordinal, No: no, Reason: reason}
+	return Shortage{Service: s.Spec.ID, Ordinal: ordinal, No: reject, Reason: reason}
 }
 
 // spread counts the instances of one service by failure domain.
@@ -99,29 +99,29 @@
 	}
 }
 
-// pick chooses the VM whose loss, alone or with its rack or availability
-// zone, would take the fewest instances of the service with it. The VM that
-// is held for a job is taken only when there is no other.
+// pick chooses the VM whose loss, alone or with its rack or availability zone,
+// would affect the fewest instances of the service. The VM held for a job is
+// chosen only if there is no other.
 func (c *spread) pick(p *fleet.Pool, size model.Resources, held *fleet.VM) (*fleet.VM, No) {
 	var best *fleet.VM
 	var bestScore [6]int64
-	no := NoOpenVM
+	reject := NoOpenVM
 	for _, v := range p.VMs {
 		if v.Block != fleet.Open {
 			continue
 		}
-		no = NoRoom
+		reject = NoRoom
 		free := v.Free()
 		if !size.Fits(free) {
 			continue
 		}
 		score := c.score(p, v, free, held)
-		if best == nil || lessScore(score, bestScore) {
+		if best == nil || scoreLess(score, bestScore) {
 			best, bestScore = v, score
 		}
 	}
 	if best == nil {
-		return nil, no
+		return nil, reject
 	}
 	return best, Placed
 }
@@ -137,7 +137,7 @@
 	return score
 }
 
-func lessScore(a, b [6]int64) bool {
+func scoreLess(a, b [6]int64) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return a[i] < b[i]
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -10,33 +10,34 @@
 
 // planner places the queued jobs of one round.
 type planner struct {
-	ix      *fleet.Index
-	o       Options
-	w       *weigher
-	held    holds
-	rooms   map[model.PoolID]*room
-	words   map[reasonKey]string
-	starts  int
-	reasons int
-	actions []state.Action
-	wishes  []Wish
-	// yielding are the tasks that were asked to yield in this round.
-	yielding map[model.TaskID]bool
-	// best is the least concession found so far, try the one being worked out.
-	best, try *concession
+	ix          *fleet.Index
+	o           Options
+	scorer      *scorer
+	held        holds
+	pools       map[model.PoolID]*poolState
+	reasonTexts map[reasonKey]string
+	starts      int
+	reasons     int
+	actions     []state.Action
+	planned     []Wish
+	// preempted are the tasks preempted in this round.
+	preempted map[model.TaskID]bool
+	// best is the cheapest preemption found so far, current the one being
+	// computed.
+	best, current *preemption
 }
 
 func newPlanner(ix *fleet.Index, o Options, held holds) *planner {
 	return &planner{
-		ix:       ix,
-		o:        o,
-		w:        &weigher{ix: ix, o: o},
-		held:     held,
-		rooms:    make(map[model.PoolID]*room),
-		words:    make(map[reasonKey]string),
-		yielding: make(map[model.TaskID]bool),
-		best:     &concession{},
-		try:      &concession{},
+		ix:          ix,
+		o:           o,
+		scorer:      &scorer{ix: ix, o: o},
+		held:        held,
+		pools:       make(map[model.PoolID]*poolState),
+		reasonTexts: make(map[reasonKey]string),
+		preempted:   make(map[model.TaskID]bool),
+		best:        &preemption{},
+		current:     &preemption{},
 	}
 }
 
@@ -45,17 +46,17 @@
 		return nil, nil
 	}
 	p := newPlanner(ix, o, held)
-	p.reserveInstances(shortages)
+	p.reserveForInstances(shortages)
 	levels := byPriority(ix, o)
 	for level := range levels {
 		p.placeLevel(&levels[level], level == levelUrgent)
 	}
-	return p.actions, p.wishes
+	return p.actions, p.planned
 }
 
-// Arrivals decides about jobs that were submitted after the index was built,
-// in their order, without a whole round: the state machine refuses what no
-// longer holds. It is for urgent jobs, which should not wait for a round.
+// Arrivals decides about jobs that were submitted after the index was built, in
+// their order and without a whole round; the state machine refuses actions that
+// no longer apply. It is for urgent jobs, which should not wait for a round.
 func Arrivals(ix *fleet.Index, o Options, jobs ...*model.Job) ([]state.Action, []Wish) {
 	if ix.Snap.View.Site == nil {
 		return nil, nil
@@ -67,132 +68,134 @@
 			p.place(j, j.Spec.Priority == model.Urgent)
 		}
 	}
-	return p.actions, p.wishes
+	return p.actions, p.planned
 }
 
-// placeLevel tries every job of the level. One that can't run now is passed
-// over and does not block the next; an urgent one holds room for itself.
+// placeLevel tries every job of the level. A job that can't run now does not
+// block the next; an urgent one reserves capacity for itself.
 func (p *planner) placeLevel(l *lanes, urgent bool) {
 	heap.Init(l)
 	for l.Len() > 0 && p.starts < p.o.MaxStarts {
 		lane, j := l.next()
 		if p.place(j, urgent) {
-			lane.weigh(p.ix.Total)
+			lane.updateShare(p.ix.Total)
 		}
-		l.settle()
+		l.restoreOrder()
 	}
 }
 
 func (p *planner) place(j *model.Job, urgent bool) bool {
-	r, size, no := p.admit(j)
-	if no != Placed {
-		p.explain(j, size, no)
+	ps, size, reject := p.admit(j)
+	if reject != Placed {
+		p.recordReason(j, size, reject)
 		return false
 	}
-	if s := r.probe(j, size); s != nil {
-		p.start(j, s, size, "probe of a quarantined worker")
+	if vs := ps.takeProbe(j, size); vs != nil {
+		p.start(j, vs, size, "probe of a quarantined worker")
 		return true
 	}
-	s, no := r.find(p.w, j, size)
-	if no == Placed {
-		p.start(j, s, size, "")
+	vs, reject := ps.selectVM(p.scorer, j, size)
+	if reject == Placed {
+		p.start(j, vs, size, "")
 		return true
 	}
-	if p.holdRoom(r, j, size, urgent) {
-		no = Reserved
+	if p.reserveCapacity(ps, j, size, urgent) {
+		reject = Reserved
 	}
-	p.explain(j, size, no)
+	p.recordReason(j, size, reject)
 	return false
 }
 
-// holdRoom keeps room for a job that found none: batch work yields to an
-// urgent one, a normal one gets what becomes free on the VM held for it.
-func (p *planner) holdRoom(r *room, j *model.Job, size model.Resources, urgent bool) bool {
-	if urgent && p.reserve(r, j, size) {
+// reserveCapacity reserves capacity for a job that found none: an urgent job
+// preempts batch work, a normal job gets what becomes free on the VM held for
+// it.
+func (p *planner) reserveCapacity(ps *poolState, j *model.Job, size model.Resources, urgent bool) bool {
+	if urgent && p.reserveForJob(ps, j, size) {
 		return true
 	}
-	h := p.held[r.pool]
+	h := p.held[ps.pool]
 	if h == nil || h.job != j {
 		return false
 	}
-	for _, s := range r.slots {
-		if s.vm == h.vm {
-			s.held = s.held.Plus(size)
+	for _, vs := range ps.vms {
+		if vs.vm == h.vm {
+			vs.reserved = vs.reserved.Plus(size)
 			return true
 		}
 	}
 	return false
 }
 
-// admit checks what does not depend on a VM: pool, team, shape and quota. It
+// admit checks what does not depend on a VM: pool, team, size and quota. It
 // returns the size to place.
-func (p *planner) admit(j *model.Job) (*room, model.Resources, No) {
-	r := p.room(j.Spec.Pool)
-	if r == nil {
+func (p *planner) admit(j *model.Job) (*poolState, model.Resources, No) {
+	ps := p.pool(j.Spec.Pool)
+	if ps == nil {
 		return nil, j.Spec.Declared, UnknownPool
 	}
 	team := p.ix.Team(j.Spec.Team)
 	if team == nil {
-		return r, j.Spec.Declared, UnknownTeam
+		return ps, j.Spec.Declared, UnknownTeam
 	}
-	size, no := r.fitShape(&j.Spec, p.o.Sizes)
-	if no == TooLarge && p.spareFits(r, j.Spec.Declared) {
-		no = CapacityUnknown
+	size, reject := ps.sizeFor(&j.Spec, p.o.Sizes)
+	if reject == TooLarge && p.spareFits(ps, j.Spec.Declared) {
+		reject = CapacityUnknown
 	}
-	if no != Placed {
-		return r, size, no
+	if reject != Placed {
+		return ps, size, reject
 	}
 	switch {
 	case !fleet.WithinQuota(j.Spec.Declared, team.Spec.Quota) && !fleet.WithinQuota(size, team.Spec.Quota):
-		return r, j.Spec.Declared, OverQuota
+		return ps, j.Spec.Declared, OverQuota
 	case !team.Allows(size) && !p.o.Rules.SkipQuota:
-		return r, size, QuotaInUse
+		return ps, size, QuotaInUse
 	}
-	return r, size, Placed
+	return ps, size, Placed
 }
 
-// spareFits reports whether a shared spare that may join the pool is large enough.
-func (p *planner) spareFits(r *room, declared model.Resources) bool {
+// spareFits reports whether a shared spare that may join the pool is large
+// enough.
+func (p *planner) spareFits(ps *poolState, declared model.Resources) bool {
 	for _, v := range p.ix.Spares {
-		if fleet.Eligible(r.pool.Spec, v.Listed) && declared.Fits(v.Capacity()) {
+		if fleet.Eligible(ps.pool.Spec, v.Listed) && declared.Fits(v.Capacity()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *planner) room(id model.PoolID) *room {
-	if r, ok := p.rooms[id]; ok {
-		return r
+func (p *planner) pool(id model.PoolID) *poolState {
+	if ps, ok := p.pools[id]; ok {
+		return ps
 	}
-	var r *room
+	var ps *poolState
 	if pool := p.ix.Pool(id); pool != nil {
-		r = newRoom(p.ix, pool, p.o.Rules)
+		ps = newPoolState(p.ix, pool, p.o.Rules)
 	}
-	p.rooms[id] = r
-	return r
+	p.pools[id] = ps
+	return ps
 }
 
-func (p *planner) start(j *model.Job, s *slot, size model.Resources, reason string) {
+func (p *planner) start(j *model.Job, vs *vmState, size model.Resources, reason string) {
 	task := model.Task{ID: jobTaskID(p.ix, j), Job: j.Spec.ID, Size: size, Priority: j.Spec.Priority}
-	a := start(p.ix, s.vm, task, reason)
+	a := start(p.ix, vs.vm, task, reason)
 	p.ix.Plan(a)
 	p.actions = append(p.actions, a)
 	p.starts++
 }
 
-// explain tells a job why it waits, or that it can never run. A job that
-// waits for the same reason as before is not written again.
-func (p *planner) explain(j *model.Job, size model.Resources, no No) {
-	if p.reasons >= p.o.MaxReasons && !no.Never() {
+// recordReason records in the job's state why it waits, or that it can never
+// run. A waiting job whose reason did not change is not written again.
+func (p *planner) recordReason(j *model.Job, size model.Resources, reject No) {
+	if p.reasons >= p.o.MaxReasons && !reject.Never() {
 		return
 	}
-	reason := p.reasonWords(j, size, no)
-	if !no.Never() && reason == j.Reason {
+	reason := p.reasonText(j, size, reject)
+	if !reject.Never() && reason == j.Reason {
 		return
 	}
 	next := model.JobQueued
-	if no.Never() {
+	if reject.Never() {
 		next = model.JobUnplaceable
 	}
 	a := state.Action{Reason: reason, SetJob: &state.SetJob{Job: j.Spec.ID, State: next, Reason: reason}}
--- a/internal/placement/lease.go
+++ b/internal/placement/lease.go
@@ -15,22 +15,22 @@
 // its leases are no longer renewed.
 const unknownGrace = 2
 
-// Leases ends the tasks whose lease lapsed with the drift margin, and renews
-// the others in one action.
+// Leases ends the tasks whose lease expired more than the drift margin ago, and
+// renews the others in one action.
 //
-// The worker stops a task by itself when its lease ends. Were the task ended
-// here before that, by a clock that runs ahead of the worker's, a second
-// attempt would run beside the first; the margin is for that.
+// The worker stops a task by itself when its lease ends. If this clock runs
+// ahead of the worker's, ending the task without the margin would let a second
+// attempt run beside the first.
 func Leases(ix *fleet.Index, o Options) []state.Action {
 	o = o.withDefaults()
 	l := &leases{ix: ix, margin: o.DriftMargin}
 	for _, v := range ix.VMs {
 		for i := range v.Running {
-			l.look(v, &v.Running[i])
+			l.classify(v, &v.Running[i])
 		}
 	}
 	for _, t := range ix.Strays {
-		l.look(nil, &fleet.Running{Task: t})
+		l.classify(nil, &fleet.Running{Task: t})
 	}
 	slices.SortFunc(l.actions, func(a, b state.Action) int { return cmp.Compare(a.EndTask.Task, b.EndTask.Task) })
 	if l.due {
@@ -40,18 +40,18 @@
 	return l.actions
 }
 
-// leases sorts the tasks of one round by what becomes of their leases.
+// leases sorts the tasks of one round by what happens to their leases.
 type leases struct {
 	ix      *fleet.Index
 	margin  time.Duration
 	actions []state.Action
 	renewed []model.TaskID
 	lapsing []model.TaskID
-	// due says that a lease to be renewed is in its second half.
+	// due is set when a lease to be renewed is in its second half.
 	due bool
 }
 
-func (l *leases) look(v *fleet.VM, r *fleet.Running) {
+func (l *leases) classify(v *fleet.VM, r *fleet.Running) {
 	t := r.Task
 	switch {
 	case l.ix.Now() > t.LeaseUntil.Add(l.margin):
@@ -64,9 +64,9 @@
 	}
 }
 
-// renew extends all leases that are to go on to one instant. It names the
-// tasks that lapse where they are fewer, which they are but for disasters, so
-// that a renewal does not grow with the site.
+// renew extends all leases that continue to the same instant. It lists the
+// tasks whose leases lapse if they are fewer, as they are except after large
+// failures, so that a renewal does not grow with the size of the site.
 func (l *leases) renew() state.Action {
 	r := &state.RenewTasks{Tasks: l.renewed, LeaseUntil: l.ix.LeaseUntil()}
 	if len(l.lapsing) < len(l.renewed) {
@@ -84,11 +84,12 @@
 	}
 }
 
-// renewable reports whether a task is to go on. The others lapse: what was
-// told to stop, what the platform does not run, what is on a VM that is gone.
+// renewable reports whether a task continues to run. The leases of the others
+// lapse: tasks that were told to stop, tasks that the platform does not run,
+// and tasks on a VM that is lost.
 //
-// Nor is a lease renewed that ended already. Its worker stopped the task; a
-// renewal would keep the record alive for ever, and nothing would run.
+// A lease that has already ended is not renewed either: its worker stopped the
+// task, so a renewal would keep the record for ever while nothing runs.
 func renewable(ix *fleet.Index, v *fleet.VM, r *fleet.Running) bool {
 	t := r.Task
 	if ix.Now() >= t.LeaseUntil || t.State == model.TaskStopping || r.Cancelled() || ix.Snap.Gone[t.ID] {
--- a/internal/placement/no.go
+++ b/internal/placement/no.go
@@ -1,5 +1,5 @@
-// Package placement decides on which VM each instance and job runs, which
-// batch work yields to urgent work, and when a task's lease has lapsed. Its
+// Package placement decides on which VM each instance and job runs, which batch
+// work is preempted for urgent work, and when a task's lease has lapsed. Its
 // decisions are pure functions of a fleet.Index.
 package placement
 
@@ -10,22 +10,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// No says why a job or an instance was not placed. The zero value means that
-// it was.
+// No is the reason why a job or an instance was not placed. The zero value
+// means that it was placed.
 type No uint8
 
 const (
-	// Placed: there is no obstacle.
+	// Placed: nothing prevents the placement.
 	Placed No = iota
-	// NoRoom: no open VM of the pool has enough left now.
+	// NoRoom: no open VM of the pool has enough free capacity now.
 	NoRoom
-	// NoOpenVM: no VM of the pool takes new work now.
+	// NoOpenVM: no VM of the pool accepts new work now.
 	NoOpenVM
-	// Reserved: room on a VM is held for the urgent job until other work there yields or ends.
+	// Reserved: capacity on a VM is reserved for the job until other work there
+	// is preempted or ends.
 	Reserved
 	// QuotaInUse: the team's running jobs leave too little of its quota.
 	QuotaInUse
-	// FailedHere: the job failed on every open VM that has room.
+	// FailedHere: the job failed on every open VM that has enough free
+	// capacity.
 	FailedHere
 	// CapacityUnknown: the platform lists none, or not all, of the pool's VMs.
 	CapacityUnknown
@@ -37,43 +39,44 @@
 	UnknownPool
 	// UnknownTeam: the manifest has no such team; the job can never run.
 	UnknownTeam
-	noCount
+	rejectReasonCount
 )
 
-var noNames = [noCount]string{"placed", "no-room", "no-open-vm", "reserved", "quota-in-use",
+var rejectReasonNames = [rejectReasonCount]string{"placed", "no-room", "no-open-vm", "reserved", "quota-in-use",
 	"failed-here", "capacity-unknown", "too-large", "over-quota", "unknown-pool", "unknown-team"}
 
 // String returns the short name used for counters.
 func (n No) String() string {
-	if n >= noCount {
+	if n >= rejectReasonCount {
 		return "invalid"
 	}
-	return noNames[n]
+	return rejectReasonNames[n]
 }
 
-// Never reports whether waiting can't help, so that the job is told at once.
-func (n No) Never() bool { return n >= TooLarge && n < noCount }
+// Never reports whether waiting can't help, so that the job is marked
+// unplaceable at once.
+func (n No) Never() bool { return n >= TooLarge && n < rejectReasonCount }
 
-// sizeWords writes an amount for people.
-func sizeWords(r model.Resources) string {
-	words := []string{fmt.Sprintf("%.1f cores", float64(r.MilliCPU)/1000), fmt.Sprintf("%d MB", r.MemoryMB)}
+// formatSize formats an amount of resources for people.
+func formatSize(r model.Resources) string {
+	parts := []string{fmt.Sprintf("%.1f cores", float64(r.MilliCPU)/1000), fmt.Sprintf("%d MB", r.MemoryMB)}
 	if r.Accelerators > 0 {
-		words = append(words, fmt.Sprintf("%d accelerators", r.Accelerators))
+		parts = append(parts, fmt.Sprintf("%d accelerators", r.Accelerators))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// quotaWords writes a quota; 0 in a dimension is unlimited.
-func quotaWords(q model.Resources) string {
-	var words []string
+// formatQuota formats a quota and omits unlimited dimensions, which are 0.
+func formatQuota(q model.Resources) string {
+	var parts []string
 	if q.MilliCPU > 0 {
-		words = append(words, fmt.Sprintf("%.1f cores", float64(q.MilliCPU)/1000))
+		parts = append(parts, fmt.Sprintf("%.1f cores", float64(q.MilliCPU)/1000))
 	}
 	if q.MemoryMB > 0 {
-		words = append(words, fmt.Sprintf("%d MB", q.MemoryMB))
+		parts = append(parts, fmt.Sprintf("%d MB", q.MemoryMB))
 	}
 	if q.Accelerators > 0 {
-		words = append(words, fmt.Sprintf("%d accelerators", q.Accelerators))
+		parts = append(parts, fmt.Sprintf("%d accelerators", q.Accelerators))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -26,8 +26,8 @@
 	share float64
 }
 
-// lanes is a heap: the team that holds the least goes next, so that no team
-// delays the others by the length of its queue.
+// lanes is a heap ordered by share: the team that holds the least goes next, so
+// that no team delays the others by the length of its queue.
 type lanes []*lane
 
 func (l lanes) Len() int { return len(l) }
@@ -50,7 +50,7 @@
 }
 
 // byPriority splits the queue into the lanes of each level: urgent, normal
-// with the batch jobs that waited for long, and batch.
+// including batch jobs older than BatchAge, and batch.
 func byPriority(ix *fleet.Index, o Options) [levelCount]lanes {
 	var levels [levelCount]lanes
 	var byTeam [levelCount]map[model.TeamID]*lane
@@ -65,7 +65,7 @@
 		l := byTeam[level][j.Spec.Team]
 		if l == nil {
 			l = &lane{id: j.Spec.Team, team: ix.Team(j.Spec.Team)}
-			l.weigh(ix.Total)
+			l.updateShare(ix.Total)
 			byTeam[level][j.Spec.Team] = l
 			levels[level] = append(levels[level], l)
 		}
@@ -84,7 +84,8 @@
 	return levelBatch
 }
 
-// next takes the next job of the level; nil when there is none.
+// next removes and returns the next job of the level. The level must not be
+// empty.
 func (l *lanes) next() (*lane, *model.Job) {
 	first := (*l)[0]
 	j := first.jobs[0]
@@ -92,8 +93,8 @@
 	return first, j
 }
 
-// settle restores the order after the first lane changed.
-func (l *lanes) settle() {
+// restoreOrder restores the heap after the first lane changed.
+func (l *lanes) restoreOrder() {
 	if len((*l)[0].jobs) == 0 {
 		heap.Pop(l)
 		return
@@ -101,15 +102,15 @@
 	heap.Fix(l, 0)
 }
 
-func (l *lane) weigh(total model.Resources) {
+func (l *lane) updateShare(total model.Resources) {
 	if l.team == nil {
 		return
 	}
 	used := l.team.Used
-	l.share = max(part(used.MilliCPU, total.MilliCPU), part(used.MemoryMB, total.MemoryMB), part(used.Accelerators, total.Accelerators))
+	l.share = max(ratio(used.MilliCPU, total.MilliCPU), ratio(used.MemoryMB, total.MemoryMB), ratio(used.Accelerators, total.Accelerators))
 }
 
-func part(v, total int64) float64 {
+func ratio(v, total int64) float64 {
 	if total <= 0 {
 		return 0
 	}
--- a/internal/placement/policy_bench_test.go
+++ b/internal/placement/policy_bench_test.go
@@ -12,8 +12,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// policySite is one of the two sites of today, with the work of its jobs
-// counted into the instances: five services of ten, one to a pool.
+// policySite models one of the two present sites: five services of ten
+// instances, one per pool. The work of their jobs is counted as part of the
+// instances.
 type policySite struct {
 	name     string
 	zones    int
@@ -38,9 +39,9 @@
 	return s
 }
 
-// plainPools is the baseline: each pool holds what it needs and one rack more
+// dedicatedPools is the baseline: each pool has what it needs and one rack more
 // for itself, and no VM ever moves.
-func plainPools(ix *fleet.Index) []state.Action {
+func dedicatedPools(ix *fleet.Index) []state.Action {
 	var actions []state.Action
 	for _, v := range ix.VMs {
 		if v.Owner == nil {
@@ -52,18 +53,18 @@
 	return actions
 }
 
-// calm reports whether, with no failure, the arithmetic of demand and spares
-// is satisfied by n VMs.
-func (p policySite) calm(n int, moves float64) bool {
-	w := newWorld(1, p.site(moves), siteVMs(n, p.zones, p.capacity))
-	w.lease = 15 * time.Minute
+// enoughVMs reports whether n VMs satisfy the computed demand and spares when
+// nothing fails.
+func (p policySite) enoughVMs(n int, moves float64) bool {
+	sim := newSimulation(1, p.site(moves), siteVMs(n, p.zones, p.capacity))
+	sim.lease = 15 * time.Minute
 	for range 4 {
-		w.round(5 * time.Minute)
+		sim.round(5 * time.Minute)
 	}
-	if fleet.SparesNeeded(w.lastIdx, w.fleet).Balance() > 0 {
+	if fleet.SparesNeeded(sim.lastIndex, sim.fleet).Balance() > 0 {
 		return false
 	}
-	for _, d := range fleet.Demands(w.lastIdx, w.fleet) {
+	for _, d := range fleet.Demands(sim.lastIndex, sim.fleet) {
 		if d.Ready < d.Want {
 			return false
 		}
@@ -76,79 +77,81 @@
 	policyDays = 28
 )
 
-// shortfall is what a run lacked.
+// shortfall is what was missing during a simulation.
 type shortfall struct{ vmHours, belowBudget float64 }
 
-// live runs four weeks of failures: 0.9 VMs a day, 4.6 restarts a day, and a
-// rack and an availability zone that go twice as often as is expected today.
-func (p policySite) live(seed uint64, n int, moves float64, plain bool) (*world, shortfall) {
-	w := newWorld(seed, p.site(moves), siteVMs(n, p.zones, p.capacity))
-	w.lease, w.once = 15*time.Minute, true
+// simulateWeeks simulates four weeks of failures: 0.9 VMs a day, 4.6 restarts a
+// day, and losses of a rack and of an availability zone twice as often as
+// expected today.
+func (p policySite) simulateWeeks(seed uint64, n int, moves float64, plain bool) (*simulation, shortfall) {
+	sim := newSimulation(seed, p.site(moves), siteVMs(n, p.zones, p.capacity))
+	sim.lease, sim.singleDecision = 15*time.Minute, true
 	if plain {
-		w.noFleet, w.extra = true, plainPools
+		sim.noFleet, sim.extraDecision = true, dedicatedPools
 	}
 	var s shortfall
 	for range policyDays * int(24*time.Hour/policyStep) {
-		p.strike(w, n)
-		w.round(policyStep)
-		for _, d := range fleet.Demands(w.lastIdx, w.fleet) {
+		p.injectFailures(sim, n)
+		sim.round(policyStep)
+		for _, d := range fleet.Demands(sim.lastIndex, sim.fleet) {
 			s.vmHours += float64(max(0, d.Hard-d.Ready)) * policyStep.Hours()
 		}
-		for _, svc := range w.lastIdx.Services {
+		for _, svc := range sim.lastIndex.Services {
 			if svc.Available < svc.Spec.MinAvailable {
 				s.belowBudget += policyStep.Minutes()
 			}
 		}
 	}
-	return w, s
+	return sim, s
 }
 
-func (p policySite) strike(w *world, n int) {
-	chance := func(perDay float64) bool { return w.rnd.Float64() < perDay*policyStep.Hours()/24 }
+func (p policySite) injectFailures(sim *simulation, n int) {
+	chance := func(perDay float64) bool { return sim.random.Float64() < perDay*policyStep.Hours()/24 }
 	hours := func(least, most int) time.Duration {
-		return time.Duration(least*60+w.rnd.IntN((most-least)*60)) * time.Minute
+		return time.Duration(least*60+sim.random.IntN((most-least)*60)) * time.Minute
 	}
-	victim := fmt.Sprintf("vm%04d", w.rnd.IntN(n))
-	v := w.vms[model.VMID(victim)]
+	victim := fmt.Sprintf("vm%04d", sim.random.IntN(n))
+	v := sim.vms[model.VMID(victim)]
 	down, rack, zone := hours(1, 8), hours(1, 5), hours(1, 2)
 	if chance(0.9) {
-		w.fail(down, model.VMDown, func(o *model.VM) bool { return o == v })
+		sim.fail(down, model.VMDown, func(o *model.VM) bool { return o == v })
 	}
 	if chance(4.6) {
-		w.fail(2*policyStep, model.VMRebooting, func(o *model.VM) bool { return o == v })
+		sim.fail(2*policyStep, model.VMRebooting, func(o *model.VM) bool { return o == v })
 	}
 	if chance(2.0 / 45) {
-		w.fail(rack, model.VMDown, func(o *model.VM) bool { return o.Rack == v.Rack })
+		sim.fail(rack, model.VMDown, func(o *model.VM) bool { return o.Rack == v.Rack })
 	}
 	if chance(2.0 / 60) {
-		w.fail(zone, model.VMDown, func(o *model.VM) bool { return o.Zone == v.Zone })
+		sim.fail(zone, model.VMDown, func(o *model.VM) bool { return o.Zone == v.Zone })
 	}
 }
 
 // BenchmarkPolicyBuffer reports, for four weeks over three seeds, the VMs held
-// back beyond what the pools need when nothing fails, the moves, and what was
-// lacking: shared spares along the curve of the weights, and the plain way.
+// back beyond what the pools need when nothing fails, the moves, and the
+// shortfall. It compares shared spares, for several weights of moves, with
+// dedicated pools.
 func BenchmarkPolicyBuffer(b *testing.B) {
 	for _, p := range policySites {
 		for _, moves := range []float64{0, 0.2, 0.4, 0.6, 0.8, 1} {
 			b.Run(fmt.Sprintf("%s/moves=%.1f", p.name, moves), func(b *testing.B) {
-				n := p.hard()
-				for !p.calm(n, moves) {
+				n := p.requiredVMs()
+				for !p.enoughVMs(n, moves) {
 					n++
 				}
 				p.report(b, n, moves, false)
 			})
 		}
-		b.Run(p.name+"/plain", func(b *testing.B) { p.report(b, p.hard()+5*4, 0.5, true) })
+		b.Run(p.name+"/plain", func(b *testing.B) { p.report(b, p.requiredVMs()+5*4, 0.5, true) })
 	}
 }
 
-// hard is the sum of what the pools need when nothing fails.
-func (p policySite) hard() int {
-	w := newWorld(1, p.site(0), siteVMs(60, p.zones, p.capacity))
-	w.round(time.Minute)
+// requiredVMs is the sum of what the pools need when nothing fails.
+func (p policySite) requiredVMs() int {
+	sim := newSimulation(1, p.site(0), siteVMs(60, p.zones, p.capacity))
+	sim.round(time.Minute)
 	sum := 0
-	for _, d := range fleet.Demands(w.lastIdx, w.fleet) {
+	for _, d := range fleet.Demands(sim.lastIndex, sim.fleet) {
 		sum += d.Hard
 	}
 	return sum
@@ -160,16 +163,16 @@
 		var vmMoves, restarts int
 		var short shortfall
 		for seed := range uint64(seeds) {
-			w, s := p.live(seed+1, n, moves, plain)
-			if len(w.broken) > 0 {
-				b.Fatal(w.broken)
+			sim, s := p.simulateWeeks(seed+1, n, moves, plain)
+			if len(sim.broken) > 0 {
+				b.Fatal(sim.broken)
 			}
-			vmMoves += w.tally.vmMoves
-			restarts += w.tally.jobMoves
+			vmMoves += sim.stats.vmMoves
+			restarts += sim.stats.jobMoves
 			short.vmHours += s.vmHours
 			short.belowBudget += s.belowBudget
 		}
-		b.ReportMetric(float64(n-p.hard()), "held-VMs")
+		b.ReportMetric(float64(n-p.requiredVMs()), "held-VMs")
 		b.ReportMetric(float64(vmMoves)/seeds, "VM-moves")
 		b.ReportMetric(float64(restarts)/seeds, "instance-restarts")
 		b.ReportMetric(short.vmHours/seeds, "short-VM-h")
@@ -178,29 +181,29 @@
 	}
 }
 
-// BenchmarkPolicyEstimate compares learned sizes with trusting the declared
-// ones: a third of the jobs is honest, a third declares four times what it
-// uses, a third less than half.
+// BenchmarkPolicyEstimate compares learned sizes with declared ones: a third of
+// the jobs declares its true size, a third four times what it uses, and a third
+// less than half.
 func BenchmarkPolicyEstimate(b *testing.B) {
 	for _, learn := range []bool{false, true} {
 		b.Run(fmt.Sprintf("learn=%v", learn), func(b *testing.B) {
 			for b.Loop() {
-				w := lyingSite(learn)
+				sim := wrongSizesSite(learn)
 				done, over := 0, 0.0
 				for i := range 2 * 24 * 60 {
 					if i%2 == 0 {
-						submitLiar(w, i)
+						submitWrongSize(sim, i)
 					}
-					w.round(time.Minute)
-					over += overloaded(w)
+					sim.round(time.Minute)
+					over += overloadedVMs(sim)
 				}
-				for _, t := range w.truth {
+				for _, t := range sim.behaviour {
 					done += t.finished
 				}
 				b.ReportMetric(float64(done), "jobs-done")
-				b.ReportMetric(float64(len(w.lastIdx.Queue)), "jobs-waiting")
-				b.ReportMetric(float64(w.tally.jobMoves), "job-moves")
-				b.ReportMetric(float64(w.tally.killed), "killed-for-memory")
+				b.ReportMetric(float64(len(sim.lastIndex.Queue)), "jobs-waiting")
+				b.ReportMetric(float64(sim.stats.jobMoves), "job-moves")
+				b.ReportMetric(float64(sim.stats.killed), "killed-for-memory")
 				b.ReportMetric(over, "overloaded-VM-min")
 				b.ReportMetric(0, "ns/op")
 			}
@@ -208,30 +211,30 @@
 	}
 }
 
-func lyingSite(learn bool) *world {
+func wrongSizesSite(learn bool) *simulation {
 	site := &model.Site{Name: "lies", Revision: 1, Pools: []model.Pool{{ID: "p", MinVMs: 10, MaxVMs: 10, Shape: shape}}, Teams: []model.Team{{ID: "t"}}}
-	w := newWorld(1, site, siteVMs(10, 3, shape))
-	w.lease, w.once = 4*time.Minute, true
+	sim := newSimulation(1, site, siteVMs(10, 3, shape))
+	sim.lease, sim.singleDecision = 4*time.Minute, true
 	if !learn {
-		w.fleet.Sizes, w.placing.Sizes = nil, nil
+		sim.fleet.Sizes, sim.placing.Sizes = nil, nil
 	}
-	return w
+	return sim
 }
 
-func submitLiar(w *world, i int) {
+func submitWrongSize(sim *simulation, i int) {
 	kinds := []string{"honest", "high", "low"}
 	factor := []float64{1, 0.25, 2.2}[i/2%3]
-	used := model.Resources{MilliCPU: 1000 + w.rnd.Int64N(4000), MemoryMB: 2000 + w.rnd.Int64N(8000)}
+	used := model.Resources{MilliCPU: 1000 + sim.random.Int64N(4000), MemoryMB: 2000 + sim.random.Int64N(8000)}
 	declared := model.Resources{MilliCPU: int64(float64(used.MilliCPU) / factor), MemoryMB: int64(float64(used.MemoryMB) / factor)}
 	spec := model.JobSpec{ID: model.JobID(fmt.Sprintf("r1/j%05d", i)), Team: "t", Pool: "p", Kind: kinds[i/2%3], Priority: model.Batch, Declared: declared, Idempotent: true}
-	w.submit(spec, truth{size: used, length: time.Duration(30+w.rnd.IntN(180)) * time.Minute})
+	sim.submit(spec, jobBehaviour{size: used, length: time.Duration(30+sim.random.IntN(180)) * time.Minute})
 }
 
-// overloaded counts the VMs whose tasks really use more than there is.
-func overloaded(w *world) float64 {
+// overloadedVMs counts the VMs whose tasks really use more than the VM has.
+func overloadedVMs(sim *simulation) float64 {
 	n := 0.0
-	for id, use := range w.busy() {
-		if !use.Fits(w.vms[id].Capacity) {
+	for id, use := range sim.usageByVM() {
+		if !use.Fits(sim.vms[id].Capacity) {
 			n++
 		}
 	}
@@ -239,26 +242,26 @@
 }
 
 // BenchmarkPolicyAttribution compares attribution by both margins with raw
-// rates: 3 of 40 workers fail all they start, 5 of 100 jobs fail everywhere.
+// rates: 3 of 40 workers fail all tasks, 5 of 100 jobs fail everywhere.
 func BenchmarkPolicyAttribution(b *testing.B) {
 	for _, raw := range []bool{true, false} {
 		b.Run(fmt.Sprintf("raw=%v", raw), func(b *testing.B) {
 			for b.Loop() {
-				w := failingSite(raw)
+				sim := faultyWorkersSite(raw)
 				failures, done := 0, 0
 				for i := range 24 * 60 {
-					submitFailing(w, i)
-					w.round(time.Minute)
+					submitBatch(sim, i)
+					sim.round(time.Minute)
 				}
 				var badIn, goodIn, badHeld, goodHeld int
-				for id := range w.lastIdx.Snap.View.Quarantines {
-					count(w.bad[id], &badIn, &goodIn)
+				for id := range sim.lastIndex.Snap.View.Quarantines {
+					increment(sim.faultyWorkers[id], &badIn, &goodIn)
 				}
-				for _, j := range w.lastIdx.Snap.View.Jobs {
+				for _, j := range sim.lastIndex.Snap.View.Jobs {
 					failures += len(j.FailedOn)
-					done += w.truth[j.Spec.ID].finished
+					done += sim.behaviour[j.Spec.ID].finished
 					if j.State == model.JobHeld {
-						count(w.truth[j.Spec.ID].fails, &badHeld, &goodHeld)
+						increment(sim.behaviour[j.Spec.ID].fails, &badHeld, &goodHeld)
 					}
 				}
 				b.ReportMetric(float64(badIn), "bad-workers-quarantined")
@@ -273,7 +276,7 @@
 	}
 }
 
-func count(yes bool, a, b *int) {
+func increment(yes bool, a, b *int) {
 	if yes {
 		*a++
 		return
@@ -281,34 +284,34 @@
 	*b++
 }
 
-func failingSite(raw bool) *world {
+func faultyWorkersSite(raw bool) *simulation {
 	site := &model.Site{Name: "fails", Revision: 1, Pools: []model.Pool{{ID: "p", MinVMs: 40, MaxVMs: 40, Shape: shape}}, Teams: []model.Team{{ID: "t"}}}
-	w := newWorld(1, site, siteVMs(40, 3, shape))
-	w.lease, w.once = 4*time.Minute, true
+	sim := newSimulation(1, site, siteVMs(40, 3, shape))
+	sim.lease, sim.singleDecision = 4*time.Minute, true
 	for _, id := range []model.VMID{"vm0003", "vm0017", "vm0030"} {
-		w.bad[w.vms[id].Worker] = true
+		sim.faultyWorkers[sim.vms[id].Worker] = true
 	}
 	if raw {
-		w.noHealth = true
-		w.extra = func(ix *fleet.Index) []state.Action { return rawRates(ix, w) }
+		sim.noHealth = true
+		sim.extraDecision = func(ix *fleet.Index) []state.Action { return rawRates(ix, sim) }
 	}
-	return w
+	return sim
 }
 
-func submitFailing(w *world, i int) {
+func submitBatch(sim *simulation, i int) {
 	for n := range 5 {
 		spec := model.JobSpec{ID: model.JobID(fmt.Sprintf("r1/j%05d-%d", i, n)), Team: "t", Pool: "p", Kind: fmt.Sprint(i % 3),
 			Declared: model.Resources{MilliCPU: 2000, MemoryMB: 4000}, Idempotent: true, Priority: model.Batch}
-		w.submit(spec, truth{size: spec.Declared, length: time.Duration(20+w.rnd.IntN(60)) * time.Minute, fails: rand.New(w.rnd).IntN(20) == 0})
+		sim.submit(spec, jobBehaviour{size: spec.Declared, length: time.Duration(20+sim.random.IntN(60)) * time.Minute, fails: rand.New(sim.random).IntN(20) == 0})
 	}
 }
 
-// rawRates is the baseline: a worker that failed half of its last outcomes, of
-// at least four, is quarantined; a job that failed three times is held.
-func rawRates(ix *fleet.Index, w *world) []state.Action {
+// rawRates is the baseline: a worker with at least four recent outcomes of
+// which half failed is quarantined; a job that failed three times is held.
+func rawRates(ix *fleet.Index, sim *simulation) []state.Action {
 	var actions []state.Action
 	for _, v := range ix.VMs {
-		bad, all := w.rates[v.Listed.Worker][0], w.rates[v.Listed.Worker][1]
+		bad, all := sim.recentOutcomes[v.Listed.Worker][0], sim.recentOutcomes[v.Listed.Worker][1]
 		if v.Quarantine == nil && v.Owner != nil && all >= 4 && 2*bad >= all {
 			q := model.Quarantine{Worker: v.Listed.Worker, VM: v.ID, Since: ix.Now(), ProbeAt: ix.Now().Add(1000 * time.Hour)}
 			actions = append(actions, state.Action{SetQuarantine: &state.SetQuarantine{Quarantine: q}})
@@ -323,10 +326,10 @@
 	return actions
 }
 
-// observe keeps the last outcomes of each worker for rawRates, too.
-func (w *world) observe(o health.Outcome) {
-	w.history.Observe(o)
-	r := w.rates[o.Worker]
+// observe also keeps the last outcomes of each worker for rawRates.
+func (sim *simulation) observe(o health.Outcome) {
+	sim.history.Observe(o)
+	r := sim.recentOutcomes[o.Worker]
 	if r[1] == 8 {
 		r = [2]int{r[0] / 2, 4}
 	}
@@ -334,5 +337,5 @@
 		r[0]++
 	}
 	r[1]++
-	w.rates[o.Worker] = r
+	sim.recentOutcomes[o.Worker] = r
 }
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -6,47 +6,48 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// reasonKey is what the words of a reason depend on, so that thousands of
-// jobs which wait for the same thing share one text.
+// reasonKey holds everything that the text of a reason depends on, so that
+// thousands of jobs that wait for the same thing share one text.
 type reasonKey struct {
 	pool     model.PoolID
 	team     model.TeamID
 	size     model.Resources
 	declared model.Resources
-	no       No
+	reject   No
 }
 
-// reasonWords says why a job waits or can never run. The words hold no
-// figure that changes from round to round: each change is written to the log.
-func (p *planner) reasonWords(j *model.Job, size model.Resources, no No) string {
-	key := reasonKey{j.Spec.Pool, j.Spec.Team, size, j.Spec.Declared, no}
-	if words, ok := p.words[key]; ok {
-		return words
+// reasonText returns why a job waits or can never run. The text contains no
+// number that changes from round to round, because each change is written to
+// the log.
+func (p *planner) reasonText(j *model.Job, size model.Resources, reject No) string {
+	key := reasonKey{j.Spec.Pool, j.Spec.Team, size, j.Spec.Declared, reject}
+	if text, ok := p.reasonTexts[key]; ok {
+		return text
 	}
-	words := p.write(j, size, no)
-	p.words[key] = words
-	return words
+	text := p.composeReason(j, size, reject)
+	p.reasonTexts[key] = text
+	return text
 }
 
-func (p *planner) write(j *model.Job, size model.Resources, no No) string {
+func (p *planner) composeReason(j *model.Job, size model.Resources, reject No) string {
 	pool, team := j.Spec.Pool, j.Spec.Team
-	switch no {
+	switch reject {
 	case NoRoom:
-		return fmt.Sprintf("waits for room: no open VM of pool %s has %s left", pool, p.needWords(j, size))
+		return fmt.Sprintf("waits for room: no open VM of pool %s has %s left", pool, p.needText(j, size))
 	case NoOpenVM:
 		return fmt.Sprintf("waits for a VM: none of pool %s takes new work", pool)
 	case Reserved:
-		return fmt.Sprintf("next in pool %s: room for %s is held until other work yields or ends", pool, p.needWords(j, size))
+		return fmt.Sprintf("next in pool %s: room for %s is held until other work yields or ends", pool, p.needText(j, size))
 	case QuotaInUse:
-		return fmt.Sprintf("waits for quota: running jobs of team %s leave less than %s of %s", team, p.needWords(j, size), p.quota(team))
+		return fmt.Sprintf("waits for quota: running jobs of team %s leave less than %s of %s", team, p.needText(j, size), p.quotaText(team))
 	case FailedHere:
 		return fmt.Sprintf("waits for another VM: it failed on each VM of pool %s that has room", pool)
 	case CapacityUnknown:
-		return fmt.Sprintf("waits for a larger VM: the listed VMs of pool %s are too small for %s, or not all are listed", pool, sizeWords(size))
+		return fmt.Sprintf("waits for a larger VM: the listed VMs of pool %s are too small for %s, or not all are listed", pool, formatSize(size))
 	case TooLarge:
-		return p.tooLargeWords(j)
+		return p.tooLargeText(j)
 	case OverQuota:
-		return fmt.Sprintf("can never run: it needs %s; the quota of team %s is %s", sizeWords(j.Spec.Declared), team, p.quota(team))
+		return fmt.Sprintf("can never run: it needs %s; the quota of team %s is %s", formatSize(j.Spec.Declared), team, p.quotaText(team))
 	case UnknownPool:
 		return fmt.Sprintf("can never run: the manifest has no pool %s", pool)
 	case UnknownTeam:
@@ -55,30 +56,30 @@
 	return ""
 }
 
-// needWords names the size, and the declared one where learning changed it.
-func (p *planner) needWords(j *model.Job, size model.Resources) string {
+// needText formats the size, and the declared size if the estimate differs.
+func (p *planner) needText(j *model.Job, size model.Resources) string {
 	if size == j.Spec.Declared {
-		return sizeWords(size)
+		return formatSize(size)
 	}
-	return fmt.Sprintf("%s (declared %s)", sizeWords(size), sizeWords(j.Spec.Declared))
+	return fmt.Sprintf("%s (declared %s)", formatSize(size), formatSize(j.Spec.Declared))
 }
 
-func (p *planner) quota(id model.TeamID) string {
+func (p *planner) quotaText(id model.TeamID) string {
 	team := p.ix.Team(id)
 	if team == nil {
 		return "none"
 	}
-	return quotaWords(team.Spec.Quota)
+	return formatQuota(team.Spec.Quota)
 }
 
-func (p *planner) tooLargeWords(j *model.Job) string {
-	r := p.rooms[j.Spec.Pool]
+func (p *planner) tooLargeText(j *model.Job) string {
+	ps := p.pools[j.Spec.Pool]
 	var largest model.Resources
-	for _, c := range r.caps {
+	for _, c := range ps.capacities {
 		if c.MilliCPU+c.MemoryMB > largest.MilliCPU+largest.MemoryMB {
 			largest = c
 		}
 	}
 	return fmt.Sprintf("can never run: it needs %s; the largest VM of pool %s has %s",
-		sizeWords(j.Spec.Declared), j.Spec.Pool, sizeWords(largest))
+		formatSize(j.Spec.Declared), j.Spec.Pool, formatSize(largest))
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -9,72 +9,74 @@
 )
 
 const (
-	// retryStep is by how much the wait of a job grows with each attempt once
-	// it failed on every VM; retryMost bounds it.
-	retryStep = 10 * time.Minute
-	retryMost = 6 * time.Hour
+	// A job that failed on every VM waits retryStep longer for each attempt, at
+	// most maxRetryWait.
+	retryStep    = 10 * time.Minute
+	maxRetryWait = 6 * time.Hour
 )
 
-// scanLimit bounds the VMs with room that are scored for one job: beyond it
-// a better one is hardly found, and the work would grow with the pool.
+// scanLimit bounds the VMs with enough free capacity that are scored for one
+// job. More would rarely find a better VM, and the work would grow with the
+// pool.
 const scanLimit = 48
 
-// room is what a pool has left in this round.
-type room struct {
+// poolState is the state of a pool during one round of placement.
+type poolState struct {
 	pool  *fleet.Pool
 	rules Rules
-	slots []*slot
+	vms   []*vmState
 	// probes are quarantined VMs on which one job may be tried now.
-	probes []*slot
-	// noFit are sizes for which no slot has room, none of them within
-	// another. What is left only shrinks in a round, so they stay true.
+	probes []*vmState
+	// noFit holds sizes that fit on no VM, none of them within another. Free
+	// capacity only shrinks during a round, so they stay valid.
 	noFit []model.Resources
-	// noYield are sizes for which no slot can make room; it shrinks alike.
-	noYield []model.Resources
-	// caps are the capacities of the pool's VMs, up or not, without doubles.
-	caps []model.Resources
-	// partial says that the platform lists none, or not all, of the VMs.
-	partial bool
-	next    int
+	// noPreemption holds sizes for which no VM can free enough by preemption.
+	// What can be freed only shrinks as well.
+	noPreemption []model.Resources
+	// capacities are the distinct capacities of the pool's VMs, up or not.
+	capacities []model.Resources
+	// partial is set when the platform lists none, or not all, of the VMs.
+	partial   bool
+	scanStart int
 }
 
-// slot is a VM with what is held on it for urgent work.
-type slot struct {
+// vmState is a VM with the capacity that is reserved on it for urgent work.
+type vmState struct {
 	vm *fleet.VM
-	// held is reserved for jobs that wait for other work here to yield.
-	held model.Resources
-	// coming is what tasks that stop, or were asked to yield, will free.
-	coming model.Resources
-	// counted says that coming, yielders and most were worked out.
-	counted bool
-	// yielders are the batch tasks that can still give up something, and most
-	// is what they, and what is coming, would free if all did.
-	yielders []yielder
-	most     model.Resources
+	// reserved is for jobs that wait until other work on the VM is preempted.
+	reserved model.Resources
+	// releasing is what stopping and preempted tasks will free.
+	releasing model.Resources
+	// victimsKnown is set once releasing, victims and reclaimable are computed.
+	victimsKnown bool
+	// victims are the batch tasks that can still be preempted. Reclaimable is
+	// what would be free if all of them were, including releasing.
+	victims     []victim
+	reclaimable model.Resources
 }
 
-func (s *slot) free() model.Resources { return s.vm.Free().Minus(s.held) }
+func (vs *vmState) free() model.Resources { return vs.vm.Free().Minus(vs.reserved) }
 
-func newRoom(ix *fleet.Index, p *fleet.Pool, rules Rules) *room {
-	r := &room{pool: p, rules: rules, partial: len(p.VMs) == 0}
+func newPoolState(ix *fleet.Index, p *fleet.Pool, rules Rules) *poolState {
+	ps := &poolState{pool: p, rules: rules, partial: len(p.VMs) == 0}
 	seen := make(map[model.Resources]bool)
 	for _, v := range p.VMs {
 		switch {
 		case v.Block == fleet.Open, rules.SkipBlock && v.Listed != nil:
-			r.slots = append(r.slots, &slot{vm: v})
+			ps.vms = append(ps.vms, &vmState{vm: v})
 		case probeable(ix, v):
-			r.probes = append(r.probes, &slot{vm: v})
+			ps.probes = append(ps.probes, &vmState{vm: v})
 		}
 		if v.Listed == nil {
-			r.partial = true
+			ps.partial = true
 			continue
 		}
 		if !seen[v.Capacity()] {
 			seen[v.Capacity()] = true
-			r.caps = append(r.caps, v.Capacity())
+			ps.capacities = append(ps.capacities, v.Capacity())
 		}
 	}
-	return r
+	return ps
 }
 
 // probeable reports whether a quarantined VM may be tried with one job.
@@ -84,8 +86,8 @@
 }
 
 // fitsAnyVM reports whether an empty VM of the pool could hold the size.
-func (r *room) fitsAnyVM(size model.Resources) bool {
-	for _, c := range r.caps {
+func (ps *poolState) fitsAnyVM(size model.Resources) bool {
+	for _, c := range ps.capacities {
 		if size.Fits(c) {
 			return true
 		}
@@ -93,30 +95,30 @@
 	return false
 }
 
-// fitShape judges what a job needs and whether any VM of the pool, empty,
-// could hold it. While the platform's list may be partial nothing is ruled
-// out: a job told that it can never run is not tried again.
-func (r *room) fitShape(spec *model.JobSpec, sizes fleet.Sizer) (model.Resources, No) {
+// sizeFor returns the size of a job and whether any VM of the pool, if empty,
+// could hold it. While the platform's list may be incomplete no job is ruled
+// out, because a job marked unplaceable is not tried again.
+func (ps *poolState) sizeFor(spec *model.JobSpec, sizes fleet.Sizer) (model.Resources, No) {
 	size := spec.Declared
 	if sizes != nil {
 		size = sizes.Size(spec)
 	}
 	switch {
-	case r.fitsAnyVM(size):
+	case ps.fitsAnyVM(size):
 		return size, Placed
-	case r.fitsAnyVM(spec.Declared):
-		return r.clip(size, spec.Declared), Placed
-	case r.partial:
+	case ps.fitsAnyVM(spec.Declared):
+		return ps.clampSize(size, spec.Declared), Placed
+	case ps.partial:
 		return size, CapacityUnknown
 	}
 	return spec.Declared, TooLarge
 }
 
-// clip bounds a learned size by the largest VM that the declared size fits:
-// a learned ratio must not keep a job from a whole VM.
-func (r *room) clip(size, declared model.Resources) model.Resources {
+// clampSize bounds a learned size by the largest VM that the declared size
+// fits, so that a learned ratio does not make a job too large for a whole VM.
+func (ps *poolState) clampSize(size, declared model.Resources) model.Resources {
 	var largest model.Resources
-	for _, c := range r.caps {
+	for _, c := range ps.capacities {
 		if declared.Fits(c) && c.MilliCPU+c.MemoryMB > largest.MilliCPU+largest.MemoryMB {
 			largest = c
 		}
@@ -128,8 +130,8 @@
 	}
 }
 
-// covered reports whether one of the sizes is within size.
-func covered(sizes []model.Resources, size model.Resources) bool {
+// impliedBy reports whether one of the sizes is within size.
+func impliedBy(sizes []model.Resources, size model.Resources) bool {
 	for _, s := range sizes {
 		if s.Fits(size) {
 			return true
@@ -138,8 +140,8 @@
 	return false
 }
 
-// cover adds a size, and drops those that it is within.
-func cover(sizes []model.Resources, size model.Resources) []model.Resources {
+// addMinimal adds a size and drops those that it is within.
+func addMinimal(sizes []model.Resources, size model.Resources) []model.Resources {
 	kept := sizes[:0]
 	for _, s := range sizes {
 		if !size.Fits(s) {
@@ -149,64 +151,65 @@
 	return append(kept, size)
 }
 
-// find returns the best slot for a job, or why there is none.
-func (r *room) find(w *weigher, j *model.Job, size model.Resources) (*slot, No) {
-	if len(r.slots) == 0 {
+// selectVM returns the best VM for a job, or why there is none.
+func (ps *poolState) selectVM(sc *scorer, j *model.Job, size model.Resources) (*vmState, No) {
+	if len(ps.vms) == 0 {
 		return nil, NoOpenVM
 	}
-	if covered(r.noFit, size) {
+	if impliedBy(ps.noFit, size) {
 		return nil, NoRoom
 	}
-	found := r.scan(w, j, size)
+	found := ps.scan(sc, j, size)
 	switch {
 	case found.best != nil:
 		return found.best, Placed
-	case found.again != nil && retryDue(w.ix, j):
-		return found.again, Placed
-	case found.again != nil:
+	case found.retry != nil && retryDue(sc.ix, j):
+		return found.retry, Placed
+	case found.retry != nil:
 		return nil, FailedHere
 	}
-	r.noFit = cover(r.noFit, size)
+	ps.noFit = addMinimal(ps.noFit, size)
 	return nil, NoRoom
 }
 
-// scanned is what a look at the slots found.
-type scanned struct {
-	// best has room, and the job never failed there.
-	best *slot
-	// again has room, but the job failed there before.
-	again *slot
+// scanResult is the outcome of a scan over the VMs.
+type scanResult struct {
+	// best has enough free capacity, and the job never failed there.
+	best *vmState
+	// retry has enough free capacity, but the job failed there before.
+	retry *vmState
 }
 
-func (r *room) scan(w *weigher, j *model.Job, size model.Resources) scanned {
-	var found scanned
+func (ps *poolState) scan(sc *scorer, j *model.Job, size model.Resources) scanResult {
+	var found scanResult
 	bestScore, fitting := math.Inf(1), 0
-	for i := range r.slots {
-		s := r.slots[(r.next+i)%len(r.slots)]
-		free := s.free()
-		if !size.Fits(free) && !r.rules.SkipCapacity {
+	for i := range ps.vms {
+		vs := ps.vms[(ps.scanStart+i)%len(ps.vms)]
+		free := vs.free()
+		if !size.Fits(free) && !ps.rules.SkipCapacity {
 			continue
 		}
-		if failedOn(j, s.vm) {
-			found.again = s
+		if failedOn(j, vs.vm) {
+			found.retry = vs
 			continue
 		}
 		fitting++
-		if score := w.score(r.pool, s.vm, j, size, free); score < bestScore {
-			found.best, bestScore = s, score
+		if score := sc.score(ps.pool, vs.vm, j, size, free); score < bestScore {
+			found.best, bestScore = vs, score
 		}
 		if fitting == scanLimit {
-			r.next = (r.next + i + 1) % len(r.slots)
+			ps.scanStart = (ps.scanStart + i + 1) % len(ps.vms)
 			break
 		}
 	}
 	return found
 }
 
-// retryDue reports whether a job that failed on every VM with room, but was
-// not held, may try one of them again: the wait grows with its attempts.
+// retryDue reports whether a job that failed on every VM with enough free
+// capacity, but is not held, may retry on one of them. The wait grows with its
+// attempts.
 func retryDue(ix *fleet.Index, j *model.Job) bool {
-	wait := min(time.Duration(j.Attempts)*retryStep, retryMost)
+	wait := min(time.Duration(j.Attempts)*retryStep, maxRetryWait)
 	return ix.Now().Sub(j.Changed) >= wait
 }
 
@@ -219,16 +222,16 @@
 	return false
 }
 
-// probe returns a quarantined VM on which the job may be tried: only a batch
-// job that is idempotent, so that nothing is lost when it fails.
-func (r *room) probe(j *model.Job, size model.Resources) *slot {
+// takeProbe returns a quarantined VM on which the job may be tried. Only an
+// idempotent batch job is eligible, so that nothing is lost if it fails.
+func (ps *poolState) takeProbe(j *model.Job, size model.Resources) *vmState {
 	if j.Spec.Priority != model.Batch || !j.Spec.Idempotent || len(j.FailedOn) > 0 {
 		return nil
 	}
-	for i, s := range r.probes {
-		if size.Fits(s.free()) {
-			r.probes = append(r.probes[:i], r.probes[i+1:]...)
-			return s
+	for i, vs := range ps.probes {
+		if size.Fits(vs.free()) {
+			ps.probes = append(ps.probes[:i], ps.probes[i+1:]...)
+			return vs
 		}
 	}
 	return nil
--- a/internal/placement/scale_bench_test.go
+++ b/internal/placement/scale_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// scaleSite builds a running site: each VM in a pool with a dozen tasks, and
-// jobs in the queue, most of which find no room.
+// scaleSite builds a running site: each VM is in a pool and has a dozen tasks,
+// and most of the queued jobs fit on no VM.
 func scaleSite(workers, pools, teams, jobs int) *fleet.Snapshot {
 	rnd := rand.New(rand.NewPCG(uint64(workers), 7))
 	big := model.Resources{MilliCPU: 32_000, MemoryMB: 128_000}
@@ -47,7 +47,7 @@
 	return s
 }
 
-// addScaleTask adds the instance of the VM, or a batch job, of 2.4 cores.
+// addScaleTask adds the instance of the VM, or a batch job of 2.4 cores.
 func addScaleTask(s *fleet.Snapshot, v *model.VM, pool model.PoolID, ordinal, n int, rnd *rand.Rand) {
 	t := &model.Task{ID: model.TaskID(fmt.Sprintf("%s.%d", v.ID, n)), VM: v.ID, Worker: v.Worker, State: model.TaskRunning, Started: 1, LeaseUntil: s.Now.Add(20 * time.Second)}
 	if n == 0 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// benchDecision times a decision without the index that it needs anew.
+// benchDecision times a decision without building the fresh index it needs.
 func benchDecision(b *testing.B, s *fleet.Snapshot, decide func(*fleet.Index)) {
 	for b.Loop() {
 		b.StopTimer()
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -8,10 +8,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// jobTaskID names an attempt by the log index on which it was decided: the
-// next attempt of the job can only be decided on a later one, and deciding
-// twice on the same state names the same task. The number of attempts would
-// not do: it is taken back when an attempt never started.
+// jobTaskID names an attempt after the log index at which it was decided. The
+// next attempt of the job can only be decided at a later index, and deciding
+// twice on the same state yields the same name. The number of attempts would
+// not be unique: it is decremented when an attempt never started.
 func jobTaskID(ix *fleet.Index, j *model.Job) model.TaskID {
 	return taskID(ix.Snap.Region, fmt.Sprintf("%s.%d", local(string(j.Spec.ID)), ix.Snap.View.Index))
 }
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -7,53 +7,55 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Weights of the score; a lower score is better, 1 is a whole VM left over.
+// Weights of the score. A lower score is better; 1 is a whole VM left free.
 const (
-	// acceleratorWaste keeps jobs without accelerators off VMs that have some.
-	acceleratorWaste = 2.0
-	// pendingWave keeps new work off VMs that the wave has still to drain:
-	// it would be moved.
-	pendingWave = 1.5
-	// drainedBefore keeps jobs off VMs that are drained before they end.
-	drainedBefore = 1.5
-	// imbalance keeps processors and memory from being stranded.
-	imbalance = 0.25
+	// acceleratorPenalty keeps jobs without accelerators off VMs that have
+	// some.
+	acceleratorPenalty = 2.0
+	// pendingWavePenalty keeps new work off VMs that the wave has yet to drain,
+	// where it would have to be moved.
+	pendingWavePenalty = 1.5
+	// drainPenalty keeps jobs off VMs that are drained before the jobs end.
+	drainPenalty = 1.5
+	// imbalanceWeight avoids leaving processors without memory or memory
+	// without processors, which no task could use.
+	imbalanceWeight = 0.25
 )
 
-// weigher scores VMs that have room for a job.
-type weigher struct {
+// scorer scores VMs that have enough free capacity for a job.
+type scorer struct {
 	ix *fleet.Index
 	o  Options
 }
 
-func (w *weigher) score(p *fleet.Pool, v *fleet.VM, j *model.Job, size, free model.Resources) float64 {
+func (sc *scorer) score(p *fleet.Pool, v *fleet.VM, j *model.Job, size, free model.Resources) float64 {
 	capacity := v.Capacity()
 	cpu := leftShare(free.MilliCPU-size.MilliCPU, capacity.MilliCPU)
 	memory := leftShare(free.MemoryMB-size.MemoryMB, capacity.MemoryMB)
-	score := (cpu+memory)/2 + imbalance*math.Abs(cpu-memory)
+	score := (cpu+memory)/2 + imbalanceWeight*math.Abs(cpu-memory)
 	if j.Spec.Priority == model.Urgent {
-		// Urgent work goes where most is left, away from the limits; other
-		// work packs, so that VMs stay empty for large jobs, waves and moves.
+		// Urgent work goes to the emptiest VM, away from the limits. Other work
+		// is packed, so that VMs stay empty for large jobs, waves and moves.
 		score = -score
 	}
 	if size.Accelerators == 0 && capacity.Accelerators > 0 {
-		score += acceleratorWaste
+		score += acceleratorPenalty
 	}
-	return score + w.horizon(p, v, j)
+	return score + sc.maintenanceCost(p, v, j)
 }
 
-// horizon weighs what maintenance would do to the job.
-func (w *weigher) horizon(p *fleet.Pool, v *fleet.VM, j *model.Job) float64 {
-	if w.o.IgnoreWaves {
+// maintenanceCost scores how maintenance would affect the job.
+func (sc *scorer) maintenanceCost(p *fleet.Pool, v *fleet.VM, j *model.Job) float64 {
+	if sc.o.IgnoreWaves {
 		return 0
 	}
 	cost := 0.0
 	if p.Wave != nil && !v.Maintained {
-		cost += pendingWave
+		cost += pendingWavePenalty
 	}
-	drain, known := w.o.SoonDrained[v.ID]
-	if known && (j.Spec.Runtime == 0 || w.ix.Now().Add(j.Spec.Runtime) > drain) {
-		cost += drainedBefore
+	drain, known := sc.o.SoonDrained[v.ID]
+	if known && (j.Spec.Runtime == 0 || sc.ix.Now().Add(j.Spec.Runtime) > drain) {
+		cost += drainPenalty
 	}
 	return cost
 }
--- a/internal/placement/wish.go
+++ b/internal/placement/wish.go
@@ -6,13 +6,13 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// WishKind is a command that the platform is to carry out on a running task.
+// WishKind is the command that the platform executes on a running task.
 type WishKind uint8
 
 const (
 	// Throttle reduces the task's processor share; UpdateTask records it.
 	Throttle WishKind = iota + 1
-	// Unthrottle gives the full share back; UpdateTask records it.
+	// Unthrottle restores the full share; UpdateTask records it.
 	Unthrottle
 	// Checkpoint saves the task's progress and stops it.
 	Checkpoint
@@ -20,36 +20,36 @@
 	Stop
 )
 
-var wishNames = [...]string{"", "throttle", "unthrottle", "checkpoint", "stop"}
+var actionKindNames = [...]string{"", "throttle", "unthrottle", "checkpoint", "stop"}
 
 // String returns the name used in status and counters.
 func (k WishKind) String() string {
-	if int(k) >= len(wishNames) {
+	if int(k) >= len(actionKindNames) {
 		return "invalid"
 	}
-	return wishNames[k]
+	return actionKindNames[k]
 }
 
-// WishCause says for whose sake a task yields.
+// WishCause is why an action on a task is planned.
 type WishCause uint8
 
 const (
-	// ForUrgent: an urgent job or an instance needs the room.
+	// ForUrgent: an urgent job or an instance needs the capacity.
 	ForUrgent WishCause = iota + 1
-	// ForPressure: the VM nears its limit.
+	// ForPressure: the VM is near its limit.
 	ForPressure
-	// ForMove: the VM moves to another pool, or the task is on the wrong one.
+	// ForMove: the VM moves to another pool, or the task does not belong on it.
 	ForMove
 	// ForCancel: the job was cancelled.
 	ForCancel
-	// ForSpread: one failure domain carries more instances than the service can spare.
+	// ForSpread: one VM carries more instances than the service can spare.
 	ForSpread
-	// ForRoom: there is room again, or a VM is kept clear for a large job.
+	// ForRoom: the VM has free capacity again, or is cleared for a large job.
 	ForRoom
 )
 
-// Wish is a command for the platform about one task. The same wish comes back
-// in each round until the state shows that it was carried out.
+// Wish is a command for the platform about one task. It is planned again in
+// each round until the state shows that it was carried out.
 type Wish struct {
 	Kind   WishKind
 	Cause  WishCause
@@ -62,5 +62,5 @@
 	return (w.Kind == Stop || w.Kind == Checkpoint) && w.Cause != ForCancel
 }
 
-// String names the wish for logs.
+// String describes the planned action for logs.
 func (w *Wish) String() string { return fmt.Sprintf("%s %s: %s", w.Kind, w.Task.ID, w.Reason) }
--- a/internal/placement/words.go
+++ b/internal/placement/words.go
@@ -7,8 +7,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/fleet"
 )
 
-// blockWords counts the VMs of a pool by what keeps new work off them.
-func blockWords(p *fleet.Pool) string {
+// formatBlocks counts the VMs of a pool by the reason why they accept no new
+// work.
+func formatBlocks(p *fleet.Pool) string {
 	if len(p.VMs) == 0 {
 		return "it has none"
 	}
@@ -16,11 +17,11 @@
 	for _, v := range p.VMs {
 		counts[v.Block]++
 	}
-	var words []string
+	var parts []string
 	for b := fleet.Open; b <= fleet.BlockUnhealthy; b++ {
 		if counts[b] > 0 {
-			words = append(words, fmt.Sprintf("%d %s", counts[b], b))
+			parts = append(parts, fmt.Sprintf("%d %s", counts[b], b))
 		}
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
--- a/internal/placement/world_load_test.go
+++ b/internal/placement/world_load_test.go
@@ -12,127 +12,128 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// happen ends tasks and repairs VMs.
-func (w *world) happen(step time.Duration) {
-	for id, at := range w.upAt {
-		if w.now >= at {
-			delete(w.upAt, id)
-			w.setHealth(id, model.VMUp)
+// advance ends tasks and repairs VMs.
+func (sim *simulation) advance(step time.Duration) {
+	for id, at := range sim.upAt {
+		if sim.now >= at {
+			delete(sim.upAt, id)
+			sim.setHealth(id, model.VMUp)
 		}
 	}
-	w.contend(step)
+	sim.simulateContention(step)
 	var ends []state.Action
-	for _, id := range w.sortedRuns() {
-		r := w.runs[id]
-		if !w.up(r.task.VM) || w.now >= r.lease {
-			delete(w.runs, id) // the worker is gone, or stopped the task by itself
+	for _, id := range sim.sortedRuns() {
+		r := sim.runs[id]
+		if !sim.up(r.task.VM) || sim.now >= r.lease {
+			delete(sim.runs, id) // the worker is lost, or stopped the task by itself
 			continue
 		}
-		if outcome := w.outcome(r); outcome != 0 {
-			delete(w.runs, id)
+		if outcome := sim.outcome(r); outcome != 0 {
+			delete(sim.runs, id)
 			ends = append(ends, state.Action{EndTask: &state.EndTask{Task: id, Outcome: outcome}})
 		}
 	}
 	if len(ends) > 0 {
-		w.apply(state.Command{Term: 1, Plan: &state.Plan{Actions: ends}})
+		sim.apply(state.Command{Term: 1, Plan: &state.Plan{Actions: ends}})
 	}
 }
 
-// contend slows the jobs on VMs that are short of processors, and kills the
-// largest job where memory is short.
-func (w *world) contend(step time.Duration) {
-	use := w.busy()
-	largest := make(map[model.VMID]*run)
-	for _, id := range w.sortedRuns() {
-		r := w.runs[id]
-		need, capacity := use[r.task.VM], w.vms[r.task.VM].Capacity
+// simulateContention slows the jobs on VMs that are short of processors, and
+// kills the largest job where memory is short.
+func (sim *simulation) simulateContention(step time.Duration) {
+	use := sim.usageByVM()
+	largest := make(map[model.VMID]*runningTask)
+	for _, id := range sim.sortedRuns() {
+		r := sim.runs[id]
+		need, capacity := use[r.task.VM], sim.vms[r.task.VM].Capacity
 		if need.MilliCPU > capacity.MilliCPU {
 			r.ends = r.ends.Add(step - time.Duration(float64(step)*float64(capacity.MilliCPU)/float64(need.MilliCPU)))
 		}
-		if l := largest[r.task.VM]; need.MemoryMB > capacity.MemoryMB && r.task.Job != "" && (l == nil || w.use(r).MemoryMB > w.use(l).MemoryMB) {
+		if l := largest[r.task.VM]; need.MemoryMB > capacity.MemoryMB && r.task.Job != "" && (l == nil || sim.usage(r).MemoryMB > sim.usage(l).MemoryMB) {
 			largest[r.task.VM] = r
 		}
 	}
 	for _, r := range largest {
-		delete(w.runs, r.task.ID)
-		w.tally.killed++
+		delete(sim.runs, r.task.ID)
+		sim.stats.killed++
 	}
 }
 
-// busy is what the tasks of each VM really use.
-func (w *world) busy() map[model.VMID]model.Resources {
+// usageByVM is what the tasks of each VM really use.
+func (sim *simulation) usageByVM() map[model.VMID]model.Resources {
 	busy := make(map[model.VMID]model.Resources)
-	for _, r := range w.runs {
-		busy[r.task.VM] = busy[r.task.VM].Plus(w.use(r))
+	for _, r := range sim.runs {
+		busy[r.task.VM] = busy[r.task.VM].Plus(sim.usage(r))
 	}
 	return busy
 }
 
-func (w *world) sortedRuns() []model.TaskID {
-	return slices.Sorted(maps.Keys(w.runs))
+func (sim *simulation) sortedRuns() []model.TaskID {
+	return slices.Sorted(maps.Keys(sim.runs))
 }
 
-// outcome ends a job's task when its time has come; on a bad worker it fails
-// at once.
-func (w *world) outcome(r *run) state.TaskOutcome {
-	t := w.truth[r.task.Job]
-	if t == nil || !w.bad[r.task.Worker] && !t.fails && w.now < r.ends {
+// outcome ends a job's task once its run time has passed; on a faulty worker it
+// fails at once.
+func (sim *simulation) outcome(r *runningTask) state.TaskOutcome {
+	t := sim.behaviour[r.task.Job]
+	if t == nil || !sim.faultyWorkers[r.task.Worker] && !t.fails && sim.now < r.ends {
 		return 0
 	}
-	o := health.Outcome{Subject: health.SubjectOf(&r.task), Worker: r.task.Worker, At: w.now}
-	o.Class = health.JobClass(&w.machine.View().Jobs[r.task.Job].Spec)
-	if w.bad[r.task.Worker] || t.fails {
+	o := health.Outcome{Subject: health.SubjectOf(&r.task), Worker: r.task.Worker, At: sim.now}
+	o.Class = health.JobClass(&sim.machine.View().Jobs[r.task.Job].Spec)
+	if sim.faultyWorkers[r.task.Worker] || t.fails {
 		o.Failed = true
-		w.observe(o)
+		sim.observe(o)
 		return state.OutcomeFailed
 	}
 	t.finished++
-	w.observe(o)
+	sim.observe(o)
 	return state.OutcomeSucceeded
 }
 
-// grant carries out the wishes.
-func (w *world) grant(wishes []placement.Wish) {
+// carryOutPlanned carries out the planned actions.
+func (sim *simulation) carryOutPlanned(planned []placement.Wish) {
 	var actions []state.Action
-	for _, wish := range wishes {
-		task := w.machine.View().Tasks[wish.Task.ID]
-		if task == nil || w.runs[task.ID] == nil {
+	for _, a := range planned {
+		task := sim.machine.View().Tasks[a.Task.ID]
+		if task == nil || sim.runs[task.ID] == nil {
 			continue
 		}
-		switch wish.Kind {
+		switch a.Kind {
 		case placement.Throttle, placement.Unthrottle:
-			actions = append(actions, state.Action{UpdateTask: &state.UpdateTask{Task: task.ID, State: task.State, Throttled: wish.Kind == placement.Throttle}})
+			actions = append(actions, state.Action{UpdateTask: &state.UpdateTask{Task: task.ID, State: task.State, Throttled: a.Kind == placement.Throttle}})
 		default:
-			delete(w.runs, task.ID)
-			moved := wish.Moved()
+			delete(sim.runs, task.ID)
+			moved := a.Moved()
 			if moved {
-				w.tally.jobMoves++
+				sim.stats.jobMoves++
 			}
 			actions = append(actions, state.Action{EndTask: &state.EndTask{Task: task.ID, Outcome: state.OutcomeStopped, Moved: moved}})
 		}
 	}
 	if len(actions) > 0 {
-		w.apply(state.Command{Term: 1, Plan: &state.Plan{Actions: actions}})
+		sim.apply(state.Command{Term: 1, Plan: &state.Plan{Actions: actions}})
 	}
 }
 
-func (w *world) setHealth(id model.VMID, h model.VMHealth) {
-	if v := w.vms[id]; v != nil && v.Health != h {
-		v.Health, v.HealthSince = h, w.now
+func (sim *simulation) setHealth(id model.VMID, h model.VMHealth) {
+	if v := sim.vms[id]; v != nil && v.Health != h {
+		v.Health, v.HealthSince = h, sim.now
 	}
 }
 
-// fail takes down the VMs that match for a time.
-func (w *world) fail(down time.Duration, h model.VMHealth, match func(*model.VM) bool) {
-	for id, v := range w.vms {
+// fail takes the matching VMs down for a while.
+func (sim *simulation) fail(down time.Duration, h model.VMHealth, match func(*model.VM) bool) {
+	for id, v := range sim.vms {
 		if match(v) {
-			w.setHealth(id, h)
-			w.upAt[id] = max(w.upAt[id], w.now.Add(down))
+			sim.setHealth(id, h)
+			sim.upAt[id] = max(sim.upAt[id], sim.now.Add(down))
 		}
 	}
 }
 
-// siteVMs builds n VMs, four to a rack, the racks dealt to the zones in turn.
+// siteVMs builds n VMs, four to a rack, the racks assigned to the zones in
+// turn.
 func siteVMs(n, zones int, capacity model.Resources) []*model.VM {
 	vms := make([]*model.VM, n)
 	for i := range vms {
--- a/internal/placement/yield.go
+++ b/internal/placement/yield.go
@@ -9,21 +9,22 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// concession is what batch work on one VM gives up to make room.
-type concession struct {
-	yields []yield
-	// gain is what the yields free.
+// preemption is the set of batch tasks on one VM that are throttled or stopped
+// to free capacity.
+type preemption struct {
+	tasks []preemptedTask
+	// gain is what the tasks free.
 	gain model.Resources
 	cost int
 }
 
-// yield is what one task gives up.
-type yield struct {
+// preemptedTask is a task and how it is preempted.
+type preemptedTask struct {
 	task *model.Task
 	kind WishKind
 }
 
-// Costs order concessions: a stop loses work, a checkpoint moves a job, a
+// Costs order preemptions: a stop loses work, a checkpoint moves a job, a
 // throttle only slows one down.
 const (
 	throttleCost   = 1
@@ -31,8 +32,8 @@
 	stopCost       = 100
 )
 
-func (c *concession) add(y yielder, kind WishKind, gain model.Resources) {
-	c.yields = append(c.yields, yield{y.task, kind})
+func (c *preemption) add(v victim, kind WishKind, gain model.Resources) {
+	c.tasks = append(c.tasks, preemptedTask{v.task, kind})
 	c.gain = c.gain.Plus(gain)
 	switch kind {
 	case Throttle:
@@ -44,65 +45,65 @@
 	}
 }
 
-// reset empties the concession and keeps its memory.
-func (c *concession) reset() { *c = concession{yields: c.yields[:0]} }
+// reset empties the preemption and keeps its memory.
+func (c *preemption) reset() { *c = preemption{tasks: c.tasks[:0]} }
 
-// reserveInstances makes room for instances that found no VM. They come
-// before all jobs: without them the services miss their budgets.
-func (p *planner) reserveInstances(shortages []Shortage) {
-	for _, short := range shortages {
-		s := p.ix.Service(short.Service)
-		if s == nil || short.No != NoRoom {
+// reserveForInstances frees capacity for instances for which no VM was found.
+// They come before all jobs: without them the services miss their budgets.
+func (p *planner) reserveForInstances(shortages []Shortage) {
+	for _, shortage := range shortages {
+		s := p.ix.Service(shortage.Service)
+		if s == nil || shortage.No != NoRoom {
 			continue
 		}
-		why := fmt.Sprintf("instance %d of service %s needs the room", short.Ordinal, short.Service)
-		if r := p.room(s.Spec.Pool); r != nil {
-			p.reserveRoom(r, nil, s.Spec.Size, why)
+		why := fmt.Sprintf("instance %d of service %s needs the room", shortage.Ordinal, shortage.Service)
+		if ps := p.pool(s.Spec.Pool); ps != nil {
+			p.reserveByPreemption(ps, nil, s.Spec.Size, why)
 		}
 	}
 }
 
-// reserve holds room for an urgent job on the VM where the least has to
-// yield, so that smaller jobs don't take what becomes free.
-func (p *planner) reserve(r *room, j *model.Job, size model.Resources) bool {
-	return p.reserveRoom(r, j, size, fmt.Sprintf("urgent job %s needs the room", j.Spec.ID))
+// reserveForJob reserves capacity for an urgent job on the VM where preemption
+// is cheapest, so that smaller jobs don't take what becomes free.
+func (p *planner) reserveForJob(ps *poolState, j *model.Job, size model.Resources) bool {
+	return p.reserveByPreemption(ps, j, size, fmt.Sprintf("urgent job %s needs the room", j.Spec.ID))
 }
 
-func (p *planner) reserveRoom(r *room, j *model.Job, size model.Resources, why string) bool {
-	if covered(r.noYield, size) || len(p.wishes) >= p.o.MaxYields {
+func (p *planner) reserveByPreemption(ps *poolState, j *model.Job, size model.Resources, why string) bool {
+	if impliedBy(ps.noPreemption, size) || len(p.planned) >= p.o.MaxYields {
 		return false
 	}
-	best, avoided := p.leastYield(r, j, size)
+	best, avoided := p.cheapestPreemption(ps, j, size)
 	switch {
 	case best != nil:
-		p.take(best, size, why)
+		p.preempt(best, size, why)
 	case !avoided:
-		r.noYield = cover(r.noYield, size)
+		ps.noPreemption = addMinimal(ps.noPreemption, size)
 	}
 	return best != nil
 }
 
-// leastYield finds the slot where the least has to yield for the size, and
-// leaves in p.best what does. Avoided says that a slot was passed over because
-// the job failed there.
-func (p *planner) leastYield(r *room, j *model.Job, size model.Resources) (best *slot, avoided bool) {
+// cheapestPreemption finds the VM where freeing capacity for the size costs the
+// least, and leaves the preemption in p.best. Avoided reports that a VM was
+// skipped because the job failed there.
+func (p *planner) cheapestPreemption(ps *poolState, j *model.Job, size model.Resources) (best *vmState, avoided bool) {
 	scanned := 0
-	for _, s := range r.slots {
-		p.countYield(s)
-		free := s.free()
-		if !size.Fits(free.Plus(s.most)) {
+	for _, vs := range ps.vms {
+		p.findVictims(vs)
+		free := vs.free()
+		if !size.Fits(free.Plus(vs.reclaimable)) {
 			continue
 		}
-		if j != nil && failedOn(j, s.vm) {
+		if j != nil && failedOn(j, vs.vm) {
 			avoided = true
 			continue
 		}
-		if !p.concede(s, size.Minus(free.Plus(s.coming))) {
+		if !p.planPreemption(vs, size.Minus(free.Plus(vs.releasing))) {
 			continue
 		}
-		if best == nil || p.try.cost < p.best.cost {
-			best = s
-			p.try, p.best = p.best, p.try
+		if best == nil || p.current.cost < p.best.cost {
+			best = vs
+			p.current, p.best = p.best, p.current
 		}
 		if scanned++; scanned == scanLimit || p.best.cost <= throttleCost {
 			break
@@ -111,80 +112,82 @@
 	return best, avoided
 }
 
-// take holds the room and enters what yields for it, as p.best says.
-func (p *planner) take(s *slot, size model.Resources, why string) {
-	s.held = s.held.Plus(size)
-	s.coming = s.coming.Plus(p.best.gain)
-	for _, y := range p.best.yields {
-		p.yielding[y.task.ID] = true
-		p.wishes = append(p.wishes, Wish{y.kind, ForUrgent, y.task, why})
+// preempt reserves the capacity and plans the preemption in p.best.
+func (p *planner) preempt(vs *vmState, size model.Resources, why string) {
+	vs.reserved = vs.reserved.Plus(size)
+	vs.releasing = vs.releasing.Plus(p.best.gain)
+	for _, v := range p.best.tasks {
+		p.preempted[v.task.ID] = true
+		p.planned = append(p.planned, Wish{v.kind, ForUrgent, v.task, why})
 	}
-	s.yielders = slices.DeleteFunc(s.yielders, func(y yielder) bool { return p.yielding[y.task.ID] })
-	s.sumMost()
+	vs.victims = slices.DeleteFunc(vs.victims, func(v victim) bool { return p.preempted[v.task.ID] })
+	vs.sumReclaimable()
 }
 
-// concede works out the least that batch work on the VM must give up for what
-// is missing, into p.try. It reports whether that is enough.
-func (p *planner) concede(s *slot, missing model.Resources) bool {
-	p.try.reset()
+// planPreemption computes into p.current the cheapest preemption on the VM that
+// frees what is missing. It reports whether that is enough.
+func (p *planner) planPreemption(vs *vmState, missing model.Resources) bool {
+	p.current.reset()
 	if missing.Fits(model.Resources{}) {
 		return true
 	}
 	if missing.MemoryMB <= 0 && missing.Accelerators <= 0 {
-		if p.throttle(s.yielders, missing) {
+		if p.throttleVictims(vs.victims, missing) {
 			return true
 		}
-		// Throttling alone is not enough: leave it, what stops frees more.
-		p.try.reset()
+		// Throttling alone is not enough. Drop it, since stopping a task frees
+		// more.
+		p.current.reset()
 	}
-	missing = p.release(s.yielders, Checkpoint, missing)
-	return p.release(s.yielders, Stop, missing).Fits(model.Resources{})
+	missing = p.stopVictims(vs.victims, Checkpoint, missing)
+	return p.stopVictims(vs.victims, Stop, missing).Fits(model.Resources{})
 }
 
-// countYield works out what tasks that were told to stop will free, and which
-// batch tasks can yield, the latest first: they lose the least work.
-func (p *planner) countYield(s *slot) {
-	if s.counted {
+// findVictims computes what tasks that were told to stop will free, and lists
+// the batch tasks that can be preempted. The latest come first because they
+// lose the least work.
+func (p *planner) findVictims(vs *vmState) {
+	if vs.victimsKnown {
 		return
 	}
-	s.counted = true
-	for i := range s.vm.Running {
-		switch t := &s.vm.Running[i]; {
+	vs.victimsKnown = true
+	for i := range vs.vm.Running {
+		switch t := &vs.vm.Running[i]; {
 		case t.Task.State == model.TaskStopping:
-			s.coming = s.coming.Plus(t.Charge)
+			vs.releasing = vs.releasing.Plus(t.Charge)
 		case t.Yields():
-			s.yielders = append(s.yielders, yielder{t.Task, t.Job, t.Charge})
+			vs.victims = append(vs.victims, victim{t.Task, t.Job, t.Charge})
 		}
 	}
-	slices.SortFunc(s.yielders, func(a, b yielder) int {
+	slices.SortFunc(vs.victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(b.task.Started, a.task.Started), cmp.Compare(a.task.ID, b.task.ID))
 	})
-	s.sumMost()
+	vs.sumReclaimable()
 }
 
-func (s *slot) sumMost() {
-	s.most = s.coming
-	for _, y := range s.yielders {
-		s.most = s.most.Plus(y.charge)
+func (vs *vmState) sumReclaimable() {
+	vs.reclaimable = vs.releasing
+	for _, v := range vs.victims {
+		vs.reclaimable = vs.reclaimable.Plus(v.charge)
 	}
 }
 
-// yielder is a batch task that can give up something.
-type yielder struct {
+// victim is a batch task that can be preempted.
+type victim struct {
 	task   *model.Task
 	job    *model.Job
 	charge model.Resources
 }
 
-// throttle reduces tasks to their throttled share until no processors are
-// missing. It reports whether that is enough.
-func (p *planner) throttle(yielders []yielder, missing model.Resources) bool {
-	for _, y := range yielders {
-		gain := estimate.ThrottleGain(y.charge.MilliCPU, y.task.Size.MilliCPU)
-		if y.task.Throttled || !y.job.Spec.Throttleable || gain <= 0 {
+// throttleVictims reduces tasks to their throttled share until no processors
+// are missing. It reports whether that is enough.
+func (p *planner) throttleVictims(victims []victim, missing model.Resources) bool {
+	for _, v := range victims {
+		gain := estimate.ThrottleGain(v.charge.MilliCPU, v.task.Size.MilliCPU)
+		if v.task.Throttled || !v.job.Spec.Throttleable || gain <= 0 {
 			continue
 		}
-		p.try.add(y, Throttle, model.Resources{MilliCPU: gain})
+		p.current.add(v, Throttle, model.Resources{MilliCPU: gain})
 		missing.MilliCPU -= gain
 		if missing.MilliCPU <= 0 {
 			return true
@@ -193,35 +196,37 @@
 	return false
 }
 
-// release stops tasks, with or without a checkpoint, until nothing is missing.
-func (p *planner) release(yielders []yielder, kind WishKind, missing model.Resources) model.Resources {
-	for _, y := range yielders {
+// stopVictims stops tasks, with or without a checkpoint, until nothing is
+// missing. It returns what is still missing.
+func (p *planner) stopVictims(victims []victim, kind WishKind, missing model.Resources) model.Resources {
+	for _, v := range victims {
 		if missing.Fits(model.Resources{}) {
 			break
 		}
-		if !p.mayRelease(y.job, kind) || !helps(y.charge, missing) {
+		if !p.mayStop(v.job, kind) || !freesMissing(v.charge, missing) {
 			continue
 		}
-		p.try.add(y, kind, y.charge)
-		missing = missing.Minus(y.charge)
+		p.current.add(v, kind, v.charge)
+		missing = missing.Minus(v.charge)
 	}
 	return missing
 }
 
-func (p *planner) mayRelease(job *model.Job, kind WishKind) bool {
-	return mayRelease(job, kind) || p.o.Rules.SkipIdempotent
+func (p *planner) mayStop(job *model.Job, kind WishKind) bool {
+	return mayStop(job, kind) || p.o.Rules.SkipIdempotent
 }
 
-// mayRelease reports whether stopping the job in this way can be undone. A
-// job that is not idempotent is never stopped for others: it would not run again.
-func mayRelease(job *model.Job, kind WishKind) bool {
+// mayStop reports whether the job can be stopped in this way and run again. A
+// job that is not idempotent is never preempted, because it would not run
+// again.
+func mayStop(job *model.Job, kind WishKind) bool {
 	if !job.Spec.Idempotent {
 		return false
 	}
 	return (kind == Checkpoint) == job.Spec.Checkpoints
 }
 
-func helps(charge, missing model.Resources) bool {
+func freesMissing(charge, missing model.Resources) bool {
 	return missing.MilliCPU > 0 && charge.MilliCPU > 0 || missing.MemoryMB > 0 && charge.MemoryMB > 0 ||
 		missing.Accelerators > 0 && charge.Accelerators > 0
 }
