--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -15,32 +15,32 @@
 	gib128  = 131_072
 )
 
-// site is a fleet with its tables.
-type site struct {
+// testSite is a fleet with its tables.
+type testSite struct {
 	machine *workload.Machine
 	index   uint64
 	in      Input
 }
 
-func newSite(vms map[string]int) *site {
-	s := &site{machine: workload.NewMachine(), in: Input{
+func newTestSite(vms map[string]int) *testSite {
+	s := &testSite{machine: workload.NewMachine(), in: Input{
 		Now: time.Hour, Flights: map[workload.MachineID]Flight{}, Closing: map[workload.MachineID]Closing{},
 		Need: map[string]int64{}, Listed: func(workload.WorkerID) bool { return false },
 		Idle: func(workload.WorkerID) time.Duration { return time.Second },
 	}}
 	config := &workload.Config{Version: 1}
-	room := workload.Resources{CPU: cores32, MemoryMB: gib128}
+	capacity := workload.Resources{CPU: cores32, MemoryMB: gib128}
 	var workers []workload.Worker
 	for _, pool := range []string{"a", "b", "spare"} {
 		config.Pools = append(config.Pools, workload.Pool{Name: pool, Standby: pool == "spare"})
 		config.Queues = append(config.Queues, workload.Queue{ID: workload.QueueID{Host: "h", Prefix: "/" + pool + "/"}, Pool: pool, TimeoutMS: 1})
 		for i := range vms[pool] {
 			name := fmt.Sprintf("%s-%d", pool, i)
-			vm := VM{Machine: workload.MachineID(name), Pool: pool, State: Up, Capacity: room, Worker: workload.WorkerID("i-" + name)}
+			vm := VM{Machine: workload.MachineID(name), Pool: pool, State: Up, Capacity: capacity, Worker: workload.WorkerID("i-" + name)}
 			if pool == "spare" {
 				vm.State, vm.Worker = Down, ""
 			} else {
-				workers = append(workers, workload.Worker{ID: vm.Worker, Pool: pool, Capacity: room})
+				workers = append(workers, workload.Worker{ID: vm.Worker, Pool: pool, Capacity: capacity})
 			}
 			s.in.VMs = append(s.in.VMs, vm)
 		}
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *site) apply(c *workload.Command) {
+func (s *testSite) apply(c *workload.Command) {
 	data, err := workload.Encode(c)
 	if err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	s.machine.Apply(s.index, data)
 }
 
-func (s *site) decide() (plan Plan) {
+func (s *testSite) decide() (plan Plan) {
 	s.machine.Read(func(t *workload.Tables) {
 		s.in.Tables = t
 		plan = Decide(s.in)
@@ -67,7 +67,7 @@
 }
 
 // runOn commits a run of a job with one task on a worker.
-func (s *site) runOn(worker string, step workload.StepSpec) {
+func (s *testSite) runOn(worker string, step workload.StepSpec) {
 	step.Count = 1
 	id := workload.JobID("job-" + worker)
 	queue := workload.QueueID{Host: "h", Prefix: "/" + worker[2:3] + "/"}
@@ -77,7 +77,7 @@
 
 func TestStandbyVMsGoFirst(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 1, "b": 3, "spare": 2})
+	s := newTestSite(map[string]int{"a": 1, "b": 3, "spare": 2})
 	s.in.Need = map[string]int64{"a": 3 * cores32, "b": cores32}
 	plan := s.decide()
 	is.Equal(len(plan.Orders), 2)
@@ -87,11 +87,11 @@
 	}
 }
 
-// Symptom: a task's worker is taken away under it. Sequence: a pool needs a VM,
-// the only one that another pool can give has a task. Cause: moved while it runs.
+// A VM that a task runs on must not move: it is closed, and moves once the task
+// has ended.
 func TestOnlyEmptyVMsMove(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 1, "b": 1})
+	s := newTestSite(map[string]int{"a": 1, "b": 1})
 	s.in.Need = map[string]int64{"a": 2 * cores32}
 	s.runOn("i-b-0", workload.StepSpec{Need: workload.Resources{CPU: 1000}})
 	plan := s.decide()
@@ -108,12 +108,12 @@
 	is.Equal(orders[0].Pool, "a")
 }
 
-// Symptom: a lasting task waits for minutes though the site has room. Sequence:
-// all VMs of its pool are closed for a wave at once, it is evicted, no VM of the
-// pool takes work. Cause: VMs that leave counted as what the pool has.
+// VMs closed for maintenance don't count as capacity of their pool. If a wave
+// closes all VMs of a pool, an evicted long-running task would otherwise wait
+// for minutes although the site has free capacity.
 func TestClosedVMsDontCountAsCapacity(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 1, "b": 2})
+	s := newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 10_000}
 	s.runOn("i-a-0", workload.StepSpec{Need: workload.Resources{CPU: 10_000}, Lasting: true})
 	s.in.Closing["a-0"] = Closing{Machine: "a-0", Order: Order{Kind: Maintain, Machine: "a-0", Wave: 1}, Since: s.in.Now}
@@ -125,7 +125,7 @@
 
 func TestWaveKeepsItsBound(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 4})
+	s := newTestSite(map[string]int{"a": 4})
 	s.in.Need = map[string]int64{"a": 4 * cores32}
 	wave := &workload.Wave{ID: 7, Most: 2, ForMS: 60_000}
 	for i := range 4 {
@@ -138,7 +138,7 @@
 		is.Equal(o.Kind, Maintain)
 		s.in.Flights[o.Machine] = Flight{Order: o, Sent: s.in.Now}
 	}
-	is.Equal(len(s.decide().Orders), 0) // both are away
+	is.Equal(len(s.decide().Orders), 0) // both are under maintenance
 	delete(s.in.Flights, plan.Orders[0].Machine)
 	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, Machine: plan.Orders[0].Machine}}})
 	is.Equal(len(s.decide().Orders), 1)
@@ -146,7 +146,7 @@
 
 func TestNothingIsParkedBeforeDemandIsKnown(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 3, "spare": 1})
+	s := newTestSite(map[string]int{"a": 3, "spare": 1})
 	s.in.Idle = func(workload.WorkerID) time.Duration { return time.Minute }
 	is.Equal(len(s.decide().Orders), 0)
 	s.in.MayPark = true
@@ -155,12 +155,11 @@
 	is.Equal(orders[0].Pool, "spare")
 }
 
-// Symptom: tasks that ask for a kind of worker wait for ever. Sequence: their
-// pool has room enough, the only VMs of the kind serve another pool. Cause: a
-// pool's need known only as a sum.
+// A pool whose tasks ask for a kind of worker must get VMs of that kind even if
+// it has enough capacity in total; the tasks would otherwise wait for ever.
 func TestVMsOfTheKindAskedForMove(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 2, "b": 3})
+	s := newTestSite(map[string]int{"a": 2, "b": 3})
 	s.in.Need = map[string]int64{"a": cores32, "b": 0}
 	for i := range s.in.VMs {
 		s.in.VMs[i].Kind = "plain"
@@ -173,13 +172,13 @@
 	is.Equal(orders[0].Pool, "a")
 }
 
-// Symptom: an evicted lasting task waits 13 s though the site has idle VMs.
-// Sequence: a wave closes all VMs of a pool but one; that one has processor time
-// enough for the pool's need, but no memory for the task. Cause: room counted as
-// a sum.
-func TestAHomelessTaskGetsAVM(t *testing.T) {
+// A long-running task that fits on no VM of its pool must get a VM even if the
+// pool has enough capacity in total. Such a task waited 13 s when a wave had
+// closed all VMs of the pool but one, which had enough processor time but too
+// little memory.
+func TestUnplaceableTaskGetsVM(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 1, "b": 2})
+	s := newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 14_000}
 	is.Equal(len(s.decide().Orders), 0)
 	s.in.Homeless = map[string]bool{"a": true}
@@ -189,22 +188,22 @@
 	s.in.Flights[orders[0].Machine] = Flight{Order: orders[0], Sent: s.in.Now}
 	is.Equal(len(s.decide().Orders), 0) // one at a time
 
-	s = newSite(map[string]int{"a": 1, "b": 2})
+	s = newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 14_000, "b": 9 * cores32}
 	s.in.Homeless = map[string]bool{"a": true}
-	is.Equal(len(s.decide().Orders), 1) // though b needs more than it has
+	is.Equal(len(s.decide().Orders), 1) // although b needs more than it has
 }
 
-func TestATaskIsHomelessAfterAWhile(t *testing.T) {
+func TestTaskIsUnplaceableAfterDelay(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 1})
+	s := newTestSite(map[string]int{"a": 1})
 	step := workload.StepSpec{Count: 1, Lasting: true, Need: workload.Resources{CPU: 1}}
 	s.apply(&workload.Command{Submit: []workload.Submit{{ID: "j", Queue: workload.QueueID{Host: "h", Prefix: "/a/"},
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{step}}}}})
 	s.machine.Read(func(tables *workload.Tables) {
 		d := NewDemand(tables, time.Hour, 0)
 		is.Equal(len(d.Homeless(tables, time.Hour)), 0)
-		is.True(d.Homeless(tables, time.Hour+homelessAfter)["a"])
+		is.True(d.Homeless(tables, time.Hour+unplaceableAfter)["a"])
 	})
 	s.apply(&workload.Command{Starts: []workload.Start{{Worker: "i-a-0", Run: workload.RunRef{Task: workload.TaskRef{Job: "j"}, Attempt: 1}}}})
 	s.machine.Read(func(tables *workload.Tables) {
@@ -214,11 +213,11 @@
 	})
 }
 
-// A pool whose workers have lost room must get VMs for it, whatever room the
-// platform still lists.
-func TestARoomThatShrankIsMadeUpFor(t *testing.T) {
+// A pool whose workers report less capacity than before must get VMs to make up
+// for it, even if the platform still lists the old capacity.
+func TestReducedCapacityIsReplaced(t *testing.T) {
 	is := is.New(t)
-	s := newSite(map[string]int{"a": 2, "spare": 2})
+	s := newTestSite(map[string]int{"a": 2, "spare": 2})
 	s.in.Need = map[string]int64{"a": 2 * cores32}
 	is.Equal(len(s.decide().Orders), 0)
 	s.apply(&workload.Command{Workers: []workload.Worker{{ID: "i-a-0", Pool: "a", Capacity: workload.Resources{CPU: cores32 / 4, MemoryMB: gib128}}}})
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -13,20 +13,21 @@
 	// rateWindow is the time over which arriving work is averaged: long enough
 	// to hold several jobs, short enough to see a rise within a second.
 	rateWindow = 1500 * time.Millisecond
-	// noticeWindow is the time over which a turn is noticed early, noticeJobs how
-	// many jobs must have come in it: fewer may be chance, as the jobs of one
-	// caller come together.
-	noticeWindow = 500 * time.Millisecond
-	noticeJobs   = 3
+	// burstWindow is the time over which the start of a peak period is detected
+	// early. At least minBurstJobs jobs must arrive in it, as fewer may be
+	// chance: the jobs of one caller come together.
+	burstWindow  = 500 * time.Millisecond
+	minBurstJobs = 3
 	// shortestWindow is the shortest time over which arriving work is averaged.
 	shortestWindow = 400 * time.Millisecond
 	// catchUp is the time within which waiting work should have been started.
 	catchUp = 1200 * time.Millisecond
-	// headroom is added to what is needed: tasks don't fill a VM exactly.
+	// headroom is a factor on what is needed, because tasks don't fill a VM
+	// exactly.
 	headroom = 1.15
-	// lateShare of what jobs ask that can't be in time any more counts as need:
-	// they are still done, but hardly earn anything.
-	lateShare = 0.25
+	// lateWeight is the weight of jobs that can't finish in time any more:
+	// they are still done, but earn hardly anything.
+	lateWeight = 0.25
 )
 
 // arrival is work that came at one time, in core-milliseconds times 1000.
@@ -35,41 +36,43 @@
 	work int64
 }
 
-// Demand follows what each pool is asked for.
+// Demand tracks the processor time that each pool needs.
 type Demand struct {
 	// Rules is the zero value in every real process.
 	Rules Rules
 	pools map[string]*poolDemand
-	// last is the order of the latest job that was counted.
-	last uint64
-	// first is when the first job came, 0 before.
-	first time.Duration
-	turns turns
-	// waits is since when a lasting task of a pool has had no run.
-	waits map[string]time.Duration
-	// perMB is the processor time that comes with a MiB of memory.
-	perMB float64
+	// lastOrder is the order of the latest job that was counted.
+	lastOrder uint64
+	// firstAt is when the first job came, 0 before.
+	firstAt time.Duration
+	peaks   peakTracker
+	// waitingSince is when a long-running task of a pool was first seen without
+	// a run.
+	waitingSince map[string]time.Duration
+	// cpuPerMB is the processor time that comes with a MiB of memory.
+	cpuPerMB float64
 }
 
 type poolDemand struct{ recent []arrival }
 
-// burst is what arrived within noticeWindow.
+// burst is what arrived within burstWindow.
 type burst struct {
 	jobs int
 	work int64
-	// before counts the jobs between the start of rateWindow and this one.
+	// before counts the jobs between the start of rateWindow and that of
+	// burstWindow.
 	before int
 }
 
-// rises says whether clearly more jobs come than before.
-func (b *burst) rises() bool {
-	longer := int((rateWindow - noticeWindow) / noticeWindow)
-	return b.jobs >= noticeJobs && b.jobs*longer >= riseTimes*b.before
+// isSurge reports whether clearly more jobs arrive than before.
+func (b *burst) isSurge() bool {
+	longer := int((rateWindow - burstWindow) / burstWindow)
+	return b.jobs >= minBurstJobs && b.jobs*longer >= surgeFactor*b.before
 }
 
 func (p *poolDemand) burst(now time.Duration) (b burst) {
 	for _, a := range p.recent {
-		if now-a.at > noticeWindow {
+		if now-a.at > burstWindow {
 			b.before++
 			continue
 		}
@@ -79,12 +82,12 @@
 	return b
 }
 
-// NewDemand returns the demand as the accepted jobs tell it: a new leader knows
-// the past as well as the last one did. Times of day are only compared with
-// each other, by clocks that differ between leaders; what comes out of it is
-// an expectation, no promise.
+// NewDemand computes the demand from the accepted jobs, so that a new leader
+// knows as much of the past as the last one did. Wall clock times are only
+// compared with each other, and come from clocks that differ between leaders;
+// the result is an estimate, not a guarantee.
 func NewDemand(t *workload.Tables, now time.Duration, nowMS int64) *Demand {
-	d := &Demand{pools: map[string]*poolDemand{}, turns: newTurns(), waits: map[string]time.Duration{}}
+	d := &Demand{pools: map[string]*poolDemand{}, peaks: newPeakTracker(), waitingSince: map[string]time.Duration{}}
 	jobs := make([]*workload.Job, 0, len(t.Jobs))
 	for _, job := range t.Jobs {
 		jobs = append(jobs, job)
@@ -92,58 +95,60 @@
 	slices.SortFunc(jobs, func(a, b *workload.Job) int {
 		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID))
 	})
-	at := ever
+	at := distantPast
 	for _, job := range jobs {
-		// Times of day step back, and differ between leaders; the order of the jobs
-		// is certain. What is averaged over time must not run backwards.
+		// Wall clocks step back and differ between leaders, but the order of
+		// the jobs is certain. Averages over time must not see time run
+		// backwards.
 		at = max(at, now-time.Duration(max(nowMS-job.AcceptedMS, 0))*time.Millisecond)
-		d.arrive(t, job, at)
-		d.observeTurns(at)
+		d.addArrival(t, job, at)
+		d.observePeaks(at)
 	}
 	return d
 }
 
 // Observe counts the jobs accepted since the last call.
 func (d *Demand) Observe(t *workload.Tables, now time.Duration) {
-	d.learnShape(t)
-	before := d.last
+	d.learnCPUPerMB(t)
+	before := d.lastOrder
 	for _, jobs := range t.Live {
 		for i := len(jobs) - 1; i >= 0 && jobs[i].Order > before; i-- {
-			d.arrive(t, jobs[i], now)
+			d.addArrival(t, jobs[i], now)
 		}
 	}
-	d.observeTurns(now)
+	d.observePeaks(now)
 }
 
-func (d *Demand) arrive(t *workload.Tables, job *workload.Job, at time.Duration) {
-	d.last = max(d.last, job.Order)
+func (d *Demand) addArrival(t *workload.Tables, job *workload.Job, at time.Duration) {
+	d.lastOrder = max(d.lastOrder, job.Order)
 	queue := t.Queues[job.Queue]
 	if queue == nil || job.Work() == 0 {
 		return
 	}
-	if d.first == 0 {
-		d.first = at
+	if d.firstAt == 0 {
+		d.firstAt = at
 	}
 	d.pool(queue.Pool).add(at, job.Work())
 }
 
-func (d *Demand) observeTurns(now time.Duration) {
+func (d *Demand) observePeaks(now time.Duration) {
 	rates, arrived := map[string]int64{}, map[string]burst{}
 	for name, p := range d.pools {
 		p.expire(now)
 		rates[name] = p.rate()
 		arrived[name] = p.burst(now)
 	}
-	d.turns.rules = d.Rules
-	d.turns.observe(rates, now)
-	d.turns.notice(arrived, now)
+	d.peaks.rules = d.Rules
+	d.peaks.observe(rates, now)
+	d.peaks.detectEarly(arrived, now)
 }
 
-// settling is how long demand is watched before a VM counts as not needed.
-const settling = 3 * time.Second
+// warmUp is how long demand is observed before a VM counts as not
+// needed.
+const warmUp = 3 * time.Second
 
-// MayPark says whether demand has been seen for long enough.
-func (d *Demand) MayPark(now time.Duration) bool { return d.first > 0 && now-d.first > settling }
+// MayPark reports whether demand has been observed for long enough.
+func (d *Demand) MayPark(now time.Duration) bool { return d.firstAt > 0 && now-d.firstAt > warmUp }
 
 func (d *Demand) pool(name string) *poolDemand {
 	p := d.pools[name]
@@ -164,14 +169,15 @@
 	}
 }
 
-// rate returns the work that arrives, in thousandths of a core.
-func (p *poolDemand) rate() int64 { return p.rateSince(ever, rateWindow) }
+// rate returns the rate of arriving work, in thousandths of a core.
+func (p *poolDemand) rate() int64 { return p.rateSince(distantPast, rateWindow) }
 
-// ever lies before all arrivals. Those that an earlier leader saw lie before 0 on
-// the clock of a VM that was booted since.
-const ever = time.Duration(math.MinInt64)
+// distantPast lies before all arrivals. Arrivals that an earlier leader saw may
+// lie before 0 on the clock of a VM that was booted later.
+const distantPast = time.Duration(math.MinInt64)
 
-// rateSince returns the same for what came from a time on, averaged over a window.
+// rateSince returns the rate of the work that arrived from a time on, averaged
+// over a window.
 func (p *poolDemand) rateSince(since, window time.Duration) int64 {
 	var work int64
 	for _, a := range p.recent {
@@ -182,43 +188,44 @@
 	return work / window.Milliseconds()
 }
 
-// rateOf returns the work that arrives for a pool. In a turn that has just begun
-// the time before it does not count: averaged with it, the rate would be too low
-// for as long as the window is, and VMs would come one by one instead of at once.
-func (d *Demand) rateOf(pool string, now time.Duration) int64 {
+// arrivalRate returns the rate of arriving work for a pool. In a peak period
+// that has just begun, the time before it does not count: averaged with it, the
+// rate would be too low for the length of the window, and VMs would come one by
+// one instead of all at once.
+func (d *Demand) arrivalRate(pool string, now time.Duration) int64 {
 	p := d.pool(pool)
-	present, since := d.turns.begun()
-	if d.Rules.SkipAnchor || !d.turns.distinct() || pool != present || now-since >= rateWindow {
+	present, since := d.peaks.currentPeriod()
+	if d.Rules.SkipAnchor || !d.peaks.hasDistinctPeaks() || pool != present || now-since >= rateWindow {
 		return p.rate()
 	}
 	return max(p.rate(), p.rateSince(since, max(now-since, shortestWindow)))
 }
 
-// share is what a task takes of a VM, in thousandths of a core: the memory that
-// it takes keeps as much processor time from others.
-func (d *Demand) share(r workload.Resources) int64 {
-	return max(r.CPU, int64(float64(r.MemoryMB)*d.perMB))
+// cpuShare is what a task takes of a VM, in thousandths of a core. Memory
+// counts as the processor time that it makes unusable for others.
+func (d *Demand) cpuShare(r workload.Resources) int64 {
+	return max(r.CPU, int64(float64(r.MemoryMB)*d.cpuPerMB))
 }
 
-// learnShape notes how much processor time comes with the memory of a VM.
-func (d *Demand) learnShape(t *workload.Tables) {
+// learnCPUPerMB updates the ratio of processor time to memory of the VMs.
+func (d *Demand) learnCPUPerMB(t *workload.Tables) {
 	var all workload.Resources
 	for _, w := range t.Workers {
 		all = all.Plus(w.Capacity)
 	}
 	if all.MemoryMB > 0 {
-		d.perMB = float64(all.CPU) / float64(all.MemoryMB)
+		d.cpuPerMB = float64(all.CPU) / float64(all.MemoryMB)
 	}
 }
 
-// Need returns the processor time that each pool should have: what lasting
-// tasks take, the rate at which work arrives or the work that runs and waits,
-// whichever is more.
+// Need returns the processor time that each pool should have: what long-running
+// tasks take, plus the largest of the rate of arriving work, the work that runs
+// and waits, and the expected peak.
 func (d *Demand) Need(t *workload.Tables, now time.Duration, nowMS int64) map[string]int64 {
-	lasting, asked := map[string]int64{}, map[string]int64{}
+	longRunning, pending := map[string]int64{}, map[string]int64{}
 	for queue, jobs := range t.Live {
 		for _, job := range jobs {
-			d.addJob(job, t.Queues[queue], nowMS, lasting, asked)
+			d.addJob(job, t.Queues[queue], nowMS, longRunning, pending)
 		}
 	}
 	var pools []string
@@ -227,20 +234,20 @@
 			pools = append(pools, pool)
 		}
 	}
-	need, expected := map[string]int64{}, d.turns.expect(pools, now)
+	need, expected := map[string]int64{}, d.peaks.expectedDemand(pools, now)
 	for _, pool := range pools {
-		most := max(d.rateOf(pool, now), asked[pool], expected[pool])
-		need[pool] = lasting[pool] + int64(headroom*float64(most))
+		most := max(d.arrivalRate(pool, now), pending[pool], expected[pool])
+		need[pool] = longRunning[pool] + int64(headroom*float64(most))
 	}
 	return need
 }
 
-// addJob adds what the tasks of a job take whose turn has come. What waits is
-// spread over the time in which it should have started.
-func (d *Demand) addJob(job *workload.Job, queue *workload.Queue, nowMS int64, lasting, asked map[string]int64) {
+// addJob adds what the job's unfinished tasks of ready steps take. Waiting work
+// is spread over the time in which it should have been started.
+func (d *Demand) addJob(job *workload.Job, queue *workload.Queue, nowMS int64, longRunning, pending map[string]int64) {
 	pool, weight := queue.Pool, 1.0
 	if job.IsLate(queue, nowMS) {
-		weight = lateShare
+		weight = lateWeight
 	}
 	for _, o := range job.Occurrences {
 		for i := range o.Steps {
@@ -250,19 +257,19 @@
 				continue
 			}
 			if spec.Lasting {
-				lasting[pool] += left * d.share(spec.Charge())
+				longRunning[pool] += left * d.cpuShare(spec.Charge())
 				continue
 			}
-			active, each := int64(step.Active), d.share(spec.Charge())
+			active, each := int64(step.Active), d.cpuShare(spec.Charge())
 			soon := weight * min(float64(spec.RunMS())/float64(catchUp.Milliseconds()), 1)
-			asked[pool] += active*each + int64(soon*float64((left-active)*each))
+			pending[pool] += active*each + int64(soon*float64((left-active)*each))
 		}
 	}
 }
 
 // NeedOf returns what each pool should have of VMs with one label: what the
-// tasks take whose turn has come and that ask for it. A rack that holds a
-// step's data counts like a label.
+// unfinished tasks of ready steps that ask for the label take. A rack that
+// holds a step's data counts like a label.
 func (d *Demand) NeedOf(t *workload.Tables) map[string]map[string]int64 {
 	all := map[string]map[string]int64{}
 	for queue, jobs := range t.Live {
@@ -287,52 +294,53 @@
 			}
 			for _, label := range []string{spec.Label, spec.DataRack} {
 				if label != "" {
-					all[pool][label] += left * d.share(spec.Charge())
+					all[pool][label] += left * d.cpuShare(spec.Charge())
 				}
 			}
 		}
 	}
 }
 
-// homelessAfter is how long a lasting task waits before its pool asks for one
-// more VM; a task that has a place gets it within a few rounds.
-const homelessAfter = 300 * time.Millisecond
+// unplaceableAfter is how long a long-running task waits before its pool asks
+// for one more VM; a task that fits somewhere is placed within a few rounds.
+const unplaceableAfter = 300 * time.Millisecond
 
-// Homeless returns the pools that have had a lasting task without a run for a
-// while.
+// Homeless returns the pools that have had a long-running task without a run
+// for unplaceableAfter.
 func (d *Demand) Homeless(t *workload.Tables, now time.Duration) map[string]bool {
-	homeless := map[string]bool{}
+	unplaceable := map[string]bool{}
 	for pool := range d.Waiting(t, now) {
-		if now-d.waits[pool] >= homelessAfter {
-			homeless[pool] = true
+		if now-d.waitingSince[pool] >= unplaceableAfter {
+			unplaceable[pool] = true
 		}
 	}
-	return homeless
+	return unplaceable
 }
 
-// Waiting returns the pools that have a lasting task without a run now.
+// Waiting returns the pools that have a long-running task without a run now.
 func (d *Demand) Waiting(t *workload.Tables, now time.Duration) map[string]bool {
 	waiting := map[string]bool{}
 	for queue, jobs := range t.Live {
-		if slices.ContainsFunc(jobs, lacksRun) {
+		if slices.ContainsFunc(jobs, hasTaskWithoutRun) {
 			waiting[t.Queues[queue].Pool] = true
 		}
 	}
-	for pool := range d.waits {
+	for pool := range d.waitingSince {
 		if !waiting[pool] {
-			delete(d.waits, pool)
+			delete(d.waitingSince, pool)
 		}
 	}
 	for pool := range waiting {
-		if _, known := d.waits[pool]; !known {
-			d.waits[pool] = now
+		if _, known := d.waitingSince[pool]; !known {
+			d.waitingSince[pool] = now
 		}
 	}
 	return waiting
 }
 
-// lacksRun says whether a lasting task of a job has no run though its turn has come.
-func lacksRun(job *workload.Job) bool {
+// hasTaskWithoutRun reports whether a long-running task of a ready step has no
+// run.
+func hasTaskWithoutRun(job *workload.Job) bool {
 	for _, o := range job.Occurrences {
 		for i := range o.Steps {
 			step := &o.Steps[i]
--- a/internal/capacity/moves.go
+++ b/internal/capacity/moves.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// giveUpMove is how long a worker is emptied for a move before it takes
+	// moveTimeout is how long a worker is closed for a move before it takes
 	// work again: the need has passed by then.
-	giveUpMove = 3 * time.Second
+	moveTimeout = 3 * time.Second
 	// parkAfter is how long a VM that its pool does not need is idle before it
 	// is put on standby: two moves cost as much as a VM does in this time.
 	parkAfter = 2500 * time.Millisecond
@@ -21,69 +21,71 @@
 	maxMoves = 64
 )
 
-// poolState is the balance of one pool.
+// poolState is what one pool has and needs.
 type poolState struct {
 	name    string
 	standby bool
-	// have is the processor time of the VMs that serve it or are on their way.
+	// have is the processor time of the VMs that serve the pool or are moving
+	// to it.
 	have, need int64
-	// haveOf and needOf are the same for the VMs with one label, their kind or
-	// their rack.
-	haveOf, needOf map[string]int64
-	// homeless: a lasting task waits for a place; it gets a VM before anything
-	// else, also from a pool that needs all of its own.
-	homeless bool
-	// spare are its VMs with nothing on them, the longest idle first; busy
-	// those with tasks that end, the least used first.
-	spare, busy []*VM
+	// haveByLabel and needByLabel are the same for the VMs with one label,
+	// which is their kind or their rack.
+	haveByLabel, needByLabel map[string]int64
+	// unplaceable is set if a long-running task fits on no VM of the pool. The
+	// pool then gets a VM before all others, even from a pool that needs all of
+	// its own.
+	unplaceable bool
+	// idle are the pool's VMs with no tasks, the longest idle first; busy are
+	// those that run only tasks that end by themselves, the least used first.
+	idle, busy []*VM
 }
 
 func (s *poolState) missing() int64 { return s.need - s.have }
 
-// add counts a VM that serves the pool, or takes it off with sign -1.
+// add counts a VM that serves the pool, or removes it with sign -1.
 func (s *poolState) add(vm *VM, sign int64) {
 	s.have += sign * vm.Capacity.CPU
-	s.haveOf[vm.Kind] += sign * vm.Capacity.CPU
-	s.haveOf[vm.Rack] += sign * vm.Capacity.CPU
+	s.haveByLabel[vm.Kind] += sign * vm.Capacity.CPU
+	s.haveByLabel[vm.Rack] += sign * vm.Capacity.CPU
 }
 
-// canGive says whether the pool has all that it needs without a VM.
-func (s *poolState) canGive(vm *VM) bool {
+// canRelease reports whether the pool has all that it needs without a VM.
+func (s *poolState) canRelease(vm *VM) bool {
 	if s.standby {
 		return true
 	}
 	for _, label := range []string{vm.Kind, vm.Rack} {
-		if need := s.needOf[label]; need > 0 && s.haveOf[label]-vm.Capacity.CPU < need {
+		if need := s.needByLabel[label]; need > 0 && s.haveByLabel[label]-vm.Capacity.CPU < need {
 			return false
 		}
 	}
 	return s.have-vm.Capacity.CPU >= s.need
 }
 
-// planMoves brings VMs from where they are not needed to where they are.
+// planMoves moves VMs from pools that don't need them to pools that do.
 func (p *planner) planMoves() {
 	if p.Tables.Config == nil {
 		return
 	}
 	pools, standby := p.poolStates()
 	slices.SortFunc(pools, func(a, b *poolState) int {
-		return cmp.Or(order.Bools(b.homeless, a.homeless), cmp.Compare(b.missing(), a.missing()), cmp.Compare(a.name, b.name))
+		return cmp.Or(order.Bools(b.unplaceable, a.unplaceable), cmp.Compare(b.missing(), a.missing()), cmp.Compare(a.name, b.name))
 	})
 	for _, s := range pools {
-		p.plan.Pools = append(p.plan.Pools, Balance{Pool: s.name, Have: s.have, Need: s.need, Spare: len(s.spare)})
+		p.plan.Pools = append(p.plan.Pools, Balance{Pool: s.name, Have: s.have, Need: s.need, Spare: len(s.idle)})
 	}
 	moves := 0
-	for _, needy := range pools {
-		for needy.missing() > 0 && moves < maxMoves {
-			vm := p.takeSpare(pools, standby, needy)
+	for _, receiver := range pools {
+		for receiver.missing() > 0 && moves < maxMoves {
+			vm := p.takeIdle(pools, standby, receiver)
 			if vm == nil {
 				break
 			}
-			p.move(vm, needy.name, "the pool needs more")
-			needy.add(vm, 1)
+			p.move(vm, receiver.name, "the pool needs more")
+			receiver.add(vm, 1)
 			moves++
 		}
-		for needy.missing() > 0 && moves < maxMoves && p.emptyOne(pools, needy) {
+		for receiver.missing() > 0 && moves < maxMoves && p.closeOne(pools, receiver) {
 			moves++
 		}
 	}
@@ -91,32 +93,33 @@
 	p.park(pools, standby)
 }
 
-// planLabels brings VMs of a kind or rack to the pools whose tasks ask for it.
-// A pool with room enough may have none that its tasks can run on.
+// planLabels moves VMs of a kind or rack to the pools whose tasks ask for it. A
+// pool with enough capacity in total may have no VM that these tasks can run
+// on.
 func (p *planner) planLabels(pools []*poolState, standby *poolState) {
-	for _, needy := range pools {
-		for _, label := range slices.Sorted(maps.Keys(needy.needOf)) {
-			for needy.haveOf[label] < needy.needOf[label] {
-				vm := p.takeLabelled(pools, standby, needy, label)
+	for _, receiver := range pools {
+		for _, label := range slices.Sorted(maps.Keys(receiver.needByLabel)) {
+			for receiver.haveByLabel[label] < receiver.needByLabel[label] {
+				vm := p.takeLabelled(pools, standby, receiver, label)
 				if vm == nil {
 					break
 				}
-				p.move(vm, needy.name, "the pool needs label "+label)
-				needy.add(vm, 1)
+				p.move(vm, receiver.name, "the pool needs label "+label)
+				receiver.add(vm, 1)
 			}
 		}
 	}
 }
 
-func (p *planner) takeLabelled(pools []*poolState, standby, needy *poolState, label string) *VM {
-	givers := pools
+func (p *planner) takeLabelled(pools []*poolState, standby, receiver *poolState, label string) *VM {
+	donors := pools
 	if standby != nil {
-		givers = append([]*poolState{standby}, pools...)
+		donors = append([]*poolState{standby}, pools...)
 	}
-	for _, s := range givers {
-		for i, vm := range s.spare {
-			if s != needy && (vm.Kind == label || vm.Rack == label) && s.canGive(vm) {
-				s.spare = slices.Delete(s.spare, i, i+1)
+	for _, s := range donors {
+		for i, vm := range s.idle {
+			if s != receiver && (vm.Kind == label || vm.Rack == label) && s.canRelease(vm) {
+				s.idle = slices.Delete(s.idle, i, i+1)
 				s.add(vm, -1)
 				return vm
 			}
@@ -130,7 +133,7 @@
 	for _, c := range p.Tables.Config.Pools {
 		s := &poolState{
 			name: c.Name, standby: c.Standby, need: p.Need[c.Name],
-			haveOf: map[string]int64{}, needOf: p.NeedOf[c.Name],
+			haveByLabel: map[string]int64{}, needByLabel: p.NeedOf[c.Name],
 		}
 		byName[c.Name] = s
 		if c.Standby {
@@ -140,26 +143,27 @@
 		}
 	}
 	for i := range p.VMs {
-		p.count(byName, &p.VMs[i])
+		p.countVM(byName, &p.VMs[i])
 	}
 	for name := range p.Homeless {
-		p.makeRoom(byName[name])
+		p.requestExtraVM(byName[name])
 	}
 	for _, s := range byName {
 		slices.SortFunc(s.busy, func(a, b *VM) int {
 			return cmp.Or(cmp.Compare(p.Tables.Used[a.Worker].CPU, p.Tables.Used[b.Worker].CPU), cmp.Compare(a.Machine, b.Machine))
 		})
-		slices.SortFunc(s.spare, func(a, b *VM) int {
+		slices.SortFunc(s.idle, func(a, b *VM) int {
 			return cmp.Or(cmp.Compare(p.Idle(b.Worker), p.Idle(a.Worker)), cmp.Compare(a.Machine, b.Machine))
 		})
 	}
 	return pools, standby
 }
 
-// makeRoom lets a pool ask for one more VM if its lasting tasks find no place
-// though the sum of its VMs is enough: the one that is left may be full in
-// memory, or hold as many tasks of the step as it may. One VM at a time.
-func (p *planner) makeRoom(s *poolState) {
+// requestExtraVM lets a pool ask for one more VM if its long-running tasks fit
+// on none of its VMs although these are enough in total: the remaining VM may
+// be full in memory, or run as many tasks of the step as it may. One VM at a
+// time.
+func (p *planner) requestExtraVM(s *poolState) {
 	if s == nil || s.standby || s.missing() > 0 {
 		return
 	}
@@ -173,21 +177,21 @@
 			return
 		}
 	}
-	s.homeless = true
+	s.unplaceable = true
 	s.need = s.have + 1
 }
 
-// count adds a VM to the pool that it serves or will serve.
-func (p *planner) count(byName map[string]*poolState, vm *VM) {
+// countVM adds a VM to the pool that it serves or will serve.
+func (p *planner) countVM(byName map[string]*poolState, vm *VM) {
 	pool := vm.Pool
-	if f, flying := p.Flights[vm.Machine]; flying && f.Order.Kind == Move {
+	if f, inFlight := p.Flights[vm.Machine]; inFlight && f.Order.Kind == Move {
 		pool = f.Order.Pool
 	}
 	if c, closing := p.Closing[vm.Machine]; closing && c.Order.Kind == Move {
 		pool = c.Order.Pool
 	}
 	s := byName[pool]
-	if s == nil || vm.State == Down && !s.standby || p.isLeaving(vm) {
+	if s == nil || vm.State == Down && !s.standby || p.isLeavingForMaintenance(vm) {
 		return
 	}
 	s.add(vm, 1)
@@ -195,19 +199,20 @@
 		return
 	}
 	switch {
-	case s.standby || p.isEmpty(vm) && p.isSettled(vm):
-		s.spare = append(s.spare, vm)
-	case p.isSettled(vm) && p.waitingOf(vm).lasting == 0:
+	case s.standby || p.isEmpty(vm) && p.isAnnounced(vm):
+		s.idle = append(s.idle, vm)
+	case p.isAnnounced(vm) && p.candidateOf(vm).longRunning == 0:
 		s.busy = append(s.busy, vm)
 	}
 }
 
-// emptyOne closes the least used VM of a pool that has more than it needs, so
-// that it can move once its tasks have ended; false when there is none.
-func (p *planner) emptyOne(pools []*poolState, needy *poolState) bool {
+// closeOne closes the least used VM of a pool that has more than it needs, so
+// that the VM can move once its tasks have ended. It reports whether there was
+// one.
+func (p *planner) closeOne(pools []*poolState, receiver *poolState) bool {
 	var best *poolState
 	for _, s := range pools {
-		if s == needy || len(s.busy) == 0 || !needy.homeless && !s.canGive(s.busy[0]) {
+		if s == receiver || len(s.busy) == 0 || !receiver.unplaceable && !s.canRelease(s.busy[0]) {
 			continue
 		}
 		if best == nil || s.missing() < best.missing() {
@@ -220,38 +225,39 @@
 	vm := best.busy[0]
 	best.busy = best.busy[1:]
 	best.add(vm, -1)
-	needy.add(vm, 1)
-	order := Order{Kind: Move, Machine: vm.Machine, Pool: needy.name, Why: "the pool needs more"}
+	receiver.add(vm, 1)
+	order := Order{Kind: Move, Machine: vm.Machine, Pool: receiver.name, Why: "the pool needs more"}
 	p.taken[vm.Machine] = true
 	p.plan.Close = append(p.plan.Close, Closing{Machine: vm.Machine, Order: order, Since: p.Now})
 	return true
 }
 
-// isLeaving says whether a VM is being emptied for its maintenance or away for
-// it. It takes no work meanwhile: the tasks that it must get rid of need room
-// elsewhere, or it never becomes empty.
-func (p *planner) isLeaving(vm *VM) bool {
-	f, flying := p.Flights[vm.Machine]
+// isLeavingForMaintenance reports whether a VM is being drained for maintenance
+// or is under maintenance. It takes no work meanwhile, and the tasks drained
+// from it need capacity elsewhere: counted as capacity, it might never become
+// empty.
+func (p *planner) isLeavingForMaintenance(vm *VM) bool {
+	f, inFlight := p.Flights[vm.Machine]
 	c, closing := p.Closing[vm.Machine]
-	return flying && f.Order.Kind == Maintain || closing && c.Order.Kind == Maintain || vm.State == Maintained
+	return inFlight && f.Order.Kind == Maintain || closing && c.Order.Kind == Maintain || vm.State == Maintained
 }
 
-// isSettled says whether a VM's worker is announced in the pool where the
-// platform lists the VM: before, a start may be on its way there.
-func (p *planner) isSettled(vm *VM) bool {
+// isAnnounced reports whether a VM's worker is announced in the pool where the
+// platform lists the VM. Before that, a start may be in flight to it.
+func (p *planner) isAnnounced(vm *VM) bool {
 	w := p.Tables.Workers[vm.Worker]
 	return w != nil && w.Pool == vm.Pool && !w.Draining
 }
 
-// takeSpare returns a VM that may go to a pool: one on standby, or one that a
-// pool does not need.
-func (p *planner) takeSpare(pools []*poolState, standby, needy *poolState) *VM {
-	if standby != nil && len(standby.spare) > 0 {
-		return standby.take()
+// takeIdle returns a VM that may move to a pool: one on standby, or one that
+// its pool does not need.
+func (p *planner) takeIdle(pools []*poolState, standby, receiver *poolState) *VM {
+	if standby != nil && len(standby.idle) > 0 {
+		return standby.takeLongestIdle()
 	}
 	var best *poolState
 	for _, s := range pools {
-		if s == needy || len(s.spare) == 0 || !needy.homeless && !s.canGive(s.spare[0]) {
+		if s == receiver || len(s.idle) == 0 || !receiver.unplaceable && !s.canRelease(s.idle[0]) {
 			continue
 		}
 		if best == nil || s.missing() < best.missing() {
@@ -261,12 +267,12 @@
 	if best == nil {
 		return nil
 	}
-	return best.take()
+	return best.takeLongestIdle()
 }
 
-func (s *poolState) take() *VM {
-	vm := s.spare[0]
-	s.spare = s.spare[1:]
+func (s *poolState) takeLongestIdle() *VM {
+	vm := s.idle[0]
+	s.idle = s.idle[1:]
 	s.add(vm, -1)
 	return vm
 }
@@ -282,19 +288,20 @@
 		return
 	}
 	for _, s := range pools {
-		for len(s.spare) > 0 {
-			vm := s.spare[0]
-			if !s.canGive(vm) || p.Idle(vm.Worker) < parkAfter || p.inWave(vm.Machine) {
+		for len(s.idle) > 0 {
+			vm := s.idle[0]
+			if !s.canRelease(vm) || p.Idle(vm.Worker) < parkAfter || p.awaitsMaintenance(vm.Machine) {
 				break
 			}
-			s.take()
+			s.takeLongestIdle()
 			p.move(vm, standby.name, "idle")
 		}
 	}
 }
 
-// inWave says whether a VM has a maintenance before it.
-func (p *planner) inWave(machine workload.MachineID) bool {
+// awaitsMaintenance reports whether a VM belongs to a wave and its maintenance
+// has not begun.
+func (p *planner) awaitsMaintenance(machine workload.MachineID) bool {
 	for _, w := range p.Tables.Waves {
 		for i := range w.Machines {
 			if w.Machines[i].Machine == machine && !w.Machines[i].Begun {
--- a/internal/capacity/rules.go
+++ b/internal/capacity/rules.go
@@ -1,22 +1,23 @@
 package capacity
 
-// Rules switches single mechanisms off. It exists so that a model of the load can
-// show what each of them is worth; it is the zero value in every real process.
+// Rules switches single mechanisms off, so that a simulation of the load can
+// show what each of them is worth. It is the zero value in every real process.
 type Rules struct {
-	// SkipTurns expects no peak.
+	// SkipTurns expects no peak periods.
 	SkipTurns bool
-	// SkipSuccessor expects nobody after a pool that nobody was seen to follow.
+	// SkipSuccessor predicts no successor for a pool that has had none so far.
 	SkipSuccessor bool
-	// SkipLevel expects a turn with its highest rate, and not at all once it has
-	// begun.
+	// SkipLevel expects a peak period to have its highest rate, and no longer
+	// expects it once it has begun.
 	SkipLevel bool
-	// SkipNotice notices a turn by rates over rateWindow only.
+	// SkipNotice detects a peak period only by rates over rateWindow.
 	SkipNotice bool
-	// SkipAnchor averages the rate of a turn that has just begun over the whole of
-	// rateWindow.
+	// SkipAnchor averages the rate of a peak period that has just begun over
+	// the whole of rateWindow.
 	SkipAnchor bool
-	// SkipDistinct expects turns also where they hardly stand out.
+	// SkipDistinct predicts peak periods even if they hardly stand out.
 	SkipDistinct bool
-	// SkipRecord expects a pool to be next also where that was mostly wrong.
+	// SkipRecord predicts the next pool even if the predictions were mostly
+	// wrong.
 	SkipRecord bool
 }
--- a/internal/capacity/turns.go
+++ b/internal/capacity/turns.go
@@ -6,177 +6,191 @@
 )
 
 const (
-	// leadShare of all arriving work makes a pool the one whose turn it is.
-	leadShare = 0.5
-	// turnLead is how long before its expected turn a pool is given VMs: a move
-	// takes about two seconds, and a turn is noticed about one after it began.
-	turnLead = 3 * time.Second
-	// turnLate is how long after the expected time a turn is still expected.
-	turnLate = 2 * time.Second
-	// shortestTurn is the shortest time that counts as a turn; what is shorter
-	// is a single large job.
-	shortestTurn = time.Second
-	// levelFrom is how long after a turn began its rate counts for its level:
-	// before, the window of rates still holds the time before the turn.
-	levelFrom = rateWindow
-	// levelFor is how long a turn that has begun is taken for as high as turns
-	// are; then its own rate is known.
-	levelFor = 2500 * time.Millisecond
-	// peakShare of the highest rate is about the mean of a turn, where the turn
-	// was too short to tell: the rate of a few large jobs swings by half.
-	peakShare = 0.6
-	// noticeFor is how long a turn that was noticed early counts without being
-	// confirmed by rates over the whole window.
-	noticeFor = 1500 * time.Millisecond
-	// riseTimes is how many times the jobs of a pool must have become more for its
-	// turn to be noticed early: jobs that come by chance double at most.
-	riseTimes = 3
-	// distinctShare of all arriving work goes to the pool that leads where there are
-	// turns, on average over shareFades. Where large jobs make one pool after the
-	// other stand out by chance, it is a half.
-	distinctShare = 0.75
-	shareFades    = 5 * time.Second
-	// payback is the shortest turn for which VMs are moved before its own rate
-	// asks for them: a move takes two seconds, and as much must be left to work.
-	payback = 4 * time.Second
-	// recordFades is the weight of the last turn in the record of how often the
-	// right pool was expected; below leastRecord nobody is expected to be next.
-	recordFades = 0.3
-	leastRecord = 0.4
+	// leadingShare is the share of all arriving work that makes a pool the
+	// leading one.
+	leadingShare = 0.5
+	// leadTime is how long before its expected peak period a pool is given VMs:
+	// a move takes about two seconds, and a peak period is detected about one
+	// second after it began.
+	leadTime = 3 * time.Second
+	// lateTolerance is how long after the expected time a peak period is still
+	// expected.
+	lateTolerance = 2 * time.Second
+	// minPeriod is the shortest time that counts as a peak period; a shorter
+	// peak is a single large job.
+	minPeriod = time.Second
+	// meanFrom is how long after the start of a peak period its rate counts for
+	// its mean: before that, the window of rates still includes the time before
+	// the peak period.
+	meanFrom = rateWindow
+	// assumedMeanFor is how long after its start a peak period is assumed to
+	// have the mean rate of earlier ones; after that its own rate is known.
+	assumedMeanFor = 2500 * time.Millisecond
+	// meanToPeak is about the ratio of the mean to the highest rate. It is used
+	// for peak periods too short to measure the mean, since the rate of a few
+	// large jobs varies by half.
+	meanToPeak = 0.6
+	// unconfirmedFor is how long a peak period that was detected early counts
+	// without being confirmed by rates over the whole window.
+	unconfirmedFor = 1500 * time.Millisecond
+	// surgeFactor is by what factor the jobs of a pool must increase for its
+	// peak period to be detected early: by chance they double at most.
+	surgeFactor = 3
+	// minDistinctShare is the share of all arriving work that the leading pool
+	// must get, averaged over shareWindow, for the load to have peak periods.
+	// Where large jobs make one pool after the other lead by chance, the share
+	// is a half.
+	minDistinctShare = 0.75
+	shareWindow      = 5 * time.Second
+	// minPaybackPeriod is the shortest peak period for which VMs are moved
+	// before its own rate asks for them: a move takes two seconds, and as much
+	// time must remain for work.
+	minPaybackPeriod = 4 * time.Second
+	// accuracyWeight is the weight of the last prediction in the accuracy of
+	// predictions; below minAccuracy no pool is predicted to be next.
+	accuracyWeight = 0.3
+	minAccuracy    = 0.4
 )
 
-// turns learns in which order pools have their peaks. Where demand goes from
-// one pool to the next in turns, VMs can be there before the peak is; a pool
-// that waits for its peak to show loses about three seconds of each.
-type turns struct {
-	// pool has its turn since a time; empty before the first.
-	pool  string
-	since time.Duration
-	// next is the pool that is about to take over, since a time.
-	next      string
-	nextSince time.Duration
-	// noticed is a pool whose turn seems to have begun at noticedAt, by the jobs
-	// of the last moment only; empty for none.
-	noticed   string
-	noticedAt time.Duration
-	// after holds which pool followed another, length how long its turn was,
-	// ended when its last turn ended.
-	after  map[string]string
-	length map[string]time.Duration
-	ended  map[string]time.Duration
-	// peak is the most that arrived in a pool's last turn, level the mean, both
-	// in thousandths of a core.
-	peak, level map[string]int64
-	// area over span is the level of the present turn so far, up to sampledAt.
-	area            float64
-	span, sampledAt time.Duration
-	// share is the part of all arriving work that the pool which led got of late.
-	share    float64
-	sharedAt time.Duration
-	// awaited is who was expected after the present turn, record how often that
-	// was right of late, between 0 and 1.
-	awaited map[string]int64
-	record  float64
-	rules   Rules
+// peakTracker learns the order in which pools have their peak periods. Where
+// demand moves from one pool to the next, VMs can be there before the peak; a
+// pool that waits for its peak to be measured loses about three seconds of
+// each.
+type peakTracker struct {
+	// current is the pool that has its peak period, since currentSince; empty
+	// before the first.
+	current      string
+	currentSince time.Duration
+	// candidate is the pool that is about to take over, since candidateSince.
+	candidate      string
+	candidateSince time.Duration
+	// detected is a pool whose peak period seems to have begun at detectedAt,
+	// judged only by the jobs of the last burstWindow; empty for none.
+	detected   string
+	detectedAt time.Duration
+	// successor maps a pool to the one that followed it, length to the duration
+	// of its last peak period, endedAt to the end of that period.
+	successor map[string]string
+	length    map[string]time.Duration
+	endedAt   map[string]time.Duration
+	// peak is the highest rate in a pool's last peak period, mean the mean
+	// rate, both in thousandths of a core.
+	peak, mean map[string]int64
+	// sampledWork over sampledFor is the mean of the current peak period so
+	// far, up to sampledAt.
+	sampledWork           float64
+	sampledFor, sampledAt time.Duration
+	// leaderShare is the recent share of all arriving work that the leading
+	// pool got.
+	leaderShare   float64
+	leaderShareAt time.Duration
+	// predicted holds the pools expected after the current peak period,
+	// accuracy the recent rate of correct predictions, between 0 and 1.
+	predicted map[string]int64
+	accuracy  float64
+	rules     Rules
 }
 
-func newTurns() turns {
-	return turns{
-		after: map[string]string{}, length: map[string]time.Duration{}, ended: map[string]time.Duration{},
-		peak: map[string]int64{}, level: map[string]int64{}, record: 1, share: 1,
+func newPeakTracker() peakTracker {
+	return peakTracker{
+		successor: map[string]string{}, length: map[string]time.Duration{}, endedAt: map[string]time.Duration{},
+		peak: map[string]int64{}, mean: map[string]int64{}, accuracy: 1, leaderShare: 1,
 	}
 }
 
-// observe takes in the rates of arriving work at a time.
-func (t *turns) observe(rates map[string]int64, now time.Duration) {
-	t.noteShare(rates, now)
-	leader := leading(rates)
-	if leader == "" || leader == t.pool {
-		t.next = ""
+// observe processes the rates of arriving work at a time.
+func (t *peakTracker) observe(rates map[string]int64, now time.Duration) {
+	t.updateLeaderShare(rates, now)
+	leader := leadingPool(rates)
+	if leader == "" || leader == t.current {
+		t.candidate = ""
 		if leader != "" {
 			t.peak[leader] = max(t.peak[leader], rates[leader])
 			t.sample(rates[leader], now)
 		}
 		return
 	}
-	if leader != t.next {
-		t.next, t.nextSince = leader, now
+	if leader != t.candidate {
+		t.candidate, t.candidateSince = leader, now
 		return
 	}
-	if now-t.nextSince < shortestTurn/2 {
+	if now-t.candidateSince < minPeriod/2 {
 		return
 	}
-	t.end(leader)
-	t.pool, t.since, t.next = leader, t.nextSince, ""
+	t.endPeriod(leader)
+	t.current, t.currentSince, t.candidate = leader, t.candidateSince, ""
 	t.peak[leader] = rates[leader]
-	t.area, t.span, t.sampledAt = 0, 0, now
+	t.sampledWork, t.sampledFor, t.sampledAt = 0, 0, now
 }
 
-// sample adds the rate since the last sample to the level of the present turn.
-func (t *turns) sample(rate int64, now time.Duration) {
-	if now-t.since > levelFrom {
-		t.area += float64(rate) * float64(now-t.sampledAt)
-		t.span += now - t.sampledAt
+// sample adds the rate since the last sample to the mean of the current peak
+// period.
+func (t *peakTracker) sample(rate int64, now time.Duration) {
+	if now-t.currentSince > meanFrom {
+		t.sampledWork += float64(rate) * float64(now-t.sampledAt)
+		t.sampledFor += now - t.sampledAt
 	}
 	t.sampledAt = now
 }
 
-// end notes what the present turn was like, as another pool takes over.
-func (t *turns) end(successor string) {
-	if t.pool == "" || t.nextSince-t.since < shortestTurn {
+// endPeriod records the properties of the current peak period when another pool
+// takes over.
+func (t *peakTracker) endPeriod(successor string) {
+	if t.current == "" || t.candidateSince-t.currentSince < minPeriod {
 		return
 	}
-	t.after[t.pool] = successor
-	t.length[t.pool] = t.nextSince - t.since
-	t.ended[t.pool] = t.nextSince
-	t.level[t.pool] = int64(peakShare * float64(t.peak[t.pool]))
-	if t.span > 0 {
-		t.level[t.pool] = int64(t.area / float64(t.span))
+	t.successor[t.current] = successor
+	t.length[t.current] = t.candidateSince - t.currentSince
+	t.endedAt[t.current] = t.candidateSince
+	t.mean[t.current] = int64(meanToPeak * float64(t.peak[t.current]))
+	if t.sampledFor > 0 {
+		t.mean[t.current] = int64(t.sampledWork / float64(t.sampledFor))
 	}
-	t.noteRecord(successor)
+	t.updateAccuracy(successor)
 }
 
-// noteShare averages how much of all arriving work one pool gets.
-func (t *turns) noteShare(rates map[string]int64, now time.Duration) {
+// updateLeaderShare averages the share of all arriving work that the leading
+// pool gets.
+func (t *peakTracker) updateLeaderShare(rates map[string]int64, now time.Duration) {
 	var total, most int64
 	for _, r := range rates {
 		total += r
 		most = max(most, r)
 	}
-	passed := min(now-t.sharedAt, shareFades)
-	if total > 0 && t.sharedAt > 0 {
-		t.share += float64(passed) / float64(shareFades) * (float64(most)/float64(total) - t.share)
+	passed := min(now-t.leaderShareAt, shareWindow)
+	if total > 0 && t.leaderShareAt > 0 {
+		t.leaderShare += float64(passed) / float64(shareWindow) * (float64(most)/float64(total) - t.leaderShare)
 	}
-	t.sharedAt = now
+	t.leaderShareAt = now
 }
 
-// noteRecord notes whether the pool that took over was expected to.
-func (t *turns) noteRecord(successor string) {
-	if len(t.awaited) > 0 {
+// updateAccuracy records whether the pool that took over was predicted.
+func (t *peakTracker) updateAccuracy(successor string) {
+	if len(t.predicted) > 0 {
 		hit := 0.0
-		if t.awaited[successor] > 0 {
+		if t.predicted[successor] > 0 {
 			hit = 1
 		}
-		t.record += recordFades * (hit - t.record)
+		t.accuracy += accuracyWeight * (hit - t.accuracy)
 	}
-	t.awaited = nil
+	t.predicted = nil
 }
 
-// distinct says whether the load has turns that stand out, and are long enough for
-// VMs to be moved before what arrives asks for them.
-func (t *turns) distinct() bool {
-	length := t.typical()
-	return !t.rules.SkipTurns && (t.rules.SkipDistinct || t.share >= distinctShare && (length == 0 || length >= payback))
+// hasDistinctPeaks reports whether the load has peak periods that stand out and
+// are long enough to move VMs before the arriving work asks for them.
+func (t *peakTracker) hasDistinctPeaks() bool {
+	length := t.medianLength()
+	return !t.rules.SkipTurns && (t.rules.SkipDistinct || t.leaderShare >= minDistinctShare && (length == 0 || length >= minPaybackPeriod))
 }
 
-// notice takes in what arrived within the last noticeWindow. A turn shows there a
-// second before it does in the rates over rateWindow, and that second is the one
-// in which its VMs have to set out.
-func (t *turns) notice(arrived map[string]burst, now time.Duration) {
-	if t.noticed != "" && (t.noticed == t.pool || now-t.noticedAt > noticeFor) {
-		t.noticed = ""
-	}
-	if t.rules.SkipNotice || !t.distinct() {
+// detectEarly processes what arrived within the last burstWindow. It detects a
+// peak period a second before the rates over rateWindow do, and that is the
+// second in which its VMs have to start moving.
+func (t *peakTracker) detectEarly(arrived map[string]burst, now time.Duration) {
+	if t.detected != "" && (t.detected == t.current || now-t.detectedAt > unconfirmedFor) {
+		t.detected = ""
+	}
+	if t.rules.SkipNotice || !t.hasDistinctPeaks() {
 		return
 	}
 	var total int64
@@ -184,23 +198,24 @@
 		total += b.work
 	}
 	for pool, b := range arrived {
-		if pool != t.pool && pool != t.noticed && b.rises() && float64(b.work) > leadShare*float64(total) {
-			t.noticed, t.noticedAt = pool, now
+		if pool != t.current && pool != t.detected && b.isSurge() && float64(b.work) > leadingShare*float64(total) {
+			t.detected, t.detectedAt = pool, now
 		}
 	}
 }
 
-// begun returns the pool whose turn seems to be the present one, and since when.
-func (t *turns) begun() (string, time.Duration) {
-	if t.noticed != "" {
-		return t.noticed, t.noticedAt - noticeWindow/2
+// currentPeriod returns the pool whose peak period seems to be the current one,
+// and since when.
+func (t *peakTracker) currentPeriod() (string, time.Duration) {
+	if t.detected != "" {
+		return t.detected, t.detectedAt - burstWindow/2
 	}
-	return t.pool, t.since
+	return t.current, t.currentSince
 }
 
-// leading returns the pool that gets most of the arriving work, empty when
-// none does.
-func leading(rates map[string]int64) string {
+// leadingPool returns the pool that gets most of the arriving work, empty when
+// none gets leadingShare of it.
+func leadingPool(rates map[string]int64) string {
 	var total, most int64
 	pool := ""
 	for name, rate := range rates {
@@ -209,69 +224,72 @@
 			pool, most = name, rate
 		}
 	}
-	if total == 0 || float64(most) < leadShare*float64(total) {
+	if total == 0 || float64(most) < leadingShare*float64(total) {
 		return ""
 	}
 	return pool
 }
 
-// expect returns what pools will be asked for soon, in thousandths of a core.
-func (t *turns) expect(pools []string, now time.Duration) map[string]int64 {
+// expectedDemand returns the demand expected soon for each pool, in thousandths
+// of a core.
+func (t *peakTracker) expectedDemand(pools []string, now time.Duration) map[string]int64 {
 	if t.rules.SkipTurns {
 		return nil
 	}
-	next := t.awaitNext(pools, now)
-	if present, since := t.begun(); !t.rules.SkipLevel && present != "" && now-since < levelFor && len(t.level) > 0 && t.distinct() {
-		return map[string]int64{present: t.levelOf(present)}
+	next := t.predictNext(pools, now)
+	if present, since := t.currentPeriod(); !t.rules.SkipLevel && present != "" && now-since < assumedMeanFor && len(t.mean) > 0 && t.hasDistinctPeaks() {
+		return map[string]int64{present: t.meanOf(present)}
 	}
-	if t.record < leastRecord && !t.rules.SkipRecord {
+	if t.accuracy < minAccuracy && !t.rules.SkipRecord {
 		return nil
 	}
 	return next
 }
 
-// awaitNext returns what the pools will be asked for that may take over soon.
-func (t *turns) awaitNext(pools []string, now time.Duration) map[string]int64 {
-	length, known := t.length[t.pool], true
+// predictNext returns the demand expected for the pools that may take over
+// soon.
+func (t *peakTracker) predictNext(pools []string, now time.Duration) map[string]int64 {
+	length, known := t.length[t.current], true
 	if length == 0 {
-		length, known = t.typical(), false
+		length, known = t.medianLength(), false
 	}
-	if t.pool == "" || length == 0 {
+	if t.current == "" || length == 0 {
 		return nil
 	}
-	left := t.since + length - now
-	if left > turnLead || left < -turnLate {
+	left := t.currentSince + length - now
+	if left > leadTime || left < -lateTolerance {
 		return nil
 	}
-	t.awaited = t.guess(pools)
-	if next := t.after[t.pool]; known && next != "" {
-		t.awaited = map[string]int64{next: t.levelOf(next)}
+	t.predicted = t.predictWithoutHistory(pools)
+	if next := t.successor[t.current]; known && next != "" {
+		t.predicted = map[string]int64{next: t.meanOf(next)}
 	}
-	return t.awaited
+	return t.predicted
 }
 
-// levelOf returns how high the turns of a pool are; where none was seen, as high
-// as those of the others in the middle.
-func (t *turns) levelOf(pool string) int64 {
+// meanOf returns the mean rate of a pool's peak periods, or the median of the
+// other pools' means if it had none.
+func (t *peakTracker) meanOf(pool string) int64 {
 	if t.rules.SkipLevel {
 		return t.peak[pool]
 	}
-	if level := t.level[pool]; level > 0 {
-		return level
+	if mean := t.mean[pool]; mean > 0 {
+		return mean
 	}
 	var all []int64
-	for _, l := range t.level {
+	for _, l := range t.mean {
 		all = append(all, l)
 	}
 	if len(all) == 0 {
-		return int64(peakShare * float64(t.peak[t.pool]))
+		return int64(meanToPeak * float64(t.peak[t.current]))
 	}
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
-// typical returns the length of the last turns, 0 when none is known.
-func (t *turns) typical() time.Duration {
+// medianLength returns the median length of the pools' last peak periods, 0 if
+// none is known.
+func (t *peakTracker) medianLength() time.Duration {
 	var all []time.Duration
 	for _, l := range t.length {
 		all = append(all, l)
@@ -283,27 +301,27 @@
 	return all[len(all)/2]
 }
 
-// guess says who comes next where nobody has followed the present pool yet: the
-// pools that had no turn so far, each with its share of one; if there is none,
-// the one whose turn is the longest ago.
-func (t *turns) guess(pools []string) map[string]int64 {
+// predictWithoutHistory predicts the next pool if none has followed the current
+// one yet: the pools without a peak period so far, each with an equal share of
+// one; if there are none, the pool whose peak period is the longest ago.
+func (t *peakTracker) predictWithoutHistory(pools []string) map[string]int64 {
 	var unseen []string
 	oldest := ""
 	for _, p := range pools {
 		switch {
-		case p == t.pool:
+		case p == t.current:
 		case t.peak[p] == 0:
 			unseen = append(unseen, p)
-		case oldest == "" || t.ended[p] < t.ended[oldest]:
+		case oldest == "" || t.endedAt[p] < t.endedAt[oldest]:
 			oldest = p
 		}
 	}
 	expected := map[string]int64{}
 	for _, p := range unseen {
-		expected[p] = t.levelOf(t.pool) / int64(len(unseen))
+		expected[p] = t.meanOf(t.current) / int64(len(unseen))
 	}
 	if len(unseen) == 0 && oldest != "" && !t.rules.SkipSuccessor {
-		expected[oldest] = t.levelOf(oldest)
+		expected[oldest] = t.meanOf(oldest)
 	}
 	return expected
 }
--- a/internal/capacity/vm.go
+++ b/internal/capacity/vm.go
@@ -6,21 +6,21 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// State is how a VM stands with the platform.
+// State is the state of a VM as the platform reports it.
 type State uint8
 
 // The states of a VM.
 const (
 	// Up: it serves its pool.
 	Up State = iota + 1
-	// Moving: it is on its way into another pool.
+	// Moving: it is moving to another pool.
 	Moving
-	// Maintained: it is away for maintenance.
+	// Maintained: it is under maintenance.
 	Maintained
 	// Down: it is off, or lost.
 	Down
-	// Unclear: what the platform says of it can't be read. It counts where it was
-	// last listed and gets no order.
+	// Unclear: the platform's entry for it can't be parsed. It counts where it
+	// was last listed and gets no order.
 	Unclear
 )
 
@@ -37,10 +37,10 @@
 	Worker workload.WorkerID
 }
 
-// OrderKind is what is ordered for a VM.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
-// The orders for a VM.
+// The kinds of orders.
 const (
 	Move OrderKind = iota + 1
 	Maintain
@@ -50,21 +50,21 @@
 type Order struct {
 	Kind    OrderKind
 	Machine workload.MachineID
-	// Pool is the target of a move, Wave that of a maintenance.
+	// Pool is the target of a move, Wave the wave of a maintenance.
 	Pool string
 	Wave int64
-	// Why says what decided, for the log.
+	// Why is the reason for the order, for the log.
 	Why string
 }
 
-// Closing is a worker that is being emptied for an order.
+// Closing is a worker that is being drained for an order.
 type Closing struct {
 	Machine workload.MachineID
 	Order   Order
 	Since   time.Duration
 }
 
-// Flight is an order that was sent and whose VM is not back yet.
+// Flight is an in-flight order: it was sent and its VM is not back yet.
 type Flight struct {
 	Order Order
 	Sent  time.Duration
@@ -72,7 +72,7 @@
 	Worker workload.WorkerID
 }
 
-// Input is what is decided on.
+// Input is the input of Decide.
 type Input struct {
 	Now    time.Duration
 	NowMS  int64
@@ -81,32 +81,34 @@
 	// Flights and Closing are by machine.
 	Flights map[workload.MachineID]Flight
 	Closing map[workload.MachineID]Closing
-	// Need is the processor time that each pool should have, in thousandths
-	// of a core.
+	// Need is the processor time that each pool should have, in thousandths of
+	// a core.
 	Need map[string]int64
 	// NeedOf is what each pool should have of VMs with one label.
 	NeedOf map[string]map[string]int64
-	// Homeless holds the pools that have had a lasting task without a run for a
-	// while.
+	// Homeless holds the pools that have had a long-running task without a run
+	// for a while.
 	Homeless map[string]bool
-	// MayPark: demand has been seen for long enough that an idle VM tells
-	// something.
+	// MayPark is set once demand has been observed for long enough to put idle
+	// VMs on standby.
 	MayPark bool
-	// Listed says what a worker listed beyond what is committed on it.
+	// Listed reports whether a worker listed anything beyond what is committed
+	// on it.
 	Listed func(workload.WorkerID) bool
-	// Idle says for how long nothing has run on a worker.
+	// Idle returns for how long nothing has run on a worker.
 	Idle func(workload.WorkerID) time.Duration
 }
 
 // Plan is what to do next.
 type Plan struct {
 	Orders []Order
-	// Close and Open list workers that take no new work from now on, or again.
+	// Close and Open list workers that take no new work from now on, or take
+	// work again.
 	Close []Closing
 	Open  []workload.MachineID
 	// Gone lists machines of waves that no longer exist.
 	Gone []workload.WaveBegun
-	// Pools is the balance that was found, for the log.
+	// Pools is what each pool has and needs, for the log.
 	Pools []Balance
 }
 
@@ -114,6 +116,6 @@
 type Balance struct {
 	Pool       string
 	Have, Need int64
-	// Spare counts its VMs with nothing on them.
+	// Spare counts its VMs with no tasks.
 	Spare int
 }
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -7,19 +7,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// planner holds what is left while a plan is made.
+// planner holds the state of one plan.
 type planner struct {
 	Input
 	plan Plan
 	vms  map[workload.MachineID]*VM
-	// taken holds the machines that an order of this plan, a flight or a
-	// closing worker already uses.
+	// taken holds the machines that an order of this plan, an in-flight order
+	// or a closing worker already uses.
 	taken map[workload.MachineID]bool
 }
 
 // Decide returns a plan.
 func Decide(in Input) Plan {
-	in.VMs = withReportedRoom(in.VMs, in.Tables)
+	in.VMs = withReportedCapacity(in.VMs, in.Tables)
 	p := &planner{Input: in, vms: map[workload.MachineID]*VM{}, taken: map[workload.MachineID]bool{}}
 	for i := range in.VMs {
 		p.vms[in.VMs[i].Machine] = &in.VMs[i]
@@ -33,9 +33,9 @@
 	return p.plan
 }
 
-// withReportedRoom gives each VM the room that its worker last reported: the
-// platform may still list the one that it had before.
-func withReportedRoom(vms []VM, t *workload.Tables) []VM {
+// withReportedCapacity gives each VM the capacity that its worker last
+// reported, because the platform may still list an earlier one.
+func withReportedCapacity(vms []VM, t *workload.Tables) []VM {
 	all := slices.Clone(vms)
 	for i := range all {
 		if w := t.Workers[all[i].Worker]; w != nil {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// orderEmptied orders what closing workers were emptied for.
+// orderEmptied issues the orders for which closing workers have become empty.
 func (p *planner) orderEmptied() {
 	for _, machine := range sortedMachines(p.Closing) {
 		c := p.Closing[machine]
@@ -57,13 +57,14 @@
 		case p.isEmpty(vm):
 			p.plan.Orders = append(p.plan.Orders, c.Order)
 			p.plan.Open = append(p.plan.Open, machine)
-		case c.Order.Kind == Move && p.Now-c.Since > giveUpMove:
+		case c.Order.Kind == Move && p.Now-c.Since > moveTimeout:
 			p.plan.Open = append(p.plan.Open, machine)
 		}
 	}
 }
 
-// isEmpty says whether nothing is committed on a VM's worker or listed by it.
+// isEmpty reports whether nothing is committed on a VM's worker or listed by
+// it.
 func (p *planner) isEmpty(vm *VM) bool {
 	return vm.Worker != "" && len(p.Tables.Runs[vm.Worker]) == 0 && !p.Listed(vm.Worker)
 }
@@ -90,32 +91,33 @@
 	}
 }
 
-// waiting is a VM that has its maintenance before it.
-type waiting struct {
+// candidate is a VM whose maintenance has not begun.
+type candidate struct {
 	vm   *VM
 	runs int
-	// lasting counts its lasting tasks, which must be evicted one by one.
-	lasting int
+	// longRunning counts its long-running tasks, which must be evicted one by
+	// one.
+	longRunning int
 }
 
-// planWave begins the maintenance of VMs with nothing on them, and closes as
-// many others as may be away at once, those with least on them first.
+// planWave begins the maintenance of empty VMs, and closes as many others as
+// may be under maintenance at once, the least used first.
 func (p *planner) planWave(w *workload.Wave) {
-	room := w.Most - p.away(w)
-	var all []waiting
+	remaining := w.Most - p.underMaintenance(w)
+	var all []candidate
 	for i := range w.Machines {
 		m := &w.Machines[i]
 		vm := p.vms[m.Machine]
 		if m.Begun || p.taken[m.Machine] || vm == nil || vm.State != Up && vm.State != Down {
 			continue
 		}
-		all = append(all, p.waitingOf(vm))
+		all = append(all, p.candidateOf(vm))
 	}
-	slices.SortStableFunc(all, func(a, b waiting) int {
-		return cmp.Or(cmp.Compare(a.runs, b.runs), cmp.Compare(a.lasting, b.lasting), cmp.Compare(a.vm.Machine, b.vm.Machine))
+	slices.SortStableFunc(all, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.runs, b.runs), cmp.Compare(a.longRunning, b.longRunning), cmp.Compare(a.vm.Machine, b.vm.Machine))
 	})
 	for _, v := range all {
-		if room <= 0 {
+		if remaining <= 0 {
 			return
 		}
 		order := Order{Kind: Maintain, Machine: v.vm.Machine, Wave: w.ID, Why: "wave"}
@@ -127,20 +129,21 @@
 			continue
 		}
 		p.taken[v.vm.Machine] = true
-		room--
+		remaining--
 	}
 }
 
-// away counts the VMs of a wave that are away for it or will be soon.
-func (p *planner) away(w *workload.Wave) int {
+// underMaintenance counts the VMs of a wave that are under maintenance or will
+// be soon.
+func (p *planner) underMaintenance(w *workload.Wave) int {
 	n := 0
 	for i := range w.Machines {
 		machine := w.Machines[i].Machine
-		flight, flying := p.Flights[machine]
+		flight, inFlight := p.Flights[machine]
 		closing, closed := p.Closing[machine]
 		vm := p.vms[machine]
 		switch {
-		case flying && flight.Order.Kind == Maintain,
+		case inFlight && flight.Order.Kind == Maintain,
 			closed && closing.Order.Kind == Maintain,
 			vm != nil && vm.State == Maintained:
 			n++
@@ -149,6 +152,6 @@
 	return n
 }
 
-func (p *planner) waitingOf(vm *VM) waiting {
-	return waiting{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), lasting: p.Tables.Kinds[vm.Worker].Lasting}
+func (p *planner) candidateOf(vm *VM) candidate {
+	return candidate{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), longRunning: p.Tables.Kinds[vm.Worker].Lasting}
 }
