--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -11,8 +11,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// rotating is a random source that is the same in every run.
-func rotating() func(n int) int {
+// seededRandom returns a random source that is the same in every run.
+func seededRandom() func(n int) int {
 	state := uint32(1)
 	return func(n int) int {
 		state = state*1664525 + 1013904223
@@ -21,7 +21,7 @@
 }
 
 func setOf(n, slots int, o Options) *Set {
-	s := New(o, "a", rotating())
+	s := New(o, "a", seededRandom())
 	s.Update(upstreams(n), 0)
 	for _, i := range s.Listed() {
 		i.Allowed, i.Own = slots, slots
@@ -37,7 +37,7 @@
 	return list
 }
 
-// serve sends requests one by one; outcome says how each ends.
+// serve sends requests one by one; outcome returns how each ends.
 func serve(s *Set, requests int, now *model.Instant, outcome func(id model.InstanceID) Outcome) map[model.InstanceID]int {
 	got := map[model.InstanceID]int{}
 	for range requests {
@@ -53,9 +53,9 @@
 	return got
 }
 
-// Symptom: a third of the requests fail although the other instances are well.
-// Sequence: one instance fails everything, then recovers.
-// Cause: a choice that forgets how earlier attempts ended.
+// An instance that fails every request must be ejected, probed and readmitted
+// after it recovers. A choice that ignores earlier outcomes would fail a third
+// of the requests although the other instances are healthy.
 func TestFailingInstanceIsEjectedAndProbed(t *testing.T) {
 	is := is.New(t)
 	s := setOf(4, 8, Options{})
@@ -66,9 +66,9 @@
 		}
 		return Answered
 	}
-	is.True(serve(s, 400, &now, bad)["i01"] <= 2*DefaultEjectFailures) // It needs some answers of the others to compare with.
+	is.True(serve(s, 400, &now, bad)["i01"] <= 2*DefaultEjectFailures) // Enough outcomes of the other instances are needed to compare with.
 	is.Equal(s.Ejected(), []model.InstanceID{"i01"})
-	probes := serve(s, 6000, &now, bad)["i01"] // A minute: each time out is twice the last.
+	probes := serve(s, 6000, &now, bad)["i01"] // A minute: each ejection lasts twice as long as the last.
 	is.True(probes >= 1 && probes <= 4)
 	now = now.Add(DefaultEjectMax)
 	serve(s, 100, &now, func(model.InstanceID) Outcome { return Answered })
@@ -76,17 +76,16 @@
 	is.Equal(s.Check(), nil)
 }
 
-// Symptom: one caller's bad requests take a whole service out.
-// Sequence: a caller sends requests that fail at whatever instance they reach,
-// among good ones, or alone. Cause: failures counted without regard to how the
-// other instances fare, and without a bound. With both rules off (EjectBlind,
+// One caller's bad requests must not eject all instances of a service, whether
+// they arrive among good ones or alone: failures are compared with those of the
+// other instances, and ejections are capped. With both rules off (EjectBlind,
 // EjectEverything) every instance is ejected.
-func TestBadCallerEjectsNone(t *testing.T) {
+func TestBadCallerEjectsNoInstance(t *testing.T) {
 	is := is.New(t)
 	worst := func(o Options, share int) int {
 		s := setOf(9, 8, o)
 		now, n, most := model.Instant(0), 0, 0
-		random := rotating()
+		random := seededRandom()
 		for range 4000 {
 			serve(s, 1, &now, func(model.InstanceID) Outcome {
 				n++
@@ -101,12 +100,13 @@
 	}
 	is.Equal(worst(Options{}, 100), 0)
 	is.Equal(worst(Options{}, 70), 0)
-	is.True(worst(Options{EjectBlind: true}, 90) <= 3) // The cap holds by itself.
+	is.True(worst(Options{EjectBlind: true}, 90) <= 3) // The cap works alone.
 	is.Equal(worst(Options{EjectBlind: true, EjectEverything: true}, 100), 9)
 }
 
-// TestRandomUse runs any mix of requests, outcomes and changes of the list.
-func TestRandomUse(t *testing.T) {
+// TestRandomOperations runs any mix of requests, outcomes and changes of the
+// list.
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
 		s := setOf(size, 3, Options{})
@@ -154,7 +154,8 @@
 	})
 }
 
-// TestSharesAddUp: the static shares of all entry VMs are the limit exactly.
+// TestSharesAddUp: the static shares of all entry VMs add up to the limit
+// exactly.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []model.NodeID
@@ -179,14 +180,14 @@
 
 func TestZoneAndSlowStart(t *testing.T) {
 	is := is.New(t)
-	s := New(Options{}, "1", rotating())
+	s := New(Options{}, "1", seededRandom())
 	s.Update(upstreams(2), 0)
 	for _, i := range s.Listed() {
 		i.Allowed = 8
 	}
 	later := model.Instant(0).Add(DefaultSlowStart)
 	first, _ := s.Pick(Wish{}, later)
-	is.Equal(first.Instance.Upstream.Zone, model.ZoneID("1")) // Equal load: the near one.
+	is.Equal(first.Instance.Upstream.Zone, model.ZoneID("1")) // Equal load: the instance in the same zone.
 	s.Done(first, Answered, later)
 	s.Update(upstreams(3), later) // i02 is new.
 	s.Get("i02").Allowed = 8
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -7,18 +7,22 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Options tune choice and ejection. Zero values take the defaults.
+// Options configures the choice and the ejection of instances. Zero values take
+// the defaults.
 type Options struct {
-	// SlowStart is how long a new instance gets less than its part.
+	// SlowStart is how long a new instance gets less than its full share of
+	// requests.
 	SlowStart time.Duration
-	// EjectFailures is the least number of failures in a row that ejects.
+	// EjectFailures is the number of failures in a row from which an instance
+	// may be ejected.
 	EjectFailures int
-	// EjectBase is the first time out; each further one doubles, up to EjectMax.
+	// EjectBase is how long the first ejection lasts; each further one lasts
+	// twice as long, up to EjectMax.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// EjectEverything lifts the cap of a third; for tests of the cap only.
+	// EjectEverything lifts the cap of a third; only for tests of the cap.
 	EjectEverything bool
-	// EjectBlind ignores how the other instances fare; for tests only.
+	// EjectBlind ignores the failures of the other instances; only for tests.
 	EjectBlind bool
 }
 
@@ -31,21 +35,22 @@
 )
 
 const (
-	// minRamp bounds how much a new instance is held back.
+	// minRamp bounds how much the load of a new instance is reduced.
 	minRamp = 0.1
-	// maxEjectedShare: at most one in so many instances is ejected.
-	maxEjectedShare = 3
-	// byChance is the probability at which a row of failures is no longer
-	// taken for chance, given how often the other instances fail.
-	byChance = 1e-4
-	// tallyHalf is when the counts of outcomes are halved.
-	tallyHalf = 10 * time.Second
-	// busyBase and busyMax bound how long a busy instance is passed over.
+	// At most one in instancesPerEjection instances is ejected.
+	instancesPerEjection = 3
+	// maxChance is the probability below which a series of failures is not
+	// considered chance, given how often the other instances fail.
+	maxChance = 1e-4
+	// outcomeHalfLife is the interval at which the counts of outcomes are
+	// halved.
+	outcomeHalfLife = 10 * time.Second
+	// busyBase and busyMax bound the backoff from a busy instance.
 	busyBase = 20 * time.Millisecond
 	busyMax  = time.Second
-	// forgive is how long an instance must answer until its earlier
+	// ejectionMemory is how long an instance must answer until its earlier
 	// ejections no longer lengthen the next one.
-	forgive = 5 * time.Minute
+	ejectionMemory = 5 * time.Minute
 )
 
 func (o Options) withDefaults() Options {
@@ -66,38 +71,39 @@
 
 // health is what an entry VM learned from the outcomes at one instance.
 type health struct {
-	joined model.Instant
-	// row counts the failures since the last answer.
-	row     int
-	ejected bool
-	// probeAt is when one request may try an ejected instance.
+	joinedAt model.Instant
+	// failuresInRow counts the failures since the last answer.
+	failuresInRow int
+	ejected       bool
+	// probeAt is when one request may probe an ejected instance.
 	probeAt model.Instant
 	probing bool
-	// ejections lengthens the next time out; admitted is when the last ended.
-	ejections int
-	admitted  model.Instant
-	busyUntil model.Instant
-	busyRow   int
-	// epoch grows with each ejection and return: an outcome of a request that
-	// was sent before says nothing about the instance after.
+	// ejectionCount lengthens the next ejection; readmittedAt is when the last
+	// one ended.
+	ejectionCount int
+	readmittedAt  model.Instant
+	busyUntil     model.Instant
+	busyInRow     int
+	// epoch increases with each ejection and readmission: the outcome of a
+	// request that was sent before reveals nothing about the instance after it.
 	epoch int
 }
 
-// tally counts outcomes, halved every tallyHalf.
-type tally struct {
+// outcomeCounts counts outcomes, halved every outcomeHalfLife.
+type outcomeCounts struct {
 	good, bad float64
-	halved    model.Instant
+	halvedAt  model.Instant
 }
 
-func (t *tally) add(failed bool, now model.Instant) {
-	for now.Sub(t.halved) >= tallyHalf {
+func (t *outcomeCounts) add(failed bool, now model.Instant) {
+	for now.Sub(t.halvedAt) >= outcomeHalfLife {
 		if t.good+t.bad < 0.01 {
-			t.halved = now
+			t.halvedAt = now
 			break
 		}
 		t.good /= 2
 		t.bad /= 2
-		t.halved = t.halved.Add(tallyHalf)
+		t.halvedAt = t.halvedAt.Add(outcomeHalfLife)
 	}
 	if failed {
 		t.bad++
@@ -106,8 +112,8 @@
 	t.good++
 }
 
-// judge learns from an outcome.
-func (s *Set) judge(u Use, o Outcome, now model.Instant) {
+// recordOutcome updates the health of an instance with an outcome.
+func (s *Set) recordOutcome(u Use, o Outcome, now model.Instant) {
 	h := &u.Instance.health
 	if u.probe && u.epoch == h.epoch {
 		h.probing = false
@@ -117,53 +123,53 @@
 	}
 	switch o {
 	case Busy:
-		h.busyUntil = now.Add(min(busyBase<<min(h.busyRow, 10), busyMax))
-		h.busyRow++
+		h.busyUntil = now.Add(min(busyBase<<min(h.busyInRow, 10), busyMax))
+		h.busyInRow++
 		return
 	case Answered:
-		h.row, h.busyRow = 0, 0
-		s.count(u.Instance, false, now)
+		h.failuresInRow, h.busyInRow = 0, 0
+		s.countOutcome(u.Instance, false, now)
 		if h.ejected {
-			s.admit(u.Instance)
-			h.joined, h.admitted = now, now
-		} else if h.ejections > 0 && now.Sub(h.admitted) > forgive {
-			h.ejections = 0
+			s.readmit(u.Instance)
+			h.joinedAt, h.readmittedAt = now, now
+		} else if h.ejectionCount > 0 && now.Sub(h.readmittedAt) > ejectionMemory {
+			h.ejectionCount = 0
 		}
 	case Failed:
-		h.row++
-		s.count(u.Instance, true, now)
-		if h.ejected || s.failsMore(u.Instance) {
+		h.failuresInRow++
+		s.countOutcome(u.Instance, true, now)
+		if h.ejected || s.isOutlier(u.Instance) {
 			s.eject(u.Instance, now)
 		}
 	}
 }
 
-func (s *Set) count(i *Instance, failed bool, now model.Instant) {
-	i.seen.add(failed, now)
-	s.all.add(failed, now)
+func (s *Set) countOutcome(i *Instance, failed bool, now model.Instant) {
+	i.outcomes.add(failed, now)
+	s.outcomes.add(failed, now)
 }
 
-// failsMore reports whether the failures in a row at i are more than chance,
-// given how the other instances fare. A caller whose requests fail everywhere
-// makes all instances look bad; comparing with the others shows that the
-// fault is not with this one.
-func (s *Set) failsMore(i *Instance) bool {
-	if i.health.row < s.options.EjectFailures {
+// isOutlier reports whether the failures in a row at i are more than chance,
+// given how often the other instances fail. A caller whose requests fail
+// everywhere makes all instances look unhealthy; the comparison shows that this
+// instance is not the cause.
+func (s *Set) isOutlier(i *Instance) bool {
+	if i.health.failuresInRow < s.options.EjectFailures {
 		return false
 	}
 	if s.options.EjectBlind {
 		return true
 	}
-	good := max(0, s.all.good-i.seen.good)
-	bad := max(0, s.all.bad-i.seen.bad)
+	good := max(0, s.outcomes.good-i.outcomes.good)
+	bad := max(0, s.outcomes.bad-i.outcomes.bad)
 	if good+bad < float64(s.options.EjectFailures) {
 		return false
 	}
-	share := (bad + 1) / (good + bad + 2)
-	return math.Pow(share, float64(i.health.row)) < byChance
+	failureRate := (bad + 1) / (good + bad + 2)
+	return math.Pow(failureRate, float64(i.health.failuresInRow)) < maxChance
 }
 
-// eject takes an instance out of the choice for a growing time.
+// eject ejects an instance, or extends its ejection, for a growing time.
 func (s *Set) eject(i *Instance, now model.Instant) {
 	h := &i.health
 	if !h.ejected {
@@ -173,19 +179,19 @@
 		h.ejected = true
 		s.ejected++
 	}
-	h.probeAt = now.Add(min(s.options.EjectBase<<min(h.ejections, 16), s.options.EjectMax))
-	h.ejections++
+	h.probeAt = now.Add(min(s.options.EjectBase<<min(h.ejectionCount, 16), s.options.EjectMax))
+	h.ejectionCount++
 	h.epoch++
 	h.probing = false
 }
 
-// admit takes an ejected instance back into the choice.
-func (s *Set) admit(i *Instance) {
+// readmit ends the ejection of an instance.
+func (s *Set) readmit(i *Instance) {
 	if !i.health.ejected {
 		return
 	}
 	i.health.ejected = false
-	i.health.row = 0
+	i.health.failuresInRow = 0
 	i.health.epoch++
 	s.ejected--
 }
@@ -194,12 +200,12 @@
 	if s.options.EjectEverything {
 		return len(s.byID)
 	}
-	return len(s.listed) / maxEjectedShare
+	return len(s.listed) / instancesPerEjection
 }
 
-// enforceCap takes back the instances whose probe is due first when the list
-// became so short that more than a third of it would be ejected.
-func (s *Set) enforceCap(now model.Instant) {
+// enforceEjectionCap readmits the instances whose probe is due first if the
+// list became so short that more than a third of it would be ejected.
+func (s *Set) enforceEjectionCap(now model.Instant) {
 	for s.ejected > s.maxEjected() {
 		var first *Instance
 		for _, i := range s.listed {
@@ -210,20 +216,21 @@
 		if first == nil {
 			return
 		}
-		s.admit(first)
-		first.health.joined = now
+		s.readmit(first)
+		first.health.joinedAt = now
 	}
 }
 
-// pickProbe returns an ejected instance whose time out is over, for one
-// request at a time. Urgent requests probe only when nothing else is left.
-func (s *Set) pickProbe(w Wish, other bool, now model.Instant) *Instance {
-	if s.ejected == 0 || (w.Priority == model.Urgent && other) {
+// pickProbe returns an ejected instance whose ejection time has passed, for one
+// request at a time. Urgent requests probe only when no other instance is
+// available.
+func (s *Set) pickProbe(p Wish, other bool, now model.Instant) *Instance {
+	if s.ejected == 0 || (p.Priority == model.Urgent && other) {
 		return nil
 	}
 	for _, i := range s.listed {
 		h := &i.health
-		if h.ejected && !h.probing && now >= h.probeAt && i.free(w) {
+		if h.ejected && !h.probing && now >= h.probeAt && i.hasFreeSlot(p) {
 			return i
 		}
 	}
--- a/internal/balance/rendezvous.go
+++ b/internal/balance/rendezvous.go
@@ -9,8 +9,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// weigh is the rendezvous (highest random weight) hash of a node for a key.
-func weigh(node model.NodeID, key string) uint64 {
+// rendezvousHash is the rendezvous (highest random weight) hash of a node for a
+// key.
+func rendezvousHash(node model.NodeID, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
@@ -20,11 +21,12 @@
 }
 
 // Rank orders nodes by their rendezvous hash for a key, highest first. Every
-// entry VM computes the same order, and a node that goes moves no other.
+// entry VM computes the same order, and removing a node does not change the
+// order of the others.
 func Rank(nodes []model.NodeID, key string) []model.NodeID {
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b model.NodeID) int {
-		return cmp.Or(cmp.Compare(weigh(b, key), weigh(a, key)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rendezvousHash(b, key), rendezvousHash(a, key)), cmp.Compare(a, b))
 	})
 	return ranked
 }
--- a/internal/balance/set.go
+++ b/internal/balance/set.go
@@ -8,52 +8,55 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Outcome says how an attempt at an instance ended.
+// Outcome is how an attempt at an instance ended.
 type Outcome uint8
 
 const (
-	// Answered: the instance gave a whole answer, whatever its status below 500.
+	// Answered: the instance sent a complete response with a status below 500.
 	Answered Outcome = iota + 1
 	// Busy: the instance refused for lack of capacity; the request did not run.
 	Busy
-	// Failed: a connection error, truncated answer, timeout or status 5xx.
+	// Failed: a connection error, truncated response, timeout or status 5xx.
 	Failed
-	// Abandoned: the caller went away; says nothing about the instance.
+	// Abandoned: the caller disconnected, which reveals nothing about the
+	// instance.
 	Abandoned
 )
 
-// Set is the instances of one service as one entry VM sees them.
+// Set holds the instances of one service as one entry VM sees them.
 type Set struct {
 	options Options
 	zone    model.ZoneID
 	random  func(n int) int
 	byID    map[model.InstanceID]*Instance
-	// listed are the announced instances by ID; the others only finish.
-	listed  []*Instance
-	ejected int
-	inUse   int
-	all     tally
+	// listed are the announced instances by ID. The others in byID only finish
+	// their requests.
+	listed   []*Instance
+	ejected  int
+	inUse    int
+	outcomes outcomeCounts
 }
 
-// Instance is one upstream with what this entry VM knows of it.
+// Instance is one upstream with the load and health that this entry VM
+// observed.
 type Instance struct {
 	Upstream model.Upstream
 	// Allowed is how many slots this entry VM may use now; Own of them are not
 	// on loan.
 	Allowed int
 	Own     int
-	// InUse is how many it uses; it exceeds Allowed for a while after Allowed
-	// was lowered, because running requests are never cut off.
-	InUse  int
-	listed bool
-	health health
-	seen   tally
+	// InUse is how many slots it uses. It exceeds Allowed for a while after
+	// Allowed was lowered, because running requests are never cut off.
+	InUse    int
+	listed   bool
+	health   health
+	outcomes outcomeCounts
 }
 
 // Use is one slot in use at an instance.
 type Use struct {
-	// Instance may be read under the lock of the set's owner only; Upstream is
-	// what was announced when the slot was taken and may be read anywhere.
+	// Instance may only be read under the lock of the set's owner; Upstream is
+	// what was announced when the slot was taken and may be read without it.
 	Instance *Instance
 	Upstream model.Upstream
 	Started  model.Instant
@@ -61,46 +64,46 @@
 	epoch    int
 }
 
-// New returns an empty set for an entry VM in zone. Random returns a number
-// in 0..n-1.
+// New returns an empty set for an entry VM in zone. Random returns a number in
+// 0..n-1.
 func New(o Options, zone model.ZoneID, random func(n int) int) *Set {
 	return &Set{options: o.withDefaults(), zone: zone, random: random, byID: map[model.InstanceID]*Instance{}}
 }
 
-// Update makes list the announced instances. Instances that are gone get no
-// new work; their running requests finish.
+// Update replaces the announced instances with list. Instances that are no
+// longer listed get no new requests; their running requests finish.
 func (s *Set) Update(list []model.Upstream, now model.Instant) {
 	for _, i := range s.listed {
 		i.listed = false
 	}
 	s.listed = s.listed[:0]
 	for _, u := range list {
-		s.listed = append(s.listed, s.list(u, now))
+		s.listed = append(s.listed, s.addListed(u, now))
 	}
 	slices.SortFunc(s.listed, func(a, b *Instance) int { return cmp.Compare(a.Upstream.Instance, b.Upstream.Instance) })
 	for id, i := range s.byID {
 		if !i.listed {
-			s.admit(i)
+			s.readmit(i)
 		}
 		if !i.listed && i.InUse == 0 {
 			delete(s.byID, id)
 		}
 	}
-	s.enforceCap(now)
+	s.enforceEjectionCap(now)
 }
 
-func (s *Set) list(u model.Upstream, now model.Instant) *Instance {
+func (s *Set) addListed(u model.Upstream, now model.Instant) *Instance {
 	i := s.byID[u.Instance]
 	if i == nil {
-		i = &Instance{health: health{joined: now}}
+		i = &Instance{health: health{joinedAt: now}}
 		s.byID[u.Instance] = i
 	}
 	if i.Upstream.Incarnation != u.Incarnation {
-		// A restarted instance starts with a clean record; what ran at the one
-		// before says nothing about it.
-		s.admit(i)
-		i.health = health{joined: now, epoch: i.health.epoch + 1}
-		i.seen = tally{}
+		// A restarted instance starts with a clean record: requests to its
+		// previous incarnation reveal nothing about it.
+		s.readmit(i)
+		i.health = health{joinedAt: now, epoch: i.health.epoch + 1}
+		i.outcomes = outcomeCounts{}
 	}
 	i.Upstream = u
 	i.listed = true
@@ -113,38 +116,39 @@
 // Get returns an instance that is listed or still in use, or nil.
 func (s *Set) Get(id model.InstanceID) *Instance { return s.byID[id] }
 
-// InUse is the number of slots in use at all instances.
+// InUse returns the number of slots in use at all instances.
 func (s *Set) InUse() int { return s.inUse }
 
-// Wish is what a request asks of the choice.
+// Wish is what a request prefers or requires of the chosen instance.
 type Wish struct {
-	// Avoid is an instance that is not wanted; empty for none.
+	// Avoid is an instance not to choose unless it is the only one listed;
+	// empty for none.
 	Avoid    model.InstanceID
 	Priority model.Priority
-	// OwnOnly keeps the request off slots that are on loan.
+	// OwnOnly excludes slots that are on loan.
 	OwnOnly bool
 }
 
-// Pick takes a slot at the best instance, or reports that none has one. It
-// compares two instances chosen at random and falls back to all of them.
-func (s *Set) Pick(w Wish, now model.Instant) (Use, bool) {
+// Pick takes a slot at the best instance, or reports that none has a free one.
+// It compares two instances chosen at random and falls back to all of them.
+func (s *Set) Pick(p Wish, now model.Instant) (Use, bool) {
 	if len(s.listed) == 1 {
-		w.Avoid = ""
+		p.Avoid = ""
 	}
-	best := s.pickTwo(w, now)
+	best := s.pickTwo(p, now)
 	if best == nil {
-		best = s.pickAny(w, now)
+		best = s.pickAny(p, now)
 	}
-	if probe := s.pickProbe(w, best != nil, now); probe != nil {
+	if probe := s.pickProbe(p, best != nil, now); probe != nil {
 		best = probe
 	}
 	if best == nil {
 		return Use{}, false
 	}
-	return s.use(best, now), true
+	return s.takeSlot(best, now), true
 }
 
-func (s *Set) use(i *Instance, now model.Instant) Use {
+func (s *Set) takeSlot(i *Instance, now model.Instant) Use {
 	i.InUse++
 	s.inUse++
 	probe := i.health.ejected
@@ -152,7 +156,7 @@
 	return Use{Instance: i, Upstream: i.Upstream, Started: now, probe: probe, epoch: i.health.epoch}
 }
 
-func (s *Set) pickTwo(w Wish, now model.Instant) *Instance {
+func (s *Set) pickTwo(p Wish, now model.Instant) *Instance {
 	n := len(s.listed)
 	if n < 2 {
 		return nil
@@ -163,13 +167,13 @@
 		second++
 	}
 	a, b := s.listed[first], s.listed[second]
-	if !s.usable(a, w, now) || !s.usable(b, w, now) {
+	if !s.usable(a, p, now) || !s.usable(b, p, now) {
 		return nil
 	}
 	return s.better(a, b, now)
 }
 
-func (s *Set) pickAny(w Wish, now model.Instant) *Instance {
+func (s *Set) pickAny(p Wish, now model.Instant) *Instance {
 	n := len(s.listed)
 	if n == 0 {
 		return nil
@@ -178,24 +182,25 @@
 	offset := s.random(n)
 	for k := range n {
 		i := s.listed[(offset+k)%n]
-		if s.usable(i, w, now) {
+		if s.usable(i, p, now) {
 			best = s.better(best, i, now)
 		}
 	}
 	return best
 }
 
-func (s *Set) usable(i *Instance, w Wish, now model.Instant) bool {
-	return i.free(w) && !s.Rests(i, now)
+func (s *Set) usable(i *Instance, p Wish, now model.Instant) bool {
+	return i.hasFreeSlot(p) && !s.Rests(i, now)
 }
 
-// free reports whether the instance has a slot that suits the wish.
-func (i *Instance) free(w Wish) bool {
+// hasFreeSlot reports whether the instance has a free slot that satisfies the
+// preference.
+func (i *Instance) hasFreeSlot(p Wish) bool {
 	limit := i.Allowed
-	if w.OwnOnly {
+	if p.OwnOnly {
 		limit = i.Own
 	}
-	return i.InUse < limit && i.Upstream.Instance != w.Avoid
+	return i.InUse < limit && i.Upstream.Instance != p.Avoid
 }
 
 // better returns the less loaded instance; on equal load the one in this
@@ -215,10 +220,10 @@
 	}
 }
 
-// load is the share of allowed slots in use with one more request. It counts
-// higher in the slow start of a new instance, whose caches are cold.
+// load is the share of allowed slots in use with one more request. It is higher
+// during the slow start of a new instance, whose caches are cold.
 func (s *Set) load(i *Instance, now model.Instant) float64 {
-	age := now.Sub(i.health.joined)
+	age := now.Sub(i.health.joinedAt)
 	ramp := 1.0
 	if age < s.options.SlowStart {
 		ramp = max(minRamp, float64(age)/float64(s.options.SlowStart))
@@ -226,18 +231,18 @@
 	return float64(i.InUse+1) / (float64(i.Allowed) * ramp)
 }
 
-// Done gives a slot back.
+// Done releases a slot and records the outcome.
 func (s *Set) Done(u Use, o Outcome, now model.Instant) {
 	i := u.Instance
 	i.InUse--
 	s.inUse--
-	s.judge(u, o, now)
+	s.recordOutcome(u, o, now)
 	if !i.listed && i.InUse == 0 && s.byID[i.Upstream.Instance] == i {
 		delete(s.byID, i.Upstream.Instance)
 	}
 }
 
-// Idle is the number of slots at an instance that Pick could hand out now.
+// Idle returns the number of slots that Pick could take at an instance now.
 func (s *Set) Idle(i *Instance, now model.Instant) int {
 	if !i.listed || !s.usable(i, Wish{}, now) {
 		return 0
@@ -250,7 +255,7 @@
 	return i.health.ejected || now < i.health.busyUntil
 }
 
-// Free is the number of slots that Pick could hand out now.
+// Free returns the number of slots that Pick could take now.
 func (s *Set) Free(now model.Instant) int {
 	free := 0
 	for _, i := range s.listed {
@@ -259,7 +264,7 @@
 	return free
 }
 
-// Check returns the invariants that are broken; none when all is well.
+// Check returns the invariants that are broken, if any.
 func (s *Set) Check() []string {
 	var broken []string
 	sum, ejected := 0, 0
