--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -151,7 +151,7 @@
 	for _, a := range result.Actions {
 		c.applyPlacement(d, a)
 	}
-	for _, p := range result.Wishes {
+	for _, p := range result.Planned {
 		c.applyPlannedAction(d, p)
 	}
 }
@@ -246,7 +246,7 @@
 
 // applyPlannedAction records that a task is to be throttled, unthrottled or
 // stopped; the command follows from the committed state.
-func (c *Controller) applyPlannedAction(d *roundDecision, p placement.Wish) {
+func (c *Controller) applyPlannedAction(d *roundDecision, p placement.PlannedAction) {
 	t := p.Task
 	switch p.Kind {
 	case placement.Throttle, placement.Unthrottle:
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -48,7 +48,7 @@
 }
 
 // summarize formats decisions for comparison.
-func summarize(actions []state.Action, planned []placement.Wish) string {
+func summarize(actions []state.Action, planned []placement.PlannedAction) string {
 	var out []string
 	for _, a := range actions {
 		switch {
--- a/internal/placement/evacuate.go
+++ b/internal/placement/evacuate.go
@@ -12,12 +12,12 @@
 // manifest no longer asks for, and instances that are too concentrated on one
 // VM. An instance is stopped only while its service stays above its budget
 // without it.
-func Evacuate(ix *fleet.Index, o Options) []Wish {
+func Evacuate(ix *fleet.Index, o Options) []PlannedAction {
 	return evacuate(ix, newHolds(ix, o.withDefaults()))
 }
 
-func evacuate(ix *fleet.Index, held holds) []Wish {
-	var planned []Wish
+func evacuate(ix *fleet.Index, held holds) []PlannedAction {
+	var planned []PlannedAction
 	margins := stopMargins(ix)
 	for _, v := range ix.VMs {
 		if !mayEvacuate(ix, v) {
@@ -72,26 +72,26 @@
 	return margins
 }
 
-func evacuateTask(ix *fleet.Index, v *fleet.VM, t *model.Task, margins map[model.ServiceID]int) (Wish, bool) {
+func evacuateTask(ix *fleet.Index, v *fleet.VM, t *model.Task, margins map[model.ServiceID]int) (PlannedAction, bool) {
 	if t.Job != "" {
 		return evacuateJob(ix, v, t)
 	}
 	s := ix.Service(t.Service)
 	switch {
 	case s == nil:
-		return Wish{Stop, ForMove, t, fmt.Sprintf("the manifest has no service %s", t.Service)}, true
+		return PlannedAction{Stop, ForMove, t, fmt.Sprintf("the manifest has no service %s", t.Service)}, true
 	case t.Ordinal >= s.Spec.Instances:
-		return Wish{Stop, ForMove, t, fmt.Sprintf("service %s asks for %d instances", t.Service, s.Spec.Instances)}, true
+		return PlannedAction{Stop, ForMove, t, fmt.Sprintf("service %s asks for %d instances", t.Service, s.Spec.Instances)}, true
 	case !v.Moving() && !canRestart(ix, s, v, t):
-		return Wish{}, false
+		return PlannedAction{}, false
 	case v.Moving(), v.Pool() != s.Spec.Pool:
 		why := fmt.Sprintf("VM %s leaves pool %s", v.ID, s.Spec.Pool)
-		return Wish{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
+		return PlannedAction{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
 	case t.Size != s.Spec.Size:
 		why := fmt.Sprintf("service %s asks for %s an instance", t.Service, formatSize(s.Spec.Size))
-		return Wish{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
+		return PlannedAction{Stop, ForMove, t, why}, consumeMargin(ix, t, margins)
 	}
-	return Wish{}, false
+	return PlannedAction{}, false
 }
 
 // canRestart reports whether an instance that is stopped could start again as
@@ -130,32 +130,32 @@
 
 // evacuateJob stops tasks of cancelled jobs, and idempotent batch jobs on VMs
 // that move. Other jobs run to their end, because a move can wait.
-func evacuateJob(ix *fleet.Index, v *fleet.VM, t *model.Task) (Wish, bool) {
+func evacuateJob(ix *fleet.Index, v *fleet.VM, t *model.Task) (PlannedAction, bool) {
 	job := ix.Job(t.Job)
 	switch {
 	case job == nil:
-		return Wish{}, false
+		return PlannedAction{}, false
 	case job.Cancelled:
-		return Wish{Stop, ForCancel, t, "the job was cancelled"}, true
+		return PlannedAction{Stop, ForCancel, t, "the job was cancelled"}, true
 	case !v.Moving() || t.Priority != model.Batch || !job.Spec.Idempotent:
-		return Wish{}, false
+		return PlannedAction{}, false
 	case ix.Pool(job.Spec.Pool) == nil:
 		// The manifest dropped the pool: once stopped, the job could never run
 		// again.
-		return Wish{}, false
+		return PlannedAction{}, false
 	}
 	kind := Stop
 	if job.Spec.Checkpoints {
 		kind = Checkpoint
 	}
-	return Wish{kind, ForMove, t, fmt.Sprintf("VM %s moves to another pool", v.ID)}, true
+	return PlannedAction{kind, ForMove, t, fmt.Sprintf("VM %s moves to another pool", v.ID)}, true
 }
 
 // reduceCrowding plans the move of one instance of each service that has more
 // instances on one VM than may be unavailable at once, if another open VM could
 // take the instance without exceeding that number itself.
-func reduceCrowding(ix *fleet.Index, margins map[model.ServiceID]int, held holds) []Wish {
-	var planned []Wish
+func reduceCrowding(ix *fleet.Index, margins map[model.ServiceID]int, held holds) []PlannedAction {
+	var planned []PlannedAction
 	for _, s := range ix.Services {
 		maxUnavailable := s.Spec.Instances - s.Spec.MinAvailable
 		p := ix.Pool(s.Spec.Pool)
@@ -169,7 +169,7 @@
 		}
 		if v, _ := count.pick(p, s.Spec.Size, held.vm(p)); v != nil && v != held.vm(p) && count.vm[v] < maxUnavailable && consumeMargin(ix, t, margins) {
 			why := fmt.Sprintf("VM %s carries %d of %d instances; service %s can spare %d", t.VM, count.vm[ix.VM(t.VM)], s.Spec.Instances, s.Spec.ID, maxUnavailable)
-			planned = append(planned, Wish{Stop, ForSpread, t, why})
+			planned = append(planned, PlannedAction{Stop, ForSpread, t, why})
 		}
 	}
 	return planned
--- a/internal/placement/guard.go
+++ b/internal/placement/guard.go
@@ -7,8 +7,9 @@
 
 // Names of the invariants that guardPlanned checks.
 const (
-	// InvariantUrgentLast: urgent jobs and instances are never preempted.
-	InvariantUrgentLast = "urgent-yields-last"
+	// InvariantNoUrgentPreemption: urgent jobs and instances are never
+	// preempted.
+	InvariantNoUrgentPreemption = "urgent-yields-last"
 	// InvariantNoLostRun: a job that can't run again is stopped only when it
 	// was cancelled.
 	InvariantNoLostRun = "stop-only-what-can-run-again"
@@ -19,7 +20,7 @@
 
 // guardPlanned records the planned actions that break an invariant. It reads
 // only the tables, not the decisions that led to the actions.
-func guardPlanned(ix *fleet.Index, planned []Wish) {
+func guardPlanned(ix *fleet.Index, planned []PlannedAction) {
 	stopped := make(map[model.ServiceID]int)
 	for _, a := range planned {
 		if a.Kind != Stop && a.Kind != Checkpoint {
@@ -30,7 +31,7 @@
 			continue
 		}
 		job := ix.Job(a.Task.Job)
-		ix.Guard(a.Cause == ForCancel || a.Task.Priority != model.Urgent, InvariantUrgentLast, "%s", &a)
+		ix.Guard(a.Cause == ForCancel || a.Task.Priority != model.Urgent, InvariantNoUrgentPreemption, "%s", &a)
 		ix.Guard(a.Cause == ForCancel || job != nil && job.Spec.Idempotent, InvariantNoLostRun, "%s", &a)
 	}
 	for id, n := range stopped {
--- a/internal/placement/hold.go
+++ b/internal/placement/hold.go
@@ -128,8 +128,8 @@
 // clearInstances plans to move instances off a held VM if the job does not fit
 // beside them, as far as their services can spare them and another VM has
 // enough free capacity.
-func (h holds) clearInstances(ix *fleet.Index, margins map[model.ServiceID]int) []Wish {
-	var planned []Wish
+func (h holds) clearInstances(ix *fleet.Index, margins map[model.ServiceID]int) []PlannedAction {
+	var planned []PlannedAction
 	for _, p := range ix.Pools {
 		held := h[p]
 		if held == nil {
@@ -150,7 +150,7 @@
 			}
 			left = left.Plus(ix.Charge(t))
 			why := fmt.Sprintf("VM %s is held for job %s, which does not fit beside the instance", held.vm.ID, held.job.Spec.ID)
-			planned = append(planned, Wish{Stop, ForRoom, t, why})
+			planned = append(planned, PlannedAction{Stop, ForCapacity, t, why})
 		}
 	}
 	return planned
--- a/internal/placement/instances.go
+++ b/internal/placement/instances.go
@@ -12,7 +12,7 @@
 type Shortage struct {
 	Service model.ServiceID
 	Ordinal int
-	No      No
+	Reject  RejectReason
 	Reason  string
 }
 
@@ -64,12 +64,12 @@
 	return start(ix, v, task, fmt.Sprintf("instance %d of service %s has no task", ordinal, s.Spec.ID))
 }
 
-func shortage(s *fleet.Service, p *fleet.Pool, ordinal int, reject No) Shortage {
+func shortage(s *fleet.Service, p *fleet.Pool, ordinal int, reject RejectReason) Shortage {
 	reason := fmt.Sprintf("no open VM of pool %s has %s left", p.Spec.ID, formatSize(s.Spec.Size))
 	if reject == NoOpenVM {
 		reason = fmt.Sprintf("no VM of pool %s takes new work: %s", p.Spec.ID, formatBlocks(p))
 	}
-	return Shortage{Service: s.Spec.ID, Ordinal: ordinal, No: reject, Reason: reason}
+	return Shortage{Service: s.Spec.ID, Ordinal: ordinal, Reject: reject, Reason: reason}
 }
 
 // spread counts the instances of one service by failure domain.
@@ -102,7 +102,7 @@
 // pick chooses the VM whose loss, alone or with its rack or availability zone,
 // would affect the fewest instances of the service. The VM held for a job is
 // chosen only if there is no other.
-func (c *spread) pick(p *fleet.Pool, size model.Resources, held *fleet.VM) (*fleet.VM, No) {
+func (c *spread) pick(p *fleet.Pool, size model.Resources, held *fleet.VM) (*fleet.VM, RejectReason) {
 	var best *fleet.VM
 	var bestScore [6]int64
 	reject := NoOpenVM
@@ -110,7 +110,7 @@
 		if v.Block != fleet.Open {
 			continue
 		}
-		reject = NoRoom
+		reject = NoFreeCapacity
 		free := v.Free()
 		if !size.Fits(free) {
 			continue
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -19,7 +19,7 @@
 	starts      int
 	reasons     int
 	actions     []state.Action
-	planned     []Wish
+	planned     []PlannedAction
 	// preempted are the tasks preempted in this round.
 	preempted map[model.TaskID]bool
 	// best is the cheapest preemption found so far, current the one being
@@ -41,7 +41,7 @@
 	}
 }
 
-func decideJobs(ix *fleet.Index, o Options, held holds, shortages []Shortage) ([]state.Action, []Wish) {
+func decideJobs(ix *fleet.Index, o Options, held holds, shortages []Shortage) ([]state.Action, []PlannedAction) {
 	if ix.Snap.View.Site == nil {
 		return nil, nil
 	}
@@ -57,7 +57,7 @@
 // Arrivals decides about jobs that were submitted after the index was built, in
 // their order and without a whole round; the state machine refuses actions that
 // no longer apply. It is for urgent jobs, which should not wait for a round.
-func Arrivals(ix *fleet.Index, o Options, jobs ...*model.Job) ([]state.Action, []Wish) {
+func Arrivals(ix *fleet.Index, o Options, jobs ...*model.Job) ([]state.Action, []PlannedAction) {
 	if ix.Snap.View.Site == nil {
 		return nil, nil
 	}
@@ -128,7 +128,7 @@
 
 // admit checks what does not depend on a VM: pool, team, size and quota. It
 // returns the size to place.
-func (p *planner) admit(j *model.Job) (*poolState, model.Resources, No) {
+func (p *planner) admit(j *model.Job) (*poolState, model.Resources, RejectReason) {
 	ps := p.pool(j.Spec.Pool)
 	if ps == nil {
 		return nil, j.Spec.Declared, UnknownPool
@@ -186,16 +186,16 @@
 
 // recordReason records in the job's state why it waits, or that it can never
 // run. A waiting job whose reason did not change is not written again.
-func (p *planner) recordReason(j *model.Job, size model.Resources, reject No) {
-	if p.reasons >= p.o.MaxReasons && !reject.Never() {
+func (p *planner) recordReason(j *model.Job, size model.Resources, reject RejectReason) {
+	if p.reasons >= p.o.MaxReasons && !reject.Permanent() {
 		return
 	}
 	reason := p.reasonText(j, size, reject)
-	if !reject.Never() && reason == j.Reason {
+	if !reject.Permanent() && reason == j.Reason {
 		return
 	}
 	next := model.JobQueued
-	if reject.Never() {
+	if reject.Permanent() {
 		next = model.JobUnplaceable
 	}
 	a := state.Action{Reason: reason, SetJob: &state.SetJob{Job: j.Spec.ID, State: next, Reason: reason}}
--- a/internal/placement/no.go
+++ b/internal/placement/no.go
@@ -10,15 +10,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// No is the reason why a job or an instance was not placed. The zero value
-// means that it was placed.
-type No uint8
+// RejectReason is the reason why a job or an instance was not placed. The zero
+// value means that it was placed.
+type RejectReason uint8
 
 const (
 	// Placed: nothing prevents the placement.
-	Placed No = iota
-	// NoRoom: no open VM of the pool has enough free capacity now.
-	NoRoom
+	Placed RejectReason = iota
+	// NoFreeCapacity: no open VM of the pool has enough free capacity now.
+	NoFreeCapacity
 	// NoOpenVM: no VM of the pool accepts new work now.
 	NoOpenVM
 	// Reserved: capacity on a VM is reserved for the job until other work there
@@ -46,16 +46,16 @@
 	"failed-here", "capacity-unknown", "too-large", "over-quota", "unknown-pool", "unknown-team"}
 
 // String returns the short name used for counters.
-func (n No) String() string {
-	if n >= rejectReasonCount {
+func (r RejectReason) String() string {
+	if r >= rejectReasonCount {
 		return "invalid"
 	}
-	return rejectReasonNames[n]
+	return rejectReasonNames[r]
 }
 
-// Never reports whether waiting can't help, so that the job is marked
+// Permanent reports whether waiting can't help, so that the job is marked
 // unplaceable at once.
-func (n No) Never() bool { return n >= TooLarge && n < rejectReasonCount }
+func (r RejectReason) Permanent() bool { return r >= TooLarge && r < rejectReasonCount }
 
 // formatSize formats an amount of resources for people.
 func formatSize(r model.Resources) string {
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -19,10 +19,10 @@
 	// MaxReasons bounds the jobs whose waiting reason is rewritten in one
 	// round. Default 500.
 	MaxReasons int
-	// MaxYields bounds the tasks preempted for urgent work in one round, so
-	// that a burst of urgent jobs does not stop all batch work at once. Default
-	// 500.
-	MaxYields int
+	// MaxPreemptions bounds the tasks preempted for urgent work in one round,
+	// so that a burst of urgent jobs does not stop all batch work at once.
+	// Default 500.
+	MaxPreemptions int
 	// BatchAge is how long a batch job waits before it is treated as a normal
 	// job, so that it can't starve. Default 1 h.
 	BatchAge time.Duration
@@ -64,7 +64,7 @@
 func (o Options) withDefaults() Options {
 	o.MaxStarts = cmp.Or(o.MaxStarts, defaultMaxStarts)
 	o.MaxReasons = cmp.Or(o.MaxReasons, defaultMaxReasons)
-	o.MaxYields = cmp.Or(o.MaxYields, defaultMaxPreemptions)
+	o.MaxPreemptions = cmp.Or(o.MaxPreemptions, defaultMaxPreemptions)
 	o.BatchAge = cmp.Or(o.BatchAge, defaultBatchAge)
 	o.DriftMargin = max(o.DriftMargin, state.DriftMargin)
 	return o
@@ -73,9 +73,9 @@
 // Result is what one round of placement decided.
 type Result struct {
 	Actions []state.Action
-	// Wishes are commands for the platform. The actions that record them follow
-	// once they are carried out.
-	Wishes []Wish
+	// Planned are commands for the platform. The actions that record them
+	// follow once they are carried out.
+	Planned []PlannedAction
 	// Shortages are the instances for which no VM was found.
 	Shortages []Shortage
 }
@@ -93,19 +93,19 @@
 	planned = append(planned, evacuate(ix, held)...)
 	planned = dedup(append(planned, Relieve(ix)...))
 	guardPlanned(ix, planned)
-	return Result{Actions: actions, Wishes: planned, Shortages: shortages}
+	return Result{Actions: actions, Planned: planned, Shortages: shortages}
 }
 
 // Jobs starts queued jobs and records why the others wait. The planned actions
 // free capacity for urgent jobs.
-func Jobs(ix *fleet.Index, o Options) ([]state.Action, []Wish) {
+func Jobs(ix *fleet.Index, o Options) ([]state.Action, []PlannedAction) {
 	o = o.withDefaults()
 	return decideJobs(ix, o, newHolds(ix, o), nil)
 }
 
 // dedup keeps the first planned action for each task, because earlier decisions
 // take precedence.
-func dedup(planned []Wish) []Wish {
+func dedup(planned []PlannedAction) []PlannedAction {
 	seen := make(map[model.TaskID]bool, len(planned))
 	kept := planned[:0]
 	for _, a := range planned {
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -13,13 +13,13 @@
 	team     model.TeamID
 	size     model.Resources
 	declared model.Resources
-	reject   No
+	reject   RejectReason
 }
 
 // reasonText returns why a job waits or can never run. The text contains no
 // number that changes from round to round, because each change is written to
 // the log.
-func (p *planner) reasonText(j *model.Job, size model.Resources, reject No) string {
+func (p *planner) reasonText(j *model.Job, size model.Resources, reject RejectReason) string {
 	key := reasonKey{j.Spec.Pool, j.Spec.Team, size, j.Spec.Declared, reject}
 	if text, ok := p.reasonTexts[key]; ok {
 		return text
@@ -29,10 +29,10 @@
 	return text
 }
 
-func (p *planner) composeReason(j *model.Job, size model.Resources, reject No) string {
+func (p *planner) composeReason(j *model.Job, size model.Resources, reject RejectReason) string {
 	pool, team := j.Spec.Pool, j.Spec.Team
 	switch reject {
-	case NoRoom:
+	case NoFreeCapacity:
 		return fmt.Sprintf("waits for room: no open VM of pool %s has %s left", pool, p.needText(j, size))
 	case NoOpenVM:
 		return fmt.Sprintf("waits for a VM: none of pool %s takes new work", pool)
--- a/internal/placement/relieve.go
+++ b/internal/placement/relieve.go
@@ -34,8 +34,8 @@
 //
 // The only task on a VM is left alone: stopping it helps no other task, and it
 // would be stopped again on the VM where it starts next.
-func Relieve(ix *fleet.Index) []Wish {
-	var actions []Wish
+func Relieve(ix *fleet.Index) []PlannedAction {
+	var actions []PlannedAction
 	for _, v := range ix.VMs {
 		if !hasFreshUsage(ix, v) {
 			continue
@@ -104,16 +104,16 @@
 
 // relieveCPU throttles the largest batch tasks first; tasks that can't be
 // throttled are checkpointed or stopped only when throttling is not enough.
-func relieveCPU(ix *fleet.Index, v *fleet.VM, busy model.Resources) []Wish {
+func relieveCPU(ix *fleet.Index, v *fleet.VM, busy model.Resources) []PlannedAction {
 	excess := busy.MilliCPU - int64(float64(v.Capacity().MilliCPU)*reliefTargetShare)
 	why := fmt.Sprintf("VM %s nears its limit: %d of %d thousandths of a core in use", v.ID, busy.MilliCPU, v.Capacity().MilliCPU)
-	var actions []Wish
+	var actions []PlannedAction
 	for _, c := range largestJobs(ix, v, model.Batch, usedCPU) {
 		kept := int64(float64(c.task.Size.MilliCPU) * estimate.ThrottledShare)
 		if excess <= 0 || c.task.Throttled || !c.job.Spec.Throttleable || c.charge.MilliCPU <= kept {
 			continue
 		}
-		actions = append(actions, Wish{Throttle, ForPressure, c.task, why})
+		actions = append(actions, PlannedAction{Throttle, ForPressure, c.task, why})
 		excess -= c.charge.MilliCPU - kept
 	}
 	if excess <= 0 || !sharedWithUrgent(v) {
@@ -128,7 +128,7 @@
 	return slices.ContainsFunc(v.Tasks, func(t *model.Task) bool { return t.Priority == model.Urgent })
 }
 
-func relieveMemory(ix *fleet.Index, v *fleet.VM, busy model.Resources) []Wish {
+func relieveMemory(ix *fleet.Index, v *fleet.VM, busy model.Resources) []PlannedAction {
 	excess := busy.MemoryMB - int64(float64(v.Capacity().MemoryMB)*reliefTargetShare)
 	why := fmt.Sprintf("VM %s nears its limit: %d of %d MB in use", v.ID, busy.MemoryMB, v.Capacity().MemoryMB)
 	return stopForPressure(ix, v, excess, usedMemory, why, nil, model.Batch, model.Normal)
@@ -136,15 +136,15 @@
 
 // stopForPressure checkpoints, then stops, work of each priority in order until
 // the excess is gone. Tasks that are throttled in this round are left alone.
-func stopForPressure(ix *fleet.Index, v *fleet.VM, excess int64, amount func(model.Resources) int64, why string, throttled []Wish, order ...model.Priority) []Wish {
+func stopForPressure(ix *fleet.Index, v *fleet.VM, excess int64, amount func(model.Resources) int64, why string, throttled []PlannedAction, order ...model.Priority) []PlannedAction {
 	left := make(map[model.TaskID]bool, len(throttled))
 	for _, w := range throttled {
 		left[w.Task.ID] = true
 	}
-	var actions []Wish
+	var actions []PlannedAction
 	for _, priority := range order {
 		candidates := largestJobs(ix, v, priority, amount)
-		for _, kind := range []WishKind{Checkpoint, Stop} {
+		for _, kind := range []ActionKind{Checkpoint, Stop} {
 			for _, c := range candidates {
 				if excess <= 0 {
 					return actions
@@ -152,7 +152,7 @@
 				if left[c.task.ID] || !mayStop(c.job, kind) || amount(c.charge) <= 0 {
 					continue
 				}
-				actions = append(actions, Wish{kind, ForPressure, c.task, why})
+				actions = append(actions, PlannedAction{kind, ForPressure, c.task, why})
 				excess -= amount(c.charge)
 			}
 		}
@@ -185,7 +185,7 @@
 
 // unthrottle unthrottles one task if the VM has the free capacity for it, both
 // by charge and by measurement.
-func unthrottle(v *fleet.VM, busy model.Resources) []Wish {
+func unthrottle(v *fleet.VM, busy model.Resources) []PlannedAction {
 	limit := int64(float64(v.Capacity().MilliCPU) * unthrottleShare)
 	if !slices.ContainsFunc(v.Tasks, func(t *model.Task) bool { return t.Throttled }) {
 		return nil
@@ -196,7 +196,7 @@
 			continue
 		}
 		if busy.MilliCPU+gain <= limit && gain <= v.Free().MilliCPU {
-			return []Wish{{Unthrottle, ForRoom, t, fmt.Sprintf("VM %s has room again", v.ID)}}
+			return []PlannedAction{{Unthrottle, ForCapacity, t, fmt.Sprintf("VM %s has room again", v.ID)}}
 		}
 	}
 	return nil
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -98,7 +98,7 @@
 // sizeFor returns the size of a job and whether any VM of the pool, if empty,
 // could hold it. While the platform's list may be incomplete no job is ruled
 // out, because a job marked unplaceable is not tried again.
-func (ps *poolState) sizeFor(spec *model.JobSpec, sizes fleet.Sizer) (model.Resources, No) {
+func (ps *poolState) sizeFor(spec *model.JobSpec, sizes fleet.Sizer) (model.Resources, RejectReason) {
 	size := spec.Declared
 	if sizes != nil {
 		size = sizes.Size(spec)
@@ -152,12 +152,12 @@
 }
 
 // selectVM returns the best VM for a job, or why there is none.
-func (ps *poolState) selectVM(sc *scorer, j *model.Job, size model.Resources) (*vmState, No) {
+func (ps *poolState) selectVM(sc *scorer, j *model.Job, size model.Resources) (*vmState, RejectReason) {
 	if len(ps.vms) == 0 {
 		return nil, NoOpenVM
 	}
 	if impliedBy(ps.noFit, size) {
-		return nil, NoRoom
+		return nil, NoFreeCapacity
 	}
 	found := ps.scan(sc, j, size)
 	switch {
@@ -169,7 +169,7 @@
 		return nil, FailedHere
 	}
 	ps.noFit = addMinimal(ps.noFit, size)
-	return nil, NoRoom
+	return nil, NoFreeCapacity
 }
 
 // scanResult is the outcome of a scan over the VMs.
--- a/internal/placement/world_load_test.go
+++ b/internal/placement/world_load_test.go
@@ -92,7 +92,7 @@
 }
 
 // carryOutPlanned carries out the planned actions.
-func (sim *simulation) carryOutPlanned(planned []placement.Wish) {
+func (sim *simulation) carryOutPlanned(planned []placement.PlannedAction) {
 	var actions []state.Action
 	for _, a := range planned {
 		task := sim.machine.View().Tasks[a.Task.ID]
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -188,7 +188,7 @@
 }
 
 // decide runs all decisions of a round on one snapshot.
-func (sim *simulation) decide(s *fleet.Snapshot) ([]state.Action, []placement.Wish) {
+func (sim *simulation) decide(s *fleet.Snapshot) ([]state.Action, []placement.PlannedAction) {
 	ix := fleet.NewIndex(s)
 	var actions []state.Action
 	if !sim.noHealth {
@@ -205,7 +205,7 @@
 		sim.violation("%s: %s", b.Invariant, b.Detail)
 	}
 	sim.lastIndex = ix
-	return append(actions, result.Actions...), result.Wishes
+	return append(actions, result.Actions...), result.Planned
 }
 
 func (sim *simulation) learn(s *fleet.Snapshot) {
--- a/internal/placement/yield.go
+++ b/internal/placement/yield.go
@@ -21,7 +21,7 @@
 // preemptedTask is a task and how it is preempted.
 type preemptedTask struct {
 	task *model.Task
-	kind WishKind
+	kind ActionKind
 }
 
 // Costs order preemptions: a stop loses work, a checkpoint moves a job, a
@@ -32,7 +32,7 @@
 	stopCost       = 100
 )
 
-func (c *preemption) add(v victim, kind WishKind, gain model.Resources) {
+func (c *preemption) add(v victim, kind ActionKind, gain model.Resources) {
 	c.tasks = append(c.tasks, preemptedTask{v.task, kind})
 	c.gain = c.gain.Plus(gain)
 	switch kind {
@@ -53,7 +53,7 @@
 func (p *planner) reserveForInstances(shortages []Shortage) {
 	for _, shortage := range shortages {
 		s := p.ix.Service(shortage.Service)
-		if s == nil || shortage.No != NoRoom {
+		if s == nil || shortage.Reject != NoFreeCapacity {
 			continue
 		}
 		why := fmt.Sprintf("instance %d of service %s needs the room", shortage.Ordinal, shortage.Service)
@@ -70,7 +70,7 @@
 }
 
 func (p *planner) reserveByPreemption(ps *poolState, j *model.Job, size model.Resources, why string) bool {
-	if impliedBy(ps.noPreemption, size) || len(p.planned) >= p.o.MaxYields {
+	if impliedBy(ps.noPreemption, size) || len(p.planned) >= p.o.MaxPreemptions {
 		return false
 	}
 	best, avoided := p.cheapestPreemption(ps, j, size)
@@ -118,7 +118,7 @@
 	vs.releasing = vs.releasing.Plus(p.best.gain)
 	for _, v := range p.best.tasks {
 		p.preempted[v.task.ID] = true
-		p.planned = append(p.planned, Wish{v.kind, ForUrgent, v.task, why})
+		p.planned = append(p.planned, PlannedAction{v.kind, ForUrgent, v.task, why})
 	}
 	vs.victims = slices.DeleteFunc(vs.victims, func(v victim) bool { return p.preempted[v.task.ID] })
 	vs.sumReclaimable()
@@ -198,7 +198,7 @@
 
 // stopVictims stops tasks, with or without a checkpoint, until nothing is
 // missing. It returns what is still missing.
-func (p *planner) stopVictims(victims []victim, kind WishKind, missing model.Resources) model.Resources {
+func (p *planner) stopVictims(victims []victim, kind ActionKind, missing model.Resources) model.Resources {
 	for _, v := range victims {
 		if missing.Fits(model.Resources{}) {
 			break
@@ -212,14 +212,14 @@
 	return missing
 }
 
-func (p *planner) mayStop(job *model.Job, kind WishKind) bool {
+func (p *planner) mayStop(job *model.Job, kind ActionKind) bool {
 	return mayStop(job, kind) || p.o.Rules.SkipIdempotent
 }
 
 // mayStop reports whether the job can be stopped in this way and run again. A
 // job that is not idempotent is never preempted, because it would not run
 // again.
-func mayStop(job *model.Job, kind WishKind) bool {
+func mayStop(job *model.Job, kind ActionKind) bool {
 	if !job.Spec.Idempotent {
 		return false
 	}
