--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -24,7 +24,7 @@
 
 func newTestSite(vms map[string]int) *testSite {
 	s := &testSite{machine: workload.NewMachine(), in: Input{
-		Now: time.Hour, Flights: map[workload.MachineID]Flight{}, Closing: map[workload.MachineID]Closing{},
+		Now: time.Hour, InFlight: map[workload.MachineID]InFlightOrder{}, Closing: map[workload.MachineID]Closing{},
 		Need: map[string]int64{}, Listed: func(workload.WorkerID) bool { return false },
 		Idle: func(workload.WorkerID) time.Duration { return time.Second },
 	}}
@@ -136,10 +136,10 @@
 	is.Equal(len(plan.Orders), 2)
 	for _, o := range plan.Orders {
 		is.Equal(o.Kind, Maintain)
-		s.in.Flights[o.Machine] = Flight{Order: o, Sent: s.in.Now}
+		s.in.InFlight[o.Machine] = InFlightOrder{Order: o, Sent: s.in.Now}
 	}
 	is.Equal(len(s.decide().Orders), 0) // both are under maintenance
-	delete(s.in.Flights, plan.Orders[0].Machine)
+	delete(s.in.InFlight, plan.Orders[0].Machine)
 	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, Machine: plan.Orders[0].Machine}}})
 	is.Equal(len(s.decide().Orders), 1)
 }
@@ -165,7 +165,7 @@
 		s.in.VMs[i].Kind = "plain"
 	}
 	s.in.VMs[3].Kind = "fast"
-	s.in.NeedOf = map[string]map[string]int64{"a": {"fast": 1000}}
+	s.in.NeedByLabel = map[string]map[string]int64{"a": {"fast": 1000}}
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Machine, s.in.VMs[3].Machine)
@@ -181,16 +181,16 @@
 	s := newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 14_000}
 	is.Equal(len(s.decide().Orders), 0)
-	s.in.Homeless = map[string]bool{"a": true}
+	s.in.Unplaceable = map[string]bool{"a": true}
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Pool, "a")
-	s.in.Flights[orders[0].Machine] = Flight{Order: orders[0], Sent: s.in.Now}
+	s.in.InFlight[orders[0].Machine] = InFlightOrder{Order: orders[0], Sent: s.in.Now}
 	is.Equal(len(s.decide().Orders), 0) // one at a time
 
 	s = newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 14_000, "b": 9 * cores32}
-	s.in.Homeless = map[string]bool{"a": true}
+	s.in.Unplaceable = map[string]bool{"a": true}
 	is.Equal(len(s.decide().Orders), 1) // although b needs more than it has
 }
 
@@ -202,14 +202,14 @@
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{step}}}}})
 	s.machine.Read(func(tables *workload.Tables) {
 		d := NewDemand(tables, time.Hour, 0)
-		is.Equal(len(d.Homeless(tables, time.Hour)), 0)
-		is.True(d.Homeless(tables, time.Hour+unplaceableAfter)["a"])
+		is.Equal(len(d.Unplaceable(tables, time.Hour)), 0)
+		is.True(d.Unplaceable(tables, time.Hour+unplaceableAfter)["a"])
 	})
 	s.apply(&workload.Command{Starts: []workload.Start{{Worker: "i-a-0", Run: workload.RunRef{Task: workload.TaskRef{Job: "j"}, Attempt: 1}}}})
 	s.machine.Read(func(tables *workload.Tables) {
 		d := NewDemand(tables, time.Hour, 0)
-		is.Equal(len(d.Homeless(tables, 2*time.Hour)), 0)
-		is.Equal(len(d.Homeless(tables, 3*time.Hour)), 0)
+		is.Equal(len(d.Unplaceable(tables, 2*time.Hour)), 0)
+		is.Equal(len(d.Unplaceable(tables, 3*time.Hour)), 0)
 	})
 }
 
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -195,7 +195,7 @@
 func (d *Demand) arrivalRate(pool string, now time.Duration) int64 {
 	p := d.pool(pool)
 	present, since := d.peaks.currentPeriod()
-	if d.Rules.SkipAnchor || !d.peaks.hasDistinctPeaks() || pool != present || now-since >= rateWindow {
+	if d.Rules.SkipShortWindow || !d.peaks.hasDistinctPeaks() || pool != present || now-since >= rateWindow {
 		return p.rate()
 	}
 	return max(p.rate(), p.rateSince(since, max(now-since, shortestWindow)))
@@ -267,10 +267,10 @@
 	}
 }
 
-// NeedOf returns what each pool should have of VMs with one label: what the
-// unfinished tasks of ready steps that ask for the label take. A rack that
+// NeedByLabel returns what each pool should have of VMs with one label: what
+// the unfinished tasks of ready steps that ask for the label take. A rack that
 // holds a step's data counts like a label.
-func (d *Demand) NeedOf(t *workload.Tables) map[string]map[string]int64 {
+func (d *Demand) NeedByLabel(t *workload.Tables) map[string]map[string]int64 {
 	all := map[string]map[string]int64{}
 	for queue, jobs := range t.Live {
 		pool := t.Queues[queue].Pool
@@ -305,11 +305,11 @@
 // for one more VM; a task that fits somewhere is placed within a few rounds.
 const unplaceableAfter = 300 * time.Millisecond
 
-// Homeless returns the pools that have had a long-running task without a run
+// Unplaceable returns the pools that have had a long-running task without a run
 // for unplaceableAfter.
-func (d *Demand) Homeless(t *workload.Tables, now time.Duration) map[string]bool {
+func (d *Demand) Unplaceable(t *workload.Tables, now time.Duration) map[string]bool {
 	unplaceable := map[string]bool{}
-	for pool := range d.Waiting(t, now) {
+	for pool := range d.WaitingPools(t, now) {
 		if now-d.waitingSince[pool] >= unplaceableAfter {
 			unplaceable[pool] = true
 		}
@@ -317,8 +317,9 @@
 	return unplaceable
 }
 
-// Waiting returns the pools that have a long-running task without a run now.
-func (d *Demand) Waiting(t *workload.Tables, now time.Duration) map[string]bool {
+// WaitingPools returns the pools that have a long-running task without a run
+// now.
+func (d *Demand) WaitingPools(t *workload.Tables, now time.Duration) map[string]bool {
 	waiting := map[string]bool{}
 	for queue, jobs := range t.Live {
 		if slices.ContainsFunc(jobs, hasTaskWithoutRun) {
--- a/internal/capacity/moves.go
+++ b/internal/capacity/moves.go
@@ -72,7 +72,7 @@
 		return cmp.Or(order.Bools(b.unplaceable, a.unplaceable), cmp.Compare(b.missing(), a.missing()), cmp.Compare(a.name, b.name))
 	})
 	for _, s := range pools {
-		p.plan.Pools = append(p.plan.Pools, Balance{Pool: s.name, Have: s.have, Need: s.need, Spare: len(s.idle)})
+		p.plan.Pools = append(p.plan.Pools, Balance{Pool: s.name, Have: s.have, Need: s.need, Idle: len(s.idle)})
 	}
 	moves := 0
 	for _, receiver := range pools {
@@ -133,7 +133,7 @@
 	for _, c := range p.Tables.Config.Pools {
 		s := &poolState{
 			name: c.Name, standby: c.Standby, need: p.Need[c.Name],
-			haveByLabel: map[string]int64{}, needByLabel: p.NeedOf[c.Name],
+			haveByLabel: map[string]int64{}, needByLabel: p.NeedByLabel[c.Name],
 		}
 		byName[c.Name] = s
 		if c.Standby {
@@ -145,7 +145,7 @@
 	for i := range p.VMs {
 		p.countVM(byName, &p.VMs[i])
 	}
-	for name := range p.Homeless {
+	for name := range p.Unplaceable {
 		p.requestExtraVM(byName[name])
 	}
 	for _, s := range byName {
@@ -167,7 +167,7 @@
 	if s == nil || s.standby || s.missing() > 0 {
 		return
 	}
-	for _, f := range p.Flights {
+	for _, f := range p.InFlight {
 		if f.Order.Kind == Move && f.Order.Pool == s.name {
 			return
 		}
@@ -184,7 +184,7 @@
 // countVM adds a VM to the pool that it serves or will serve.
 func (p *planner) countVM(byName map[string]*poolState, vm *VM) {
 	pool := vm.Pool
-	if f, inFlight := p.Flights[vm.Machine]; inFlight && f.Order.Kind == Move {
+	if f, inFlight := p.InFlight[vm.Machine]; inFlight && f.Order.Kind == Move {
 		pool = f.Order.Pool
 	}
 	if c, closing := p.Closing[vm.Machine]; closing && c.Order.Kind == Move {
@@ -237,7 +237,7 @@
 // from it need capacity elsewhere: counted as capacity, it might never become
 // empty.
 func (p *planner) isLeavingForMaintenance(vm *VM) bool {
-	f, inFlight := p.Flights[vm.Machine]
+	f, inFlight := p.InFlight[vm.Machine]
 	c, closing := p.Closing[vm.Machine]
 	return inFlight && f.Order.Kind == Maintain || closing && c.Order.Kind == Maintain || vm.State == Maintained
 }
--- a/internal/capacity/turns.go
+++ b/internal/capacity/turns.go
@@ -180,7 +180,7 @@
 // are long enough to move VMs before the arriving work asks for them.
 func (t *peakTracker) hasDistinctPeaks() bool {
 	length := t.medianLength()
-	return !t.rules.SkipTurns && (t.rules.SkipDistinct || t.leaderShare >= minDistinctShare && (length == 0 || length >= minPaybackPeriod))
+	return !t.rules.SkipPeaks && (t.rules.SkipDistinctCheck || t.leaderShare >= minDistinctShare && (length == 0 || length >= minPaybackPeriod))
 }
 
 // detectEarly processes what arrived within the last burstWindow. It detects a
@@ -190,7 +190,7 @@
 	if t.detected != "" && (t.detected == t.current || now-t.detectedAt > unconfirmedFor) {
 		t.detected = ""
 	}
-	if t.rules.SkipNotice || !t.hasDistinctPeaks() {
+	if t.rules.SkipEarlyDetection || !t.hasDistinctPeaks() {
 		return
 	}
 	var total int64
@@ -233,14 +233,14 @@
 // expectedDemand returns the demand expected soon for each pool, in thousandths
 // of a core.
 func (t *peakTracker) expectedDemand(pools []string, now time.Duration) map[string]int64 {
-	if t.rules.SkipTurns {
+	if t.rules.SkipPeaks {
 		return nil
 	}
 	next := t.predictNext(pools, now)
-	if present, since := t.currentPeriod(); !t.rules.SkipLevel && present != "" && now-since < assumedMeanFor && len(t.mean) > 0 && t.hasDistinctPeaks() {
+	if present, since := t.currentPeriod(); !t.rules.SkipMean && present != "" && now-since < assumedMeanFor && len(t.mean) > 0 && t.hasDistinctPeaks() {
 		return map[string]int64{present: t.meanOf(present)}
 	}
-	if t.accuracy < minAccuracy && !t.rules.SkipRecord {
+	if t.accuracy < minAccuracy && !t.rules.SkipAccuracyCheck {
 		return nil
 	}
 	return next
@@ -270,7 +270,7 @@
 // meanOf returns the mean rate of a pool's peak periods, or the median of the
 // other pools' means if it had none.
 func (t *peakTracker) meanOf(pool string) int64 {
-	if t.rules.SkipLevel {
+	if t.rules.SkipMean {
 		return t.peak[pool]
 	}
 	if mean := t.mean[pool]; mean > 0 {
@@ -320,7 +320,7 @@
 	for _, p := range unseen {
 		expected[p] = t.meanOf(t.current) / int64(len(unseen))
 	}
-	if len(unseen) == 0 && oldest != "" && !t.rules.SkipSuccessor {
+	if len(unseen) == 0 && oldest != "" && !t.rules.SkipNewSuccessor {
 		expected[oldest] = t.meanOf(oldest)
 	}
 	return expected
--- a/internal/capacity/vm.go
+++ b/internal/capacity/vm.go
@@ -64,8 +64,8 @@
 	Since   time.Duration
 }
 
-// Flight is an in-flight order: it was sent and its VM is not back yet.
-type Flight struct {
+// InFlightOrder is an order that was sent and whose VM is not back yet.
+type InFlightOrder struct {
 	Order Order
 	Sent  time.Duration
 	// Worker is the incarnation that the order ended.
@@ -78,17 +78,17 @@
 	NowMS  int64
 	Tables *workload.Tables
 	VMs    []VM
-	// Flights and Closing are by machine.
-	Flights map[workload.MachineID]Flight
-	Closing map[workload.MachineID]Closing
+	// InFlight and Closing are by machine.
+	InFlight map[workload.MachineID]InFlightOrder
+	Closing  map[workload.MachineID]Closing
 	// Need is the processor time that each pool should have, in thousandths of
 	// a core.
 	Need map[string]int64
-	// NeedOf is what each pool should have of VMs with one label.
-	NeedOf map[string]map[string]int64
-	// Homeless holds the pools that have had a long-running task without a run
-	// for a while.
-	Homeless map[string]bool
+	// NeedByLabel is what each pool should have of VMs with one label.
+	NeedByLabel map[string]map[string]int64
+	// Unplaceable holds the pools that have had a long-running task without a
+	// run for a while.
+	Unplaceable map[string]bool
 	// MayPark is set once demand has been observed for long enough to put idle
 	// VMs on standby.
 	MayPark bool
@@ -106,8 +106,8 @@
 	// work again.
 	Close []Closing
 	Open  []workload.MachineID
-	// Gone lists machines of waves that no longer exist.
-	Gone []workload.WaveBegun
+	// ObsoleteWaves lists machines of waves that no longer exist.
+	ObsoleteWaves []workload.WaveBegun
 	// Pools is what each pool has and needs, for the log.
 	Pools []Balance
 }
@@ -116,6 +116,6 @@
 type Balance struct {
 	Pool       string
 	Have, Need int64
-	// Spare counts its VMs with no tasks.
-	Spare int
+	// Idle counts its VMs with no tasks.
+	Idle int
 }
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -24,7 +24,7 @@
 	for i := range in.VMs {
 		p.vms[in.VMs[i].Machine] = &in.VMs[i]
 	}
-	for machine := range in.Flights {
+	for machine := range in.InFlight {
 		p.taken[machine] = true
 	}
 	p.orderEmptied()
@@ -139,7 +139,7 @@
 	n := 0
 	for i := range w.Machines {
 		machine := w.Machines[i].Machine
-		flight, inFlight := p.Flights[machine]
+		flight, inFlight := p.InFlight[machine]
 		closing, closed := p.Closing[machine]
 		vm := p.vms[machine]
 		switch {
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -98,7 +98,7 @@
 // elsewhere yet. The next one there waits for it: both would count on the same
 // room.
 func (d *Dispatcher) unplacedPools(t *workload.Tables, now time.Duration) map[string]bool {
-	pools := d.fleet.demand.Waiting(t, now)
+	pools := d.fleet.demand.WaitingPools(t, now)
 	for id, l := range d.links {
 		for run := range t.Runs[id] {
 			if job := t.Jobs[run.Task.Job]; job != nil && l.evicts(run) {
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -162,26 +162,26 @@
 // decideFleet asks package capacity what to do.
 func (d *Dispatcher) decideFleet(now time.Duration) (plan capacity.Plan) {
 	f := d.fleet
-	flights := make(map[workload.MachineID]capacity.Flight, len(f.flights))
+	flights := make(map[workload.MachineID]capacity.InFlightOrder, len(f.flights))
 	for machine, fl := range f.flights {
-		flights[machine] = fl.Flight
+		flights[machine] = fl.InFlightOrder
 	}
 	for machine, until := range f.refused {
 		if now >= until {
 			delete(f.refused, machine)
 		} else if _, flying := flights[machine]; !flying {
-			flights[machine] = capacity.Flight{}
+			flights[machine] = capacity.InFlightOrder{}
 		}
 	}
 	d.config.Machine.Read(func(t *workload.Tables) {
 		f.demand.Observe(t, now)
-		homeless := f.demand.Homeless(t, now)
+		homeless := f.demand.Unplaceable(t, now)
 		for pool := range f.lacking {
 			homeless[pool] = true
 		}
 		plan = capacity.Decide(capacity.Input{
-			Now: now, NowMS: d.config.WallMS(), Tables: t, VMs: f.vms, Flights: flights, Closing: f.closing,
-			Need: f.demand.Need(t, now, d.config.WallMS()), NeedOf: f.demand.NeedOf(t), Homeless: homeless, MayPark: f.demand.MayPark(now), Listed: d.lists, Idle: func(id workload.WorkerID) time.Duration { return d.idle(id, now) },
+			Now: now, NowMS: d.config.WallMS(), Tables: t, VMs: f.vms, InFlight: flights, Closing: f.closing,
+			Need: f.demand.Need(t, now, d.config.WallMS()), NeedByLabel: f.demand.NeedByLabel(t), Unplaceable: homeless, MayPark: f.demand.MayPark(now), Listed: d.lists, Idle: func(id workload.WorkerID) time.Duration { return d.idle(id, now) },
 		})
 		d.evict(t, now)
 	})
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -42,7 +42,7 @@
 
 // flight is an order on its way, or carried out while its VM is not back.
 type flight struct {
-	capacity.Flight
+	capacity.InFlightOrder
 	calling, done bool
 	// retryAt is when an order without an answer is sent again.
 	retryAt time.Duration
@@ -75,7 +75,7 @@
 	if f.flights[o.Machine] != nil || !f.takeToken(d.now(), d.config.FleetRate) {
 		return // it is decided anew in the next round
 	}
-	fl := &flight{Flight: capacity.Flight{Order: o, Sent: d.now()}}
+	fl := &flight{InFlightOrder: capacity.InFlightOrder{Order: o, Sent: d.now()}}
 	for i := range f.vms {
 		if f.vms[i].Machine == o.Machine {
 			fl.Worker = f.vms[i].Worker
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -174,7 +174,7 @@
 	d.fleet.balanced = now
 	for _, b := range pools {
 		d.config.Logger.WithField("pool", b.Pool).WithField("have_mcpu", b.Have).WithField("need_mcpu", b.Need).
-			WithField("spare_vms", b.Spare).WithField("list_age_ms", (now - d.fleet.listedAt).Milliseconds()).Info("balance")
+			WithField("spare_vms", b.Idle).WithField("list_age_ms", (now - d.fleet.listedAt).Milliseconds()).Info("balance")
 	}
 }
 
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -92,7 +92,7 @@
 	d := w.leader
 	d.config.Fleet, d.group = f, &conc.WaitGroup{}
 	d.fleet = newFleetState(w.now, &capacity.Demand{})
-	d.callFleet(t.Context(), w.term, &flight{Flight: capacity.Flight{Order: capacity.Order{Kind: capacity.Move, Machine: "m", Pool: "p"}}})
+	d.callFleet(t.Context(), w.term, &flight{InFlightOrder: capacity.InFlightOrder{Order: capacity.Order{Kind: capacity.Move, Machine: "m", Pool: "p"}}})
 	d.group.Wait()
 	is.True(f.left > 0 && f.left <= fleetTimeout)
 }
--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -54,15 +54,15 @@
 
 func (w *world) input(t *workload.Tables) capacity.Input {
 	in := capacity.Input{
-		Now: w.now, NowMS: w.nowMS(), Tables: t, Closing: w.closing, Flights: map[workload.MachineID]capacity.Flight{},
-		Need: w.demand.Need(t, w.now, w.nowMS()), NeedOf: w.demand.NeedOf(t),
-		Homeless: w.demand.Homeless(t, w.now), MayPark: w.demand.MayPark(w.now),
+		Now: w.now, NowMS: w.nowMS(), Tables: t, Closing: w.closing, InFlight: map[workload.MachineID]capacity.InFlightOrder{},
+		Need: w.demand.Need(t, w.now, w.nowMS()), NeedByLabel: w.demand.NeedByLabel(t),
+		Unplaceable: w.demand.Unplaceable(t, w.now), MayPark: w.demand.MayPark(w.now),
 		Listed: func(workload.WorkerID) bool { return false }, Idle: w.idle,
 	}
 	for _, vm := range w.vms {
 		in.VMs = append(in.VMs, vm.VM)
 		if vm.flying {
-			in.Flights[vm.Machine] = vm.flight
+			in.InFlight[vm.Machine] = vm.flight
 		}
 	}
 	return in
@@ -89,7 +89,7 @@
 		if vm.Machine != o.Machine {
 			continue
 		}
-		vm.flight, vm.flying = capacity.Flight{Order: o, Sent: w.now, Worker: vm.Worker}, true
+		vm.flight, vm.flying = capacity.InFlightOrder{Order: o, Sent: w.now, Worker: vm.Worker}, true
 		if vm.Worker != "" {
 			w.apply(&workload.Command{Gone: []workload.WorkerID{vm.Worker}})
 			vm.Worker = ""
--- a/internal/loadmodel/lab_test.go
+++ b/internal/loadmodel/lab_test.go
@@ -49,14 +49,14 @@
 		rules Rules
 	}{
 		{"all on", Rules{}},
-		{"turns", Rules{SkipTurns: true}},
-		{"successor", Rules{SkipSuccessor: true}},
-		{"level", Rules{SkipLevel: true}},
-		{"notice", Rules{SkipNotice: true}},
-		{"anchor", Rules{SkipAnchor: true}},
-		{"distinct", Rules{SkipDistinct: true}},
-		{"record", Rules{SkipRecord: true}},
-		{"all of these", Rules{SkipSuccessor: true, SkipLevel: true, SkipNotice: true, SkipAnchor: true, SkipDistinct: true, SkipRecord: true}},
+		{"turns", Rules{SkipPeaks: true}},
+		{"successor", Rules{SkipNewSuccessor: true}},
+		{"level", Rules{SkipMean: true}},
+		{"notice", Rules{SkipEarlyDetection: true}},
+		{"anchor", Rules{SkipShortWindow: true}},
+		{"distinct", Rules{SkipDistinctCheck: true}},
+		{"record", Rules{SkipAccuracyCheck: true}},
+		{"all of these", Rules{SkipNewSuccessor: true, SkipMean: true, SkipEarlyDetection: true, SkipShortWindow: true, SkipDistinctCheck: true, SkipAccuracyCheck: true}},
 	}
 }
 
--- a/internal/loadmodel/load_test.go
+++ b/internal/loadmodel/load_test.go
@@ -33,12 +33,12 @@
 // them, +0.026 at turns of 4.5 s, +0.023 at 9 s, +0.013 at 12 s (errors 0.004 to 0.007).
 func TestPeaksInTurns(t *testing.T) {
 	is := is.New(t)
-	none := Rules{SkipSuccessor: true, SkipLevel: true, SkipNotice: true, SkipAnchor: true, SkipDistinct: true, SkipRecord: true}
+	none := Rules{SkipNewSuccessor: true, SkipMean: true, SkipEarlyDetection: true, SkipShortWindow: true, SkipDistinctCheck: true, SkipAccuracyCheck: true}
 	p := Turns(4500 * time.Millisecond)
 	on := play(p, Rules{})
 	is.True(gain(on, play(p, none)) > 0.01)
-	is.True(gain(on, play(p, Rules{SkipSuccessor: true})) > 0.003)
-	is.True(gain(on, play(p, Rules{SkipLevel: true})) > 0.003)
+	is.True(gain(on, play(p, Rules{SkipNewSuccessor: true})) > 0.003)
+	is.True(gain(on, play(p, Rules{SkipMean: true})) > 0.003)
 }
 
 // Symptom: where peaks come in no order, a quarter of the jobs at the start of each
@@ -51,10 +51,10 @@
 	is := is.New(t)
 	p := with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Shuffled })
 	on := play(p, Rules{})
-	is.True(gain(on, play(p, Rules{SkipLevel: true})) > 0.015)
-	is.True(gain(on, play(p, Rules{SkipNotice: true})) > 0.01)
-	is.True(gain(on, play(p, Rules{SkipRecord: true})) > 0)
-	is.True(gain(on, play(p, Rules{SkipAnchor: true})) > 0)
+	is.True(gain(on, play(p, Rules{SkipMean: true})) > 0.015)
+	is.True(gain(on, play(p, Rules{SkipEarlyDetection: true})) > 0.01)
+	is.True(gain(on, play(p, Rules{SkipAccuracyCheck: true})) > 0)
+	is.True(gain(on, play(p, Rules{SkipShortWindow: true})) > 0)
 }
 
 // Symptom: VMs are on their way all the time and serve nobody. Sequence: turns are
@@ -64,7 +64,7 @@
 func TestTurnsTooShortForMoves(t *testing.T) {
 	is := is.New(t)
 	p := Turns(2 * time.Second)
-	is.True(gain(play(p, Rules{}), play(p, Rules{SkipDistinct: true})) > 0.05)
+	is.True(gain(play(p, Rules{}), play(p, Rules{SkipDistinctCheck: true})) > 0.05)
 }
 
 // Symptom: VMs are kept, and moved, for peaks that never come. Sequence: all pools
@@ -75,8 +75,8 @@
 	is := is.New(t)
 	p := with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Level })
 	on := play(p, Rules{})
-	is.True(gain(on, play(p, Rules{SkipDistinct: true})) > 0.005)
-	is.True(gain(on, play(p, Rules{SkipTurns: true})) > -0.015)
+	is.True(gain(on, play(p, Rules{SkipDistinctCheck: true})) > 0.005)
+	is.True(gain(on, play(p, Rules{SkipPeaks: true})) > -0.015)
 }
 
 func TestAPoolAloneIsServedByWhatItNeeds(t *testing.T) {
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -67,7 +67,7 @@
 	capacity.VM
 	// backAt is when it is up again, 0 while it is.
 	backAt    time.Duration
-	flight    capacity.Flight
+	flight    capacity.InFlightOrder
 	flying    bool
 	idleSince time.Duration
 	ends      uint64
