--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -42,7 +42,7 @@
 	got := map[model.InstanceID]int{}
 	for range requests {
 		*now = now.Add(10 * time.Millisecond)
-		use, ok := s.Pick(Wish{}, *now)
+		use, ok := s.Pick(Preference{}, *now)
 		if !ok {
 			continue
 		}
@@ -78,8 +78,8 @@
 
 // One caller's bad requests must not eject all instances of a service, whether
 // they arrive among good ones or alone: failures are compared with those of the
-// other instances, and ejections are capped. With both rules off (EjectBlind,
-// EjectEverything) every instance is ejected.
+// other instances, and ejections are capped. With both rules off (IgnoreOthers,
+// NoEjectionCap) every instance is ejected.
 func TestBadCallerEjectsNoInstance(t *testing.T) {
 	is := is.New(t)
 	worst := func(o Options, share int) int {
@@ -100,8 +100,8 @@
 	}
 	is.Equal(worst(Options{}, 100), 0)
 	is.Equal(worst(Options{}, 70), 0)
-	is.True(worst(Options{EjectBlind: true}, 90) <= 3) // The cap works alone.
-	is.Equal(worst(Options{EjectBlind: true, EjectEverything: true}, 100), 9)
+	is.True(worst(Options{IgnoreOthers: true}, 90) <= 3) // The cap works alone.
+	is.Equal(worst(Options{IgnoreOthers: true, NoEjectionCap: true}, 100), 9)
 }
 
 // TestRandomOperations runs any mix of requests, outcomes and changes of the
@@ -115,7 +115,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
 				avoid := model.InstanceID(fmt.Sprintf("i%02d", rapid.IntRange(0, 7).Draw(t, "avoid")))
-				use, ok := s.Pick(Wish{Avoid: avoid, OwnOnly: rapid.Bool().Draw(t, "own")}, now)
+				use, ok := s.Pick(Preference{Avoid: avoid, OwnOnly: rapid.Bool().Draw(t, "own")}, now)
 				if !ok {
 					return
 				}
@@ -186,14 +186,14 @@
 		i.Allowed = 8
 	}
 	later := model.Instant(0).Add(DefaultSlowStart)
-	first, _ := s.Pick(Wish{}, later)
+	first, _ := s.Pick(Preference{}, later)
 	is.Equal(first.Instance.Upstream.Zone, model.ZoneID("1")) // Equal load: the instance in the same zone.
 	s.Done(first, Answered, later)
 	s.Update(upstreams(3), later) // i02 is new.
 	s.Get("i02").Allowed = 8
 	counts := map[model.InstanceID]int{}
 	for range 8 {
-		use, _ := s.Pick(Wish{}, later.Add(time.Second))
+		use, _ := s.Pick(Preference{}, later.Add(time.Second))
 		counts[use.Instance.Upstream.Instance]++
 	}
 	is.True(counts["i02"] <= 1)
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -20,10 +20,10 @@
 	// twice as long, up to EjectMax.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// EjectEverything lifts the cap of a third; only for tests of the cap.
-	EjectEverything bool
-	// EjectBlind ignores the failures of the other instances; only for tests.
-	EjectBlind bool
+	// NoEjectionCap lifts the cap of a third; only for tests of the cap.
+	NoEjectionCap bool
+	// IgnoreOthers ignores the failures of the other instances; only for tests.
+	IgnoreOthers bool
 }
 
 // Defaults of Options.
@@ -157,7 +157,7 @@
 	if i.health.failuresInRow < s.options.EjectFailures {
 		return false
 	}
-	if s.options.EjectBlind {
+	if s.options.IgnoreOthers {
 		return true
 	}
 	good := max(0, s.outcomes.good-i.outcomes.good)
@@ -197,7 +197,7 @@
 }
 
 func (s *Set) maxEjected() int {
-	if s.options.EjectEverything {
+	if s.options.NoEjectionCap {
 		return len(s.byID)
 	}
 	return len(s.listed) / instancesPerEjection
@@ -224,7 +224,7 @@
 // pickProbe returns an ejected instance whose ejection time has passed, for one
 // request at a time. Urgent requests probe only when no other instance is
 // available.
-func (s *Set) pickProbe(p Wish, other bool, now model.Instant) *Instance {
+func (s *Set) pickProbe(p Preference, other bool, now model.Instant) *Instance {
 	if s.ejected == 0 || (p.Priority == model.Urgent && other) {
 		return nil
 	}
--- a/internal/balance/set.go
+++ b/internal/balance/set.go
@@ -119,8 +119,8 @@
 // InUse returns the number of slots in use at all instances.
 func (s *Set) InUse() int { return s.inUse }
 
-// Wish is what a request prefers or requires of the chosen instance.
-type Wish struct {
+// Preference is what a request prefers or requires of the chosen instance.
+type Preference struct {
 	// Avoid is an instance not to choose unless it is the only one listed;
 	// empty for none.
 	Avoid    model.InstanceID
@@ -131,7 +131,7 @@
 
 // Pick takes a slot at the best instance, or reports that none has a free one.
 // It compares two instances chosen at random and falls back to all of them.
-func (s *Set) Pick(p Wish, now model.Instant) (Use, bool) {
+func (s *Set) Pick(p Preference, now model.Instant) (Use, bool) {
 	if len(s.listed) == 1 {
 		p.Avoid = ""
 	}
@@ -156,7 +156,7 @@
 	return Use{Instance: i, Upstream: i.Upstream, Started: now, probe: probe, epoch: i.health.epoch}
 }
 
-func (s *Set) pickTwo(p Wish, now model.Instant) *Instance {
+func (s *Set) pickTwo(p Preference, now model.Instant) *Instance {
 	n := len(s.listed)
 	if n < 2 {
 		return nil
@@ -173,7 +173,7 @@
 	return s.better(a, b, now)
 }
 
-func (s *Set) pickAny(p Wish, now model.Instant) *Instance {
+func (s *Set) pickAny(p Preference, now model.Instant) *Instance {
 	n := len(s.listed)
 	if n == 0 {
 		return nil
@@ -189,13 +189,13 @@
 	return best
 }
 
-func (s *Set) usable(i *Instance, p Wish, now model.Instant) bool {
-	return i.hasFreeSlot(p) && !s.Rests(i, now)
+func (s *Set) usable(i *Instance, p Preference, now model.Instant) bool {
+	return i.hasFreeSlot(p) && !s.Unavailable(i, now)
 }
 
 // hasFreeSlot reports whether the instance has a free slot that satisfies the
 // preference.
-func (i *Instance) hasFreeSlot(p Wish) bool {
+func (i *Instance) hasFreeSlot(p Preference) bool {
 	limit := i.Allowed
 	if p.OwnOnly {
 		limit = i.Own
@@ -242,24 +242,24 @@
 	}
 }
 
-// Idle returns the number of slots that Pick could take at an instance now.
-func (s *Set) Idle(i *Instance, now model.Instant) int {
-	if !i.listed || !s.usable(i, Wish{}, now) {
+// FreeSlots returns the number of slots that Pick could take at an instance now.
+func (s *Set) FreeSlots(i *Instance, now model.Instant) int {
+	if !i.listed || !s.usable(i, Preference{}, now) {
 		return 0
 	}
 	return i.Allowed - i.InUse
 }
 
-// Rests reports whether an instance is ejected or busy.
-func (s *Set) Rests(i *Instance, now model.Instant) bool {
+// Unavailable reports whether an instance is ejected or busy.
+func (s *Set) Unavailable(i *Instance, now model.Instant) bool {
 	return i.health.ejected || now < i.health.busyUntil
 }
 
-// Free returns the number of slots that Pick could take now.
-func (s *Set) Free(now model.Instant) int {
+// TotalFreeSlots returns the number of slots that Pick could take now.
+func (s *Set) TotalFreeSlots(now model.Instant) int {
 	free := 0
 	for _, i := range s.listed {
-		free += s.Idle(i, now)
+		free += s.FreeSlots(i, now)
 	}
 	return free
 }
--- a/internal/slots/allocate.go
+++ b/internal/slots/allocate.go
@@ -90,13 +90,13 @@
 	if len(k.unrecovered) > 0 {
 		return false
 	}
-	if d.Class != classOf(model.Urgent) && k.set.Free(now) <= k.reserve() {
+	if d.Class != classOf(model.Urgent) && k.set.TotalFreeSlots(now) <= k.reserve() {
 		return false
 	}
 	best, most := model.InstanceID(""), 0
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
-		idle := k.set.Idle(i, now)
+		idle := k.set.FreeSlots(i, now)
 		if k.config.lending.Rules.LendBlind {
 			idle = max(idle, 1)
 		}
--- a/internal/slots/borrow.go
+++ b/internal/slots/borrow.go
@@ -93,7 +93,7 @@
 	var out []model.InstanceID
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
-		if k.set.Rests(i, now) || i.Own+k.book.Held(id) >= k.rooms[id] {
+		if k.set.Unavailable(i, now) || i.Own+k.book.Held(id) >= k.rooms[id] {
 			out = append(out, id)
 		}
 	}
@@ -170,7 +170,7 @@
 		k.spare = idleWindow{now, 0}
 		return
 	}
-	idle := k.set.Free(now)
+	idle := k.set.TotalFreeSlots(now)
 	k.spare.least = min(k.spare.least, idle)
 	if now.Sub(k.spare.since) < k.config.lending.KeepIdle {
 		return
@@ -185,7 +185,7 @@
 		})
 		k.recountAll()
 	}
-	k.spare = idleWindow{now, k.set.Free(now)}
+	k.spare = idleWindow{now, k.set.TotalFreeSlots(now)}
 }
 
 // giveBackAll gives all idle loans back; for a stop.
--- a/internal/slots/core.go
+++ b/internal/slots/core.go
@@ -225,7 +225,7 @@
 // lenders must not start on a loan: they count a loan only so long after it
 // lapsed.
 func (k *core) pick(ask Ask, now model.Instant) (balance.Use, bool) {
-	wish := balance.Wish{Avoid: ask.Avoid, Priority: ask.Priority}
+	wish := balance.Preference{Avoid: ask.Avoid, Priority: ask.Priority}
 	if k.book.Total() > 0 {
 		wish.OwnOnly = ask.Deadline.Sub(now) > k.book.Promised()
 	}
