--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// maxAsked is the most workers that one question to the advisor names.
-	maxAsked = 100
-	// adviceTimeout bounds one question: the advisor takes a time for each
-	// worker named, and answers one question of this VM after another.
+	// maxAdviceWorkers bounds the workers that one request to the advisor names.
+	maxAdviceWorkers = 100
+	// adviceTimeout bounds one request. The advisor takes some time per worker
+	// named and answers this VM's requests one after another.
 	adviceTimeout = 3 * time.Second
-	// advicePause is the pause after a question without an answer.
-	advicePause = 200 * time.Millisecond
-	// adviceQueue bounds the questions that wait.
-	adviceQueue = 512
+	// adviceRetryPause is the pause after a request without an answer.
+	adviceRetryPause = 200 * time.Millisecond
+	// maxAdviceQueue bounds the queued requests.
+	maxAdviceQueue = 512
 )
 
-// Advisor is the service that says which workers may run a step.
+// Advisor is the service that decides which workers may run a step.
 type Advisor interface {
-	// Advise returns the workers that may run the step with their tickets,
-	// and for how long the tickets are valid.
+	// Advise returns the workers that may run the step with their tickets, and for
+	// how long the tickets are valid.
 	Advise(ctx context.Context, step schedule.StepRef, workers []workload.WorkerID) (schedule.Advice, time.Duration, error)
 }
 
-// adviceCache holds what the advisor said. A ticket is dropped a little before
+// adviceCache holds the advisor's answers. A ticket is dropped shortly before
 // it becomes invalid, so that an order can still reach the worker with it.
 type adviceCache struct {
-	mu    sync.Mutex
-	known map[schedule.StepRef]keptAdvice
-	asked map[schedule.StepRef]bool
-	queue []schedule.StepRef
-	wake  chan struct{}
-	now   func() time.Duration
+	mu        sync.Mutex
+	entries   map[schedule.StepRef]cachedAdvice
+	requested map[schedule.StepRef]bool
+	queue     []schedule.StepRef
+	wake      chan struct{}
+	now       func() time.Duration
 }
 
-type keptAdvice struct {
+type cachedAdvice struct {
 	advice schedule.Advice
 	until  time.Duration
 }
 
 func newAdviceCache() *adviceCache {
 	return &adviceCache{
-		known: map[schedule.StepRef]keptAdvice{}, asked: map[schedule.StepRef]bool{},
+		entries: map[schedule.StepRef]cachedAdvice{}, requested: map[schedule.StepRef]bool{},
 		wake: make(chan struct{}, 1), now: func() time.Duration { return 0 },
 	}
 }
 
-// get returns valid advice, nil when there is none.
+// get returns valid advice, or nil if there is none.
 func (a *adviceCache) get(step schedule.StepRef) *schedule.Advice {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	kept, ok := a.known[step]
-	if !ok || a.now() > kept.until {
+	entry, ok := a.entries[step]
+	if !ok || a.now() > entry.until {
 		return nil
 	}
-	return &kept.advice
+	return &entry.advice
 }
 
 func (a *adviceCache) ticket(step schedule.StepRef, worker workload.WorkerID) string {
@@ -71,14 +71,14 @@
 	return ""
 }
 
-func (a *adviceCache) ask(steps []schedule.StepRef) {
+func (a *adviceCache) request(steps []schedule.StepRef) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, s := range steps {
-		if !a.asked[s] && len(a.queue) < adviceQueue {
-			a.asked[s] = true
+		if !a.requested[s] && len(a.queue) < maxAdviceQueue {
+			a.requested[s] = true
 			a.queue = append(a.queue, s)
-			poke(a.wake)
+			notify(a.wake)
 		}
 	}
 }
@@ -97,18 +97,18 @@
 func (a *adviceCache) put(step schedule.StepRef, advice schedule.Advice, until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.asked, step)
+	delete(a.requested, step)
 	if advice.Tickets != nil {
-		a.known[step] = keptAdvice{advice: advice, until: until}
+		a.entries[step] = cachedAdvice{advice: advice, until: until}
 	}
-	for s, kept := range a.known {
-		if a.now() > kept.until {
-			delete(a.known, s)
+	for s, entry := range a.entries {
+		if a.now() > entry.until {
+			delete(a.entries, s)
 		}
 	}
 }
 
-// runAdvice is the duty that asks the advisor, one question at a time.
+// runAdvice sends requests to the advisor, one at a time.
 func (d *Dispatcher) runAdvice(ctx context.Context) {
 	d.advice.now = d.now
 	for ctx.Err() == nil {
@@ -131,7 +131,7 @@
 		if job == nil || job.State.Final() || t.Queues[job.Queue] == nil {
 			return
 		}
-		workers = poolOf(t, t.Queues[job.Queue].Pool)
+		workers = workersOfPool(t, t.Queues[job.Queue].Pool)
 	})
 	if len(workers) == 0 || d.config.Advisor == nil {
 		d.advice.put(step, schedule.Advice{}, 0)
@@ -139,14 +139,14 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
-	asked := d.now()
-	advice, valid, err := d.config.Advisor.Advise(limited, step, workers[:min(len(workers), maxAsked)])
+	requestedAt := d.now()
+	advice, valid, err := d.config.Advisor.Advise(limited, step, workers[:min(len(workers), maxAdviceWorkers)])
 	if err != nil {
 		d.config.Logger.WithField("job", string(step.Job)).WithError(err).Warn("advisor does not answer")
-		steady.Pause(ctx, advicePause)
+		steady.Pause(ctx, adviceRetryPause)
 		d.advice.put(step, schedule.Advice{}, 0)
 	} else {
-		d.advice.put(step, advice, asked+valid*8/10)
+		d.advice.put(step, advice, requestedAt+valid*8/10)
 	}
 	d.wakeUp()
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -10,40 +10,40 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// measureEvery is the time between two counts of jobs and workers.
-const measureEvery = time.Second
+// measureInterval is the time between two counts of jobs and workers.
+const measureInterval = time.Second
 
-// counters are the figures of the leader's duty.
+// counters holds the metrics of the dispatcher.
 type counters struct {
-	registry                          metrics.Registry
-	unknown, callsFailed, standstills metrics.Counter
-	// unread counts the times at which a worker's lists began to hold rows that
+	registry                             metrics.Registry
+	unknownOutcomes, callsFailed, stalls metrics.Counter
+	// unreadableLists counts how often a worker's lists began to hold rows that
 	// can't be read.
-	unread metrics.Counter
-	// crashes counts the workers found over without a word, givenUp the jobs that
-	// failed for it.
+	unreadableLists metrics.Counter
+	// crashes counts the workers that were found to have ended without notice,
+	// givenUp the jobs that failed because of such crashes.
 	crashes, givenUp       metrics.Counter
 	starts, ends, releases metrics.Counter
 	roundTime, firstStart  metrics.Timer
 
-	queued, running, oldest           metrics.Gauge
-	known, usable, unanswered, closed metrics.Gauge
-	// measured is when jobs and workers were last counted.
-	measured time.Duration
+	queuedJobs, runningJobs, oldestQueued                           metrics.Gauge
+	knownWorkers, usableWorkers, unresponsiveWorkers, closedWorkers metrics.Gauge
+	// measuredAt is when jobs and workers were last counted.
+	measuredAt time.Duration
 }
 
 func newCounters(r metrics.Registry) *counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("dispatch."+name, r) }
 	gauge := func(name string) metrics.Gauge { return metrics.GetOrRegisterGauge("dispatch."+name, r) }
 	c := &counters{
-		registry: r,
-		unknown:  counter("unknown"), callsFailed: counter("calls_failed"), standstills: counter("standstills"),
-		unread: counter("lists_unread"), crashes: counter("crashes"), givenUp: counter("jobs_given_up"),
+		registry:        r,
+		unknownOutcomes: counter("unknown"), callsFailed: counter("calls_failed"), stalls: counter("standstills"),
+		unreadableLists: counter("lists_unread"), crashes: counter("crashes"), givenUp: counter("jobs_given_up"),
 		starts: counter("starts"), ends: counter("ends"), releases: counter("releases"),
 		roundTime:  metrics.GetOrRegisterTimer("dispatch.round", r),
 		firstStart: metrics.GetOrRegisterTimer("dispatch.first_start", r),
-		queued:     gauge("jobs.queued"), running: gauge("jobs.running"), oldest: gauge("jobs.oldest_ms"),
-		known: gauge("workers.known"), usable: gauge("workers.usable"), unanswered: gauge("workers.silent"), closed: gauge("workers.closed"),
+		queuedJobs: gauge("jobs.queued"), runningJobs: gauge("jobs.running"), oldestQueued: gauge("jobs.oldest_ms"),
+		knownWorkers: gauge("workers.known"), usableWorkers: gauge("workers.usable"), unresponsiveWorkers: gauge("workers.silent"), closedWorkers: gauge("workers.closed"),
 	}
 	for kind := workload.EndDone; kind <= workload.EndAlone; kind++ {
 		c.end(kind).Inc(0)
@@ -69,8 +69,8 @@
 	return metrics.GetOrRegisterCounter("dispatch.orders."+a.String(), c.registry)
 }
 
-// committed counts what a round committed.
-func (c *counters) committed(command *workload.Command) {
+// countCommitted counts what a round committed.
+func (c *counters) countCommitted(command *workload.Command) {
 	c.starts.Inc(int64(len(command.Starts)))
 	c.ends.Inc(int64(len(command.Ends)))
 	c.releases.Inc(int64(len(command.Releases)))
@@ -79,25 +79,26 @@
 	}
 }
 
-// waited notes how long the jobs waited that the plan starts.
-func (c *counters) waited(t *workload.Tables, starts []workload.Start, nowMS int64) {
-	noted := map[workload.JobID]bool{}
+// recordFirstStarts records how long the jobs waited that the plan starts for
+// the first time.
+func (c *counters) recordFirstStarts(t *workload.Tables, starts []workload.Start, nowMS int64) {
+	recorded := map[workload.JobID]bool{}
 	for i := range starts {
 		job := t.Jobs[starts[i].Run.Task.Job]
-		if job == nil || job.State != workload.JobQueued || noted[job.ID] {
+		if job == nil || job.State != workload.JobQueued || recorded[job.ID] {
 			continue
 		}
-		noted[job.ID] = true
+		recorded[job.ID] = true
 		c.firstStart.Update(time.Duration(max(nowMS-job.AcceptedMS, 0)) * time.Millisecond)
 	}
 }
 
-// measure counts jobs and workers, at most once in measureEvery.
-func (c *counters) measure(t *workload.Tables, soft map[workload.WorkerID]schedule.Worker, silent int, now time.Duration, nowMS int64) {
-	if now-c.measured < measureEvery {
+// measure counts jobs and workers, at most once per measureInterval.
+func (c *counters) measure(t *workload.Tables, states map[workload.WorkerID]schedule.Worker, unresponsive int, now time.Duration, nowMS int64) {
+	if now-c.measuredAt < measureInterval {
 		return
 	}
-	c.measured = now
+	c.measuredAt = now
 	var queued, running, oldest, usable, closed int64
 	for _, jobs := range t.Live {
 		for _, job := range jobs {
@@ -109,7 +110,7 @@
 			oldest = max(oldest, nowMS-job.AcceptedMS)
 		}
 	}
-	for id, w := range soft {
+	for id, w := range states {
 		if w.Usable && !w.Closing {
 			usable++
 		}
@@ -117,11 +118,11 @@
 			closed++
 		}
 	}
-	c.queued.Update(queued)
-	c.running.Update(running)
-	c.oldest.Update(oldest)
-	c.known.Update(int64(len(t.Workers)))
-	c.usable.Update(usable)
-	c.unanswered.Update(int64(silent))
-	c.closed.Update(closed)
+	c.queuedJobs.Update(queued)
+	c.runningJobs.Update(running)
+	c.oldestQueued.Update(oldest)
+	c.knownWorkers.Update(int64(len(t.Workers)))
+	c.usableWorkers.Update(usable)
+	c.unresponsiveWorkers.Update(int64(unresponsive))
+	c.closedWorkers.Update(closed)
 }
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -13,82 +13,85 @@
 )
 
 const (
-	// crashesAllowed is the number of workers that a task may crash before its
-	// further starts are counted, startsAllowed how many of these may follow.
-	crashesAllowed = 3
-	startsAllowed  = 2
+	// maxCrashes is the number of workers that a task may crash before its further
+	// starts are counted, maxExcessStarts how many of these may follow.
+	maxCrashes      = 3
+	maxExcessStarts = 2
 )
 
-// crasher counts what a job did whose first task crashes its worker.
-type crasher struct{ crashes, later int }
+// crasher counts the crashes and starts of a job whose first task crashes its
+// worker.
+type crasher struct{ crashes, excessStarts int }
 
-// crashUnder ends the worker that has begun the first task of a crashing job.
-func (w *world) crashUnder(worker *standin.Worker, run workload.RunRef) {
-	c := w.crashers[run.Task.Job]
+// crashOnStart crashes the worker that has started the first task of a crashing
+// job.
+func (sim *simulation) crashOnStart(worker *standin.Worker, run workload.RunRef) {
+	c := sim.crashers[run.Task.Job]
 	if c == nil || run.Task.Index != 0 {
 		return
 	}
-	if c.crashes >= crashesAllowed {
-		c.later++
+	if c.crashes >= maxCrashes {
+		c.excessStarts++
 	}
-	if c.later > startsAllowed {
-		w.breaks("%s started %d times after it had crashed %d workers", run.Task, c.later, crashesAllowed)
+	if c.excessStarts > maxExcessStarts {
+		sim.reportViolation("%s started %d times after it had crashed %d workers", run.Task, c.excessStarts, maxCrashes)
 	}
 	c.crashes++
-	for _, f := range w.workers {
+	for _, f := range sim.workers {
 		if f.worker == worker {
-			w.crash(f)
+			sim.crash(f)
 		}
 	}
-	w.breakGang(run)
+	sim.breakGang(run)
 }
 
-// crash ends a worker without a word; the next incarnation begins seconds later.
-func (w *world) crash(f *fakeWorker) {
+// crash ends a worker without notice. The next incarnation starts seconds
+// later.
+func (sim *simulation) crash(f *fakeWorker) {
 	f.worker.Dead = true
-	f.down = w.now + time.Duration(500+w.random.IntN(2500))*time.Millisecond
+	f.restartAt = sim.now + time.Duration(500+sim.random.IntN(2500))*time.Millisecond
 }
 
-// revive begins the next incarnations of the workers that crashed.
-func (w *world) revive() {
-	for _, f := range w.workers {
-		if f.down > 0 && w.now >= f.down {
-			w.bear(f)
+// restartCrashed starts the next incarnations of the workers that crashed.
+func (sim *simulation) restartCrashed() {
+	for _, f := range sim.workers {
+		if f.restartAt > 0 && sim.now >= f.restartAt {
+			sim.startIncarnation(f)
 		}
 	}
 }
 
-// submitJob hands in a job of one step.
-func (w *world) submitJob(id workload.JobID, step workload.StepSpec) {
-	w.jobs = append(w.jobs, id)
-	w.apply(&workload.Command{AtMS: w.now.Milliseconds(), Submit: []workload.Submit{{
+// submitJob submits a job of one step.
+func (sim *simulation) submitJob(id workload.JobID, step workload.StepSpec) {
+	sim.jobs = append(sim.jobs, id)
+	sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Submit: []workload.Submit{{
 		ID: id, Queue: workload.QueueID{Host: "h", Prefix: "/q/"}, Spec: workload.JobSpec{Steps: []workload.StepSpec{step}},
 	}}})
 }
 
 const (
-	// tick is the time between two rounds of a played site, runTime how long a
-	// sound task takes there.
-	tick    = 50 * time.Millisecond
-	runTime = 800 * time.Millisecond
-	// gangTime is how long a member of a gang waits for the others.
-	gangTime = 3 * time.Second
+	// tickInterval is the time between two rounds of a simulated site,
+	// taskDuration how long a healthy task takes there.
+	tickInterval = 50 * time.Millisecond
+	taskDuration = 800 * time.Millisecond
+	// gangTimeout is how long a member of a gang waits for the others.
+	gangTimeout = 3 * time.Second
 )
 
-// play lets a site work for a while: the workers report, sound tasks end when
-// their time is over, the leader makes its rounds and all its calls.
-func (w *world) play(length time.Duration) {
+// run simulates a site for a while: the workers report, healthy tasks end after
+// taskDuration, the leader runs its rounds and makes all its calls.
+func (sim *simulation) run(length time.Duration) {
 	ctx := context.Background()
-	for until := w.now + length; w.now < until; {
-		w.pass(tick)
-		for _, f := range w.workers {
-			if f.down == 0 {
-				w.report(f)
-				w.endDue(f)
+	for until := sim.now + length; sim.now < until; {
+		sim.advance(tickInterval)
+		for _, f := range sim.workers {
+			if f.restartAt == 0 {
+				sim.report(f)
+				sim.endDue(f)
 			}
 		}
-		w.leader.round(ctx, w.term)
-		for _, l := range w.leader.links {
+		sim.leader.round(ctx, sim.term)
+		for _, l := range sim.leader.links {
 			for c, ok := l.nextCall(); ok; c, ok = l.nextCall() {
 				l.perform(ctx, c)
 			}
@@ -96,33 +99,34 @@
 				l.hold(ctx)
 			}
 		}
-		w.check()
+		sim.checkInvariants()
 	}
 }
 
-// endDue ends the runs whose time is over; lasting ones run on.
-func (w *world) endDue(f *fakeWorker) {
-	w.machine.Read(func(t *workload.Tables) {
+// endDue ends the runs whose time has passed. Long-running ones continue.
+func (sim *simulation) endDue(f *fakeWorker) {
+	sim.machine.Read(func(t *workload.Tables) {
 		for _, run := range f.worker.Running() {
 			job := t.Jobs[run.Task.Job]
-			lasting := job.Spec.Steps != nil && job.Spec.Steps[run.Task.Step].Lasting
-			switch age, complete := f.worker.Age(run, w.now), w.isComplete(job, run); {
-			case !complete && age >= gangTime:
+			longRunning := job.Spec.Steps != nil && job.Spec.Steps[run.Task.Step].Lasting
+			switch age, complete := f.worker.Age(run, sim.now), sim.isComplete(job, run); {
+			case !complete && age >= gangTimeout:
 				f.worker.End(run, workload.EndAlone)
-			case complete && !lasting && age >= runTime:
+			case complete && !longRunning && age >= taskDuration:
 				f.worker.End(run, workload.EndDone)
 			}
 		}
 	})
 }
 
-// isComplete says whether all members of a gang run; true for other tasks.
-func (w *world) isComplete(job *workload.Job, run workload.RunRef) bool {
+// isComplete reports whether all members of a gang run. It returns true for
+// other tasks.
+func (sim *simulation) isComplete(job *workload.Job, run workload.RunRef) bool {
 	if job.Spec.Steps == nil || !job.Spec.Steps[run.Task.Step].Gang {
 		return true
 	}
 	members := 0
-	for _, f := range w.workers {
+	for _, f := range sim.workers {
 		for _, r := range f.worker.Running() {
 			if r.Task.Job == job.ID && r.Attempt == run.Attempt {
 				members++
@@ -132,17 +136,17 @@
 	return members == job.Spec.Steps[run.Task.Step].Count
 }
 
-// breakGang ends the other members of a gang of which one was lost.
-func (w *world) breakGang(run workload.RunRef) {
+// breakGang ends the other members of a gang that lost one.
+func (sim *simulation) breakGang(run workload.RunRef) {
 	gang := false
-	w.machine.Read(func(t *workload.Tables) {
+	sim.machine.Read(func(t *workload.Tables) {
 		spec := t.Jobs[run.Task.Job].Spec
 		gang = spec.Steps != nil && spec.Steps[run.Task.Step].Gang
 	})
 	if !gang {
 		return
 	}
-	for _, f := range w.workers {
+	for _, f := range sim.workers {
 		for _, r := range f.worker.Running() {
 			if r.Task.Job == run.Task.Job {
 				f.worker.End(r, workload.EndBroken)
@@ -151,14 +155,15 @@
 	}
 }
 
-func (w *world) stateOf(id workload.JobID) (s workload.JobState) {
-	w.machine.Read(func(t *workload.Tables) { s = t.Jobs[id].State })
+func (sim *simulation) stateOf(id workload.JobID) (s workload.JobState) {
+	sim.machine.Read(func(t *workload.Tables) { s = t.Jobs[id].State })
 	return s
 }
 
-// A task that crashes each worker that starts it takes down a whole pool, one
-// worker after the other, when nothing counts the workers that are lost under it.
-func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+// A task that crashes each worker that starts it must not take down a whole
+// pool, one worker after the other. This happens when the workers that are lost
+// under it are not counted.
+func TestTaskThatCrashesItsWorkersFailsItsJob(t *testing.T) {
 	for name, step := range map[string]workload.StepSpec{
 		"ends":    {Count: 2, Need: workload.Resources{CPU: 300}},
 		"lasts":   {Count: 1, Need: workload.Resources{CPU: 300}, Lasting: true},
@@ -167,121 +172,121 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(8) {
-				playCrasher(t, seed, step)
+				simulateCrasher(t, seed, step)
 			}
 		})
 	}
 }
 
-// playCrasher plays a crashing job among sound ones.
-func playCrasher(t *testing.T, seed uint64, step workload.StepSpec) {
+// simulateCrasher simulates a crashing job among healthy ones.
+func simulateCrasher(t *testing.T, seed uint64, step workload.StepSpec) {
 	t.Helper()
 	is := is.New(t)
-	w := newWorld(seed)
-	w.trouble = 0
-	w.play(time.Second)
+	sim := newSimulation(seed)
+	sim.faultPercent = 0
+	sim.run(time.Second)
 	bad := workload.JobID("crashes")
-	w.crashers[bad] = &crasher{}
+	sim.crashers[bad] = &crasher{}
 	for i := range 30 {
-		w.submitJob(workload.JobID(fmt.Sprintf("sound-%d", i)), workload.StepSpec{Count: 3, Need: workload.Resources{CPU: 400}})
+		sim.submitJob(workload.JobID(fmt.Sprintf("sound-%d", i)), workload.StepSpec{Count: 3, Need: workload.Resources{CPU: 400}})
 		if i == 5 {
-			w.submitJob(bad, step)
+			sim.submitJob(bad, step)
 		}
 		if i%10 == 9 {
-			w.elect()
+			sim.elect()
 		}
-		w.play(700 * time.Millisecond)
+		sim.run(700 * time.Millisecond)
 	}
-	w.play(20 * time.Second)
-	if len(w.broken) > 0 {
-		t.Fatalf("seed %d: %s", seed, w.broken[0])
+	sim.run(20 * time.Second)
+	if len(sim.violations) > 0 {
+		t.Fatalf("seed %d: %s", seed, sim.violations[0])
 	}
-	is.Equal(w.stateOf(bad), workload.JobFailed)
+	is.Equal(sim.stateOf(bad), workload.JobFailed)
 	for i := range 30 {
-		is.Equal(w.stateOf(workload.JobID(fmt.Sprintf("sound-%d", i))), workload.JobCompleted) // a sound job beside it
+		is.Equal(sim.stateOf(workload.JobID(fmt.Sprintf("sound-%d", i))), workload.JobCompleted) // a healthy job beside it
 	}
 }
 
-// Workers that are lost for reasons of their own, several times under the same
-// tasks, must not make a sound job fail.
-func TestSoundTasksOutliveLostWorkers(t *testing.T) {
+// Workers that are lost for unrelated reasons, several times under the same
+// tasks, must not make a healthy job fail.
+func TestHealthyTasksSurviveLostWorkers(t *testing.T) {
 	for seed := range uint64(8) {
 		is := is.New(t)
-		w := newWorld(seed)
-		w.trouble = 0
-		w.play(time.Second)
-		w.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true})
+		sim := newSimulation(seed)
+		sim.faultPercent = 0
+		sim.run(time.Second)
+		sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true})
 		for i := range 24 {
-			w.submitJob(workload.JobID(fmt.Sprintf("sound-%d", i)), workload.StepSpec{Count: 3, Need: workload.Resources{CPU: 400}})
+			sim.submitJob(workload.JobID(fmt.Sprintf("sound-%d", i)), workload.StepSpec{Count: 3, Need: workload.Resources{CPU: 400}})
 			if i%6 == 5 { // most of the site, as when racks lose power
-				for _, f := range w.workers[w.random.IntN(2):] {
-					w.crash(f)
+				for _, f := range sim.workers[sim.random.IntN(2):] {
+					sim.crash(f)
 				}
 			}
-			w.play(time.Second)
+			sim.run(time.Second)
 		}
-		w.play(15 * time.Second)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %s", seed, w.broken[0])
+		sim.run(15 * time.Second)
+		if len(sim.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, sim.violations[0])
 		}
-		is.Equal(w.stateOf("lasts"), workload.JobRunning)
+		is.Equal(sim.stateOf("lasts"), workload.JobRunning)
 		for i := range 24 {
-			is.Equal(w.stateOf(workload.JobID(fmt.Sprintf("sound-%d", i))), workload.JobCompleted)
+			is.Equal(sim.stateOf(workload.JobID(fmt.Sprintf("sound-%d", i))), workload.JobCompleted)
 		}
 	}
 }
 
-// What was counted of a crashing task must survive lost answers, late orders,
-// workers that are cut off and changes of leader, and be counted once.
-func TestCrashesAreCountedThroughTrouble(t *testing.T) {
+// The count of a task's crashes must survive lost answers, late orders, workers
+// that are cut off and changes of leader, and each crash must be counted once.
+func TestCrashesAreCountedOnceDespiteFaults(t *testing.T) {
 	for seed := range uint64(seeds(t) / 2) {
-		w := newWorld(seed)
+		sim := newSimulation(seed)
 		for i := range 4000 {
-			w.step()
-			if n := len(w.jobs); n%6 == 5 && w.crashers[w.jobs[n-1]] == nil {
-				w.crashers[w.jobs[n-1]] = &crasher{}
+			sim.step()
+			if n := len(sim.jobs); n%6 == 5 && sim.crashers[sim.jobs[n-1]] == nil {
+				sim.crashers[sim.jobs[n-1]] = &crasher{}
 			}
-			if len(w.broken) > 0 {
-				t.Fatalf("seed %d, step %d: %s", seed, i, w.broken[0])
+			if len(sim.violations) > 0 {
+				t.Fatalf("seed %d, step %d: %s", seed, i, sim.violations[0])
 			}
 		}
-		w.calm()
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d, after the trouble: %s", seed, w.broken[0])
+		sim.settle()
+		if len(sim.violations) > 0 {
+			t.Fatalf("seed %d, after the faults: %s", seed, sim.violations[0])
 		}
-		for _, id := range w.jobs {
-			if state := w.stateOf(id); !state.Final() {
+		for _, id := range sim.jobs {
+			if state := sim.stateOf(id); !state.Final() {
 				t.Fatalf("seed %d: job %s is %s at the end", seed, id, state)
 			}
 		}
 	}
 }
 
-// When a lasting job is given up for one of its tasks, the others must not be
-// stopped: their step has used up what may be away. Its caller's cancelling ends
-// them.
-func TestTheRestOfALastingStepWorksOn(t *testing.T) {
+// When a long-running job fails because of one of its tasks, the others must
+// not be stopped: the availability budget of their step is used up. They end
+// when the caller cancels the job.
+func TestOtherTasksOfAFailedLongRunningStepKeepRunning(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
-	w.trouble = 0
-	w.play(time.Second)
-	w.crashers["lasts"] = &crasher{}
-	w.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true, MaxUnavailable: 1})
-	w.play(25 * time.Second)
-	is.Equal(w.stateOf("lasts"), workload.JobFailed)
+	sim := newSimulation(1)
+	sim.faultPercent = 0
+	sim.run(time.Second)
+	sim.crashers["lasts"] = &crasher{}
+	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true, MaxUnavailable: 1})
+	sim.run(25 * time.Second)
+	is.Equal(sim.stateOf("lasts"), workload.JobFailed)
 	running := func() (n int) {
-		for _, f := range w.workers {
+		for _, f := range sim.workers {
 			n += len(f.worker.Running())
 		}
 		return n
 	}
 	rest := running()
 	is.True(rest >= 2) // one may have been lost with the last worker
-	w.elect()
-	w.play(8 * time.Second)
-	is.Equal(running(), rest) // a new leader goes on with them
-	w.apply(&workload.Command{AtMS: w.now.Milliseconds(), Cancel: []workload.JobID{"lasts"}})
-	w.play(2 * time.Second)
+	sim.elect()
+	sim.run(8 * time.Second)
+	is.Equal(running(), rest) // a new leader keeps them running
+	sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Cancel: []workload.JobID{"lasts"}})
+	sim.run(2 * time.Second)
 	is.Equal(running(), 0)
-	is.Equal(len(w.broken), 0)
+	is.Equal(len(sim.violations), 0)
 }
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -7,52 +7,53 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// closeLinks keeps new work off the workers whose VMs are about to leave.
-func (d *Dispatcher) closeLinks() {
+// markClosing keeps new work off the workers whose VMs are about to leave.
+func (d *Dispatcher) markClosing() {
 	f := d.fleet
 	closed := map[workload.WorkerID]bool{}
-	doomed := d.doomedMachines()
-	marked := map[workload.WorkerID]bool{}
+	awaiting := d.vmsAwaitingMaintenance()
+	maintenance := map[workload.WorkerID]bool{}
 	for i := range f.vms {
 		vm := &f.vms[i]
 		_, closing := f.closing[vm.Machine]
 		if closing || f.flights[vm.Machine] != nil {
 			closed[vm.Worker] = true
 		}
-		marked[vm.Worker] = doomed[vm.Machine]
+		maintenance[vm.Worker] = awaiting[vm.Machine]
 	}
 	for id, l := range d.links {
 		l.mu.Lock()
-		l.closing, l.doomed = closed[id], marked[id]
+		l.closing, l.maintenanceAhead = closed[id], maintenance[id]
 		l.mu.Unlock()
 	}
 }
 
-// doomedMachines lists the VMs that have a maintenance before them.
-func (d *Dispatcher) doomedMachines() map[workload.MachineID]bool {
-	doomed := map[workload.MachineID]bool{}
+// vmsAwaitingMaintenance returns the VMs of a wave whose maintenance has not
+// begun.
+func (d *Dispatcher) vmsAwaitingMaintenance() map[workload.MachineID]bool {
+	awaiting := map[workload.MachineID]bool{}
 	d.config.Machine.Read(func(t *workload.Tables) {
 		for _, w := range t.Waves {
 			for i := range w.Machines {
 				if !w.Machines[i].Begun {
-					doomed[w.Machines[i].Machine] = true
+					awaiting[w.Machines[i].Machine] = true
 				}
 			}
 		}
 	})
-	return doomed
+	return awaiting
 }
 
-// evict stops what keeps a closing VM from its order, and lasting tasks on
-// workers that are leaving.
+// evict stops the runs that keep a closing VM from its order, and long-running
+// tasks on draining workers.
 func (d *Dispatcher) evict(t *workload.Tables, now time.Duration) {
-	d.fleet.lacking = map[string]bool{}
-	d.fleet.unplaced = d.unplacedPools(t, now)
+	d.fleet.lackingWorker = map[string]bool{}
+	d.fleet.awaitingRestart = d.poolsAwaitingRestart(t, now)
 	for i := range d.fleet.vms {
 		vm := &d.fleet.vms[i]
 		c, closing := d.fleet.closing[vm.Machine]
 		if closing && c.Order.Kind == capacity.Maintain {
-			d.evictWorker(t, vm.Worker, now-c.Since > emptyBy)
+			d.evictWorker(t, vm.Worker, now-c.Since > shortTaskGrace)
 		}
 	}
 	for id, w := range t.Workers {
@@ -62,46 +63,46 @@
 	}
 }
 
-func (d *Dispatcher) evictWorker(t *workload.Tables, id workload.WorkerID, all bool) {
+func (d *Dispatcher) evictWorker(t *workload.Tables, id workload.WorkerID, shortTasks bool) {
 	l := d.links[id]
 	if l == nil {
 		return
 	}
-	leaving := t.Workers[id] != nil && t.Workers[id].Draining
+	draining := t.Workers[id] != nil && t.Workers[id].Draining
 	for run := range t.Runs[id] {
 		job, step, task := t.Task(run.Task)
-		if task == nil || l.evicts(run) {
+		if task == nil || l.isEvicted(run) {
 			continue
 		}
 		spec := &job.Spec.Steps[run.Task.Step]
 		pool := t.Queues[job.Queue].Pool
 		switch {
 		case !spec.Lasting:
-			if all {
+			if shortTasks {
 				l.evictRun(run)
 			}
 		case job.State.Final():
-			if leaving || d.awayBut(run, spec, step) == nil {
-				l.evictRun(run) // nothing comes in its place
+			if draining || d.budgetBlocker(run, spec, step) == nil {
+				l.evictRun(run) // nothing is started in its place
 			}
-		case d.fleet.unplaced[pool]:
-		case !d.hasPlace(t, job, spec, step, id):
-			d.fleet.lacking[pool] = true
-		case leaving || d.awayBut(run, spec, step) == nil:
+		case d.fleet.awaitingRestart[pool]:
+		case !d.canPlaceElsewhere(t, job, spec, step, id):
+			d.fleet.lackingWorker[pool] = true
+		case draining || d.budgetBlocker(run, spec, step) == nil:
 			l.evictRun(run)
-			d.fleet.unplaced[pool] = true
+			d.fleet.awaitingRestart[pool] = true
 		}
 	}
 }
 
-// unplacedPools lists the pools in which an evicted lasting task has not started
-// elsewhere yet. The next one there waits for it: both would count on the same
-// room.
-func (d *Dispatcher) unplacedPools(t *workload.Tables, now time.Duration) map[string]bool {
+// poolsAwaitingRestart returns the pools in which an evicted long-running task
+// has not started elsewhere yet. The next eviction in such a pool waits for it,
+// since both would count on the same free capacity.
+func (d *Dispatcher) poolsAwaitingRestart(t *workload.Tables, now time.Duration) map[string]bool {
 	pools := d.fleet.demand.WaitingPools(t, now)
 	for id, l := range d.links {
 		for run := range t.Runs[id] {
-			if job := t.Jobs[run.Task.Job]; job != nil && l.evicts(run) {
+			if job := t.Jobs[run.Task.Job]; job != nil && l.isEvicted(run) {
 				pools[t.Queues[job.Queue].Pool] = true
 			}
 		}
@@ -109,14 +110,14 @@
 	return pools
 }
 
-// hasPlace says whether another worker of the pool can take a lasting task now.
-// Without one a task that is evicted serves nobody until a VM has come; its pool
-// asks for that VM first.
-func (d *Dispatcher) hasPlace(t *workload.Tables, job *workload.Job, spec *workload.StepSpec, step *workload.Step, except workload.WorkerID) bool {
-	here := map[workload.WorkerID]int{}
+// canPlaceElsewhere reports whether another worker of the pool can take a
+// long-running task now. If none can, an evicted task would be down until a VM
+// has been added, so its pool requests that VM first.
+func (d *Dispatcher) canPlaceElsewhere(t *workload.Tables, job *workload.Job, spec *workload.StepSpec, step *workload.Step, except workload.WorkerID) bool {
+	tasksOn := map[workload.WorkerID]int{}
 	for i := range step.Tasks {
 		for _, run := range step.Tasks[i].Runs {
-			here[run.Worker]++
+			tasksOn[run.Worker]++
 		}
 	}
 	pool, now := t.Queues[job.Queue].Pool, d.now()
@@ -125,13 +126,13 @@
 		if l == nil || id == except || w.Pool != pool || w.Draining || w.Closed || !w.Has(spec.Label) {
 			continue
 		}
-		if spec.MaxPerWorker > 0 && here[id] >= spec.MaxPerWorker || !spec.Charge().Fits(w.Capacity.Minus(t.Used[id])) {
+		if spec.MaxPerWorker > 0 && tasksOn[id] >= spec.MaxPerWorker || !spec.Charge().Fits(w.Capacity.Minus(t.Used[id])) {
 			continue
 		}
 		l.mu.Lock()
-		takes := !l.closing && l.usable(now)
+		accepts := !l.closing && l.usable(now)
 		l.mu.Unlock()
-		if takes {
+		if accepts {
 			return true
 		}
 	}
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -16,7 +16,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// defaultSeeds is how many seeds a normal run plays; COMFREYLOOM_SEEDS sets more.
+// defaultSeeds is how many seeds a normal run simulates. COMFREYLOOM_SEEDS
+// overrides it.
 const defaultSeeds = 40
 
 func seeds(t *testing.T) int {
@@ -27,63 +28,66 @@
 	return defaultSeeds
 }
 
-// fakeWorker is an address with one incarnation after the other.
+// fakeWorker is an address with a sequence of incarnations.
 type fakeWorker struct {
 	address  string
 	worker   *standin.Worker
 	sequence uint64
-	// cut: nothing from the leader arrives; the worker runs on.
-	cut bool
-	// down is when the next incarnation begins after a crash; 0 while one is up.
-	down time.Duration
+	// partitioned: nothing from the leader arrives, and the worker continues to
+	// run.
+	partitioned bool
+	// restartAt is when the next incarnation starts after a crash, 0 while one is
+	// up.
+	restartAt time.Duration
 }
 
-// bear replaces the incarnation at an address.
-func (w *world) bear(f *fakeWorker) {
+// startIncarnation replaces the incarnation at an address.
+func (sim *simulation) startIncarnation(f *fakeWorker) {
 	if f.worker != nil {
 		f.worker.Dead = true
 	}
-	w.births++
-	id := workload.WorkerID(fmt.Sprintf("i-%d", w.births))
-	f.worker = standin.New(id, f.address, workload.Resources{CPU: 2000, MemoryMB: 1000}, 0.98+0.02*w.random.Float64(), w.now)
-	f.sequence, f.down = 0, 0
+	sim.incarnations++
+	id := workload.WorkerID(fmt.Sprintf("i-%d", sim.incarnations))
+	f.worker = standin.New(id, f.address, workload.Resources{CPU: 2000, MemoryMB: 1000}, 0.98+0.02*sim.random.Float64(), sim.now)
+	f.sequence, f.restartAt = 0, 0
 	f.worker.Acked = func(e workload.End, held bool) {
 		switch e.Kind {
 		case workload.EndDone:
-			w.done[e.Run.Task] = w.done[e.Run.Task] || held
+			sim.done[e.Run.Task] = sim.done[e.Run.Task] || held
 		case workload.EndFailed:
-			w.failed[e.Run.Task]++
+			sim.failed[e.Run.Task]++
 		}
 	}
 }
 
-// fakeNet carries calls to the workers, and loses or holds up some.
-type fakeNet struct{ w *world }
+// fakeNet carries calls to the workers, and loses or delays some.
+type fakeNet struct{ sim *simulation }
 
 var _ workers.Calls = fakeNet{}
 
-// deliver finds the incarnation that a call reaches; false for no answer.
-func (n fakeNet) deliver(to workers.Target, late func(*standin.Worker)) (*standin.Worker, workers.Refusal, error) {
-	for _, f := range n.w.workers {
+// deliver finds the incarnation that a call reaches. It returns an error if the
+// call gets no answer.
+func (n fakeNet) deliver(to workers.Target, deliverLate func(*standin.Worker)) (*standin.Worker, workers.Refusal, error) {
+	for _, f := range n.sim.workers {
 		if f.address != to.Address {
 			continue
 		}
-		if f.down > 0 {
+		if f.restartAt > 0 {
 			return nil, 0, &workers.CallError{Verdict: model.NotRun, Err: io.EOF}
 		}
-		if f.cut || n.w.chance(n.w.trouble/3) {
+		if f.partitioned || n.sim.chance(n.sim.faultPercent/3) {
 			return nil, 0, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 		}
-		if n.w.chance(n.w.trouble / 3) {
-			at := n.w.now + time.Duration(2000+n.w.random.IntN(10000))*time.Millisecond
-			n.w.late = append(n.w.late, lateCall{at: at, do: func() {
+		if n.sim.chance(n.sim.faultPercent / 3) {
+			at := n.sim.now + time.Duration(2000+n.sim.random.IntN(10000))*time.Millisecond
+			n.sim.delayed = append(n.sim.delayed, delayedCall{at: at, do: func() {
 				if f.worker.ID == to.ID {
-					late(f.worker)
+					deliverLate(f.worker)
 				}
 			}})
 			return nil, 0, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 		}
-		if n.w.chance(n.w.trouble / 10) {
+		if n.sim.chance(n.sim.faultPercent / 10) {
 			return nil, 0, &workers.CallError{Verdict: model.NotRun, Err: io.EOF}
 		}
 		if f.worker.ID != to.ID {
@@ -94,9 +98,10 @@
 	return nil, 0, &workers.CallError{Verdict: model.NotRun, Err: io.EOF}
 }
 
-// lostAnswer says that a call was carried out and its answer got lost.
+// lostAnswer returns an error if the call was carried out and its answer is
+// lost.
 func (n fakeNet) lostAnswer() error {
-	if n.w.chance(n.w.trouble / 3) {
+	if n.sim.chance(n.sim.faultPercent / 3) {
 		return &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 	}
 	return nil
@@ -105,10 +110,10 @@
 func (n fakeNet) Start(_ context.Context, to workers.Target, o workers.StartOrder) (workers.Answer, error) {
 	start := func(worker *standin.Worker) workers.Answer {
 		before := len(worker.Running())
-		a := worker.Start(o, n.w.now)
+		a := worker.Start(o, n.sim.now)
 		if len(worker.Running()) > before {
-			n.w.started(worker, o.Run)
-			n.w.crashUnder(worker, o.Run)
+			n.sim.checkStart(worker, o.Run)
+			n.sim.crashOnStart(worker, o.Run)
 		}
 		return a
 	}
@@ -117,39 +122,40 @@
 		return workers.Answer{Refusal: refusal}, err
 	}
 	answer := start(worker)
-	if worker.Dead && n.w.chance(50) {
+	if worker.Dead && n.sim.chance(50) {
 		return workers.Answer{}, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 	}
 	return answer, n.lostAnswer()
 }
 
 func (n fakeNet) Stop(_ context.Context, to workers.Target, run workload.RunRef, fence uint64) (workers.Answer, error) {
-	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Stop(run, fence, n.w.now) })
+	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Stop(run, fence, n.sim.now) })
 	if err != nil || refusal != workers.Accepted {
 		return workers.Answer{Refusal: refusal}, err
 	}
-	if n.w.stopping != nil && slices.Contains(worker.Running(), run) {
-		n.w.stopping(worker, run)
+	if n.sim.onStop != nil && slices.Contains(worker.Running(), run) {
+		n.sim.onStop(worker, run)
 	}
-	return worker.Stop(run, fence, n.w.now), n.lostAnswer()
+	return worker.Stop(run, fence, n.sim.now), n.lostAnswer()
 }
 
 func (n fakeNet) Hold(_ context.Context, to workers.Target, o workers.HoldOrder) (workers.List, error) {
-	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Hold(o, n.w.now) })
+	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Hold(o, n.sim.now) })
 	if err != nil || refusal != workers.Accepted {
 		return workers.List{Answer: workers.Answer{Refusal: refusal}}, err
 	}
-	list := worker.Hold(o, n.w.now)
-	if n.w.garble > 0 && n.w.chance(n.w.garble) {
-		n.w.garbleOne(&list)
+	list := worker.Hold(o, n.sim.now)
+	if n.sim.unreadablePercent > 0 && n.sim.chance(n.sim.unreadablePercent) {
+		n.sim.corruptRow(&list)
 	}
 	return list, n.lostAnswer()
 }
 
-// garbleOne makes one row of a list unreadable, as the adapter passes it on.
-func (w *world) garbleOne(list *workers.List) {
+// corruptRow makes one row of a list unreadable, in the form in which the
+// adapter passes it on.
+func (sim *simulation) corruptRow(list *workers.List) {
 	list.Unread = 1
-	row := w.random.IntN(len(list.Running) + len(list.Ends) + 1)
+	row := sim.random.IntN(len(list.Running) + len(list.Ends) + 1)
 	switch {
 	case row < len(list.Running):
 		list.Running = slices.Delete(list.Running, row, row+1)
@@ -164,59 +170,59 @@
 	return workers.Answer{}, nil
 }
 
-// started checks a start as its worker carries it out.
-func (w *world) started(worker *standin.Worker, run workload.RunRef) {
-	if w.done[run.Task] {
-		w.breaks("%s started on %s after its end was acknowledged", run.Task, worker.ID)
+// checkStart checks a start when its worker carries it out.
+func (sim *simulation) checkStart(worker *standin.Worker, run workload.RunRef) {
+	if sim.done[run.Task] {
+		sim.reportViolation("%s started on %s after its end was acknowledged", run.Task, worker.ID)
 	}
-	w.machine.Read(func(t *workload.Tables) {
+	sim.machine.Read(func(t *workload.Tables) {
 		job := t.Jobs[run.Task.Job]
 		if job.Spec.Steps == nil {
-			return // the job is over and nothing of it counts any more
+			return // the job has ended and its runs don't count any more
 		}
-		if w.failed[run.Task] >= 3 {
-			w.breaks("%s started after 3 failures", run.Task)
+		if sim.failed[run.Task] >= 3 {
+			sim.reportViolation("%s started after 3 failures", run.Task)
 		}
 		for _, before := range job.Spec.Steps[run.Task.Step].DependsOn {
 			for i := range job.Spec.Steps[before].Count {
 				ref := run.Task
 				ref.Step, ref.Index = before, i
 				if o := job.Find(0); o != nil && !o.Steps[before].Tasks[i].Done {
-					w.breaks("%s started before %s was done", run.Task, ref)
+					sim.reportViolation("%s started before %s was done", run.Task, ref)
 				}
 			}
 		}
 	})
 }
 
-// check looks at what runs now.
-func (w *world) check() {
+// checkInvariants checks what runs now.
+func (sim *simulation) checkInvariants() {
 	count := map[workload.TaskRef]int{}
-	for _, f := range w.workers {
+	for _, f := range sim.workers {
 		used := workload.Resources{}
 		for _, r := range f.worker.Running() {
 			count[r.Task]++
-			w.machine.Read(func(t *workload.Tables) {
+			sim.machine.Read(func(t *workload.Tables) {
 				if job := t.Jobs[r.Task.Job]; job.Spec.Steps != nil {
 					used = used.Plus(job.Spec.Steps[r.Task.Step].Charge())
 				}
 			})
 		}
-		if !w.roomChanges && !used.Fits(f.worker.Capacity) {
-			w.breaks("%s holds %+v", f.worker.ID, used)
+		if !sim.capacityChanges && !used.Fits(f.worker.Capacity) {
+			sim.reportViolation("%s holds %+v", f.worker.ID, used)
 		}
 	}
 	for task, n := range count {
-		w.machine.Read(func(t *workload.Tables) {
+		sim.machine.Read(func(t *workload.Tables) {
 			job := t.Jobs[task.Job]
 			copies := job.Spec.Steps != nil && job.Spec.Steps[task.Step].Speculative
 			if n > 1 && !copies {
-				w.breaks("%s runs %d times", task, n)
+				sim.reportViolation("%s runs %d times", task, n)
 			}
 		})
 	}
 }
 
-func (w *world) breaks(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (sim *simulation) reportViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -10,14 +10,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Fleet are the calls to the platform.
+// Fleet makes the calls to the platform.
 type Fleet interface {
 	List(ctx context.Context) ([]capacity.VM, error)
 	Move(ctx context.Context, vm workload.MachineID, pool, holder string, fence uint64) (FleetAnswer, error)
 	Maintain(ctx context.Context, vm workload.MachineID, wave int64, holder string, fence uint64) (FleetAnswer, error)
 }
 
-// FleetAnswer is what the platform says to an order.
+// FleetAnswer is the platform's answer to an order.
 type FleetAnswer uint8
 
 // The answers of the platform.
@@ -27,9 +27,9 @@
 	FleetFenced
 	// FleetBusy: the VM is not up, or is leaving.
 	FleetBusy
-	// FleetWave: the VM is not of that wave.
+	// FleetWave: the VM is not part of that wave.
 	FleetWave
-	// FleetUnknown: there is no such VM, or the pool is not for it.
+	// FleetUnknown: there is no such VM, or it can't go to that pool.
 	FleetUnknown
 	// FleetLimited: too many calls at the moment; nothing was done.
 	FleetLimited
@@ -40,7 +40,8 @@
 	return [...]string{"done", "fence", "busy", "wave", "unknown", "limited"}[a]
 }
 
-// flight is an order on its way, or carried out while its VM is not back.
+// flight is an order that is in flight, or that was carried out while its VM is
+// not back yet.
 type flight struct {
 	capacity.InFlightOrder
 	calling, done bool
@@ -48,8 +49,8 @@
 	retryAt time.Duration
 }
 
-// settleFlights ends the flights whose VM is back.
-func (f *fleetState) settleFlights(now time.Duration) {
+// completeFlights removes the flights whose VM is back.
+func (f *fleetState) completeFlights(now time.Duration) {
 	for i := range f.vms {
 		vm := &f.vms[i]
 		fl := f.flights[vm.Machine]
@@ -63,17 +64,17 @@
 		}
 	}
 	for machine, fl := range f.flights {
-		if fl.done && now-fl.Sent > flightLost {
+		if fl.done && now-fl.Sent > flightTimeout {
 			delete(f.flights, machine)
 		}
 	}
 }
 
-// fly begins an order. The worker stays closed until the VM is back.
-func (d *Dispatcher) fly(ctx context.Context, term uint64, o capacity.Order) {
+// beginFlight begins an order. The worker stays closed until the VM is back.
+func (d *Dispatcher) beginFlight(ctx context.Context, term uint64, o capacity.Order) {
 	f := d.fleet
 	if f.flights[o.Machine] != nil || !f.takeToken(d.now(), d.config.FleetRate) {
-		return // it is decided anew in the next round
+		return // the next round decides again
 	}
 	fl := &flight{InFlightOrder: capacity.InFlightOrder{Order: o, Sent: d.now()}}
 	for i := range f.vms {
@@ -82,13 +83,13 @@
 		}
 	}
 	f.flights[o.Machine] = fl
-	d.callFleet(ctx, term, fl)
+	d.sendFlight(ctx, term, fl)
 }
 
-// takeToken says whether one more order keeps within the platform's rate, in
-// orders a second for the whole site.
+// takeToken reports whether one more order keeps within the platform's rate, in
+// orders per second for the whole site, and counts it if so.
 func (f *fleetState) takeToken(now time.Duration, rate float64) bool {
-	rate *= fleetShare
+	rate *= orderRateShare
 	f.tokens = min(f.tokens+rate*(now-f.tokensAt).Seconds(), rate/2)
 	f.tokensAt = now
 	if f.tokens < 1 {
@@ -98,35 +99,35 @@
 	return true
 }
 
-// callFleet sends an order in the background. Nothing may run on the worker:
-// it was closed under the lock before, so no start is decided any more, and
-// one that was decided is committed and seen.
-func (d *Dispatcher) callFleet(ctx context.Context, term uint64, fl *flight) {
+// sendFlight sends an order in the background. Nothing may run on the worker:
+// it was marked as closing under the lock before, so no new start is decided,
+// and a start that was decided earlier is committed and seen.
+func (d *Dispatcher) sendFlight(ctx context.Context, term uint64, fl *flight) {
 	fl.calling = true
 	d.group.Go(func() {
 		limited, cancel := context.WithTimeout(ctx, fleetTimeout)
 		defer cancel()
-		answer, err := d.orderFleet(limited, term, fl)
+		answer, err := d.carryOutOrder(limited, term, fl)
 		d.mu.Lock()
 		fl.calling = false
-		d.takeFleetAnswer(fl, answer, err)
+		d.handleFleetAnswer(fl, answer, err)
 		d.mu.Unlock()
 		if err == nil {
-			d.noteFleet(ctx, term, fl, answer)
+			d.commitFleetAnswer(ctx, term, fl, answer)
 		}
 	})
 }
 
-// orderFleet closes the worker by a commit, looks once more whether it is empty
-// and calls the platform. A start that was decided on earlier is committed
-// before, and then seen, or refused.
-func (d *Dispatcher) orderFleet(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
+// carryOutOrder closes the worker by a commit, checks again that it is empty
+// and calls the platform. A start that was decided earlier is either committed
+// before that, and then seen, or refused.
+func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
 	o := fl.Order
 	intent := &workload.Command{Term: term, Ordered: []workload.MachineID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
 	if err := d.propose(ctx, intent); err != nil {
-		return FleetLimited, nil // nothing was ordered; it is decided anew
+		return FleetLimited, nil // nothing was ordered; the next round decides again
 	}
-	if !d.emptyWorker(fl.Worker) {
+	if !d.hasNoRuns(fl.Worker) {
 		return FleetBusy, nil
 	}
 	if o.Kind == capacity.Move {
@@ -135,19 +136,20 @@
 	return d.config.Fleet.Maintain(ctx, o.Machine, o.Wave, d.config.Self, term)
 }
 
-// emptyWorker looks once more whether nothing is committed on a worker.
-func (d *Dispatcher) emptyWorker(id workload.WorkerID) bool {
+// hasNoRuns reports whether nothing is committed on a worker.
+func (d *Dispatcher) hasNoRuns(id workload.WorkerID) bool {
 	empty := true
 	d.config.Machine.Read(func(t *workload.Tables) { empty = len(t.Runs[id]) == 0 })
 	return empty
 }
 
-// takeFleetAnswer decides what becomes of a flight.
-func (d *Dispatcher) takeFleetAnswer(fl *flight, answer FleetAnswer, err error) {
+// handleFleetAnswer updates a flight after its call.
+func (d *Dispatcher) handleFleetAnswer(fl *flight, answer FleetAnswer, err error) {
 	f, now := d.fleet, d.now()
 	if err != nil {
-		// It may have been carried out, or will be: only an answer tells.
-		fl.retryAt = now + fleetPause
+		// The order may have been carried out, or may still be. Only an answer to a
+		// retry shows which.
+		fl.retryAt = now + fleetRetryPause
 		d.logFleetError("an order to the platform was not answered", err)
 		return
 	}
@@ -157,11 +159,11 @@
 		return
 	}
 	delete(f.flights, fl.Order.Machine)
-	f.refused[fl.Order.Machine] = now + fleetPause
+	f.blockedUntil[fl.Order.Machine] = now + fleetRetryPause
 }
 
-// noteFleet commits what an order that was carried out means.
-func (d *Dispatcher) noteFleet(ctx context.Context, term uint64, fl *flight, answer FleetAnswer) {
+// commitFleetAnswer commits the consequences of an answered order.
+func (d *Dispatcher) commitFleetAnswer(ctx context.Context, term uint64, fl *flight, answer FleetAnswer) {
 	c := &workload.Command{Term: term}
 	if fl.Order.Kind == capacity.Maintain && (answer == FleetDone || answer == FleetUnknown || answer == FleetWave) {
 		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, Machine: fl.Order.Machine})
@@ -181,24 +183,24 @@
 		return
 	}
 	for _, id := range c.Gone {
-		d.logGone(term, id, goneReason{why: goneOrdered})
+		d.logRemoved(term, id, removalReason{why: removedOrdered})
 	}
 }
 
-// openForgotten opens the workers that are closed though no order for their VM
-// is on its way: the commit that should have opened them failed. The commit that
-// does so now may come after a new order for the same VM; the leader's own mark
-// on the worker then still keeps starts away.
-func (d *Dispatcher) openForgotten(ctx context.Context, term uint64) {
-	if d.fleet.opening || len(d.forgotten()) == 0 {
+// reopenWorkers opens the workers that are closed without an order for their VM
+// in flight, because the commit that should have opened them failed. This
+// commit may arrive after a new order for the same VM. The link's closing mark
+// then still prevents starts.
+func (d *Dispatcher) reopenWorkers(ctx context.Context, term uint64) {
+	if d.fleet.reopening || len(d.closedWithoutOrder()) == 0 {
 		return
 	}
-	d.fleet.opening = true
+	d.fleet.reopening = true
 	d.group.Go(func() {
-		steady.Pause(ctx, fleetPause) // the commit that opens them may be on its way
+		steady.Pause(ctx, fleetRetryPause) // the commit that opens them may be in flight
 		d.mu.Lock()
-		c := &workload.Command{Term: term, Open: d.forgotten()}
-		d.fleet.opening = false
+		c := &workload.Command{Term: term, Open: d.closedWithoutOrder()}
+		d.fleet.reopening = false
 		d.mu.Unlock()
 		if len(c.Open) == 0 {
 			return
@@ -209,8 +211,9 @@
 	})
 }
 
-// forgotten lists the workers that are closed for no order.
-func (d *Dispatcher) forgotten() []workload.WorkerID {
+// closedWithoutOrder lists the workers that are closed without an order in
+// flight.
+func (d *Dispatcher) closedWithoutOrder() []workload.WorkerID {
 	expected := map[workload.WorkerID]bool{}
 	for _, fl := range d.fleet.flights {
 		expected[fl.Worker] = true
--- a/internal/dispatch/freed.go
+++ b/internal/dispatch/freed_capacity.go
@@ -2,12 +2,12 @@
 
 import "github.com/comfreyloom/comfreyloom/internal/workload"
 
-// freed is the room that the ends and releases of a command free on each
-// worker. They take effect before the starts of the same command, so that room
-// is given on with the commit that takes note of the end: a task that follows
-// would else wait for a second commit, in a peak on every core in use.
-func freed(t *workload.Tables, c *workload.Command) map[workload.WorkerID]workload.Resources {
-	room := map[workload.WorkerID]workload.Resources{}
+// freedCapacity is what the ends and releases of a command free on each
+// worker. They take effect before the starts of the same command, so that the
+// capacity is reused in the commit that records the end. Otherwise the next task
+// would wait for a second commit, at peak load on every core in use.
+func freedCapacity(t *workload.Tables, c *workload.Command) map[workload.WorkerID]workload.Resources {
+	freed := map[workload.WorkerID]workload.Resources{}
 	counted := map[workload.RunRef]bool{}
 	add := func(worker workload.WorkerID, run workload.RunRef) {
 		if counted[run] || !t.Runs[worker][run] {
@@ -15,7 +15,7 @@
 		}
 		counted[run] = true
 		if job := t.Jobs[run.Task.Job]; job != nil {
-			room[worker] = room[worker].Plus(job.Spec.Steps[run.Task.Step].Charge())
+			freed[worker] = freed[worker].Plus(job.Spec.Steps[run.Task.Step].Charge())
 		}
 	}
 	for i := range c.Ends {
@@ -24,5 +24,5 @@
 	for i := range c.Releases {
 		add(c.Releases[i].Worker, c.Releases[i].Run)
 	}
-	return room
+	return freed
 }
--- a/internal/dispatch/freed_test.go
+++ b/internal/dispatch/freed_test.go
@@ -10,21 +10,22 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// fillOne makes one worker run a task that takes all of it, with another that waits.
-func fillOne(w *world) (*fakeWorker, *link) {
-	w.trouble = 0
-	f := w.workers[0]
-	w.report(f)
-	l := w.leader.links[f.worker.ID]
+// fillWorker makes one worker run a task that takes all its capacity while
+// another task waits.
+func fillWorker(sim *simulation) (*fakeWorker, *link) {
+	sim.faultPercent = 0
+	f := sim.workers[0]
+	sim.report(f)
+	l := sim.leader.links[f.worker.ID]
 	for _, id := range []workload.JobID{"first", "next"} {
-		w.apply(&workload.Command{Submit: []workload.Submit{{ID: id, Queue: workload.QueueID{Host: "h", Prefix: "/q/"},
+		sim.apply(&workload.Command{Submit: []workload.Submit{{ID: id, Queue: workload.QueueID{Host: "h", Prefix: "/q/"},
 			Spec: workload.JobSpec{Steps: []workload.StepSpec{{Count: 1, Need: f.worker.Capacity}}}}}})
 	}
 	ctx := context.Background()
 	for range 5 {
-		w.now += 10 * time.Millisecond
+		sim.now += 10 * time.Millisecond
 		l.hold(ctx)
-		w.leader.round(ctx, w.term)
+		sim.leader.round(ctx, sim.term)
 		for c, ok := l.nextCall(); ok; c, ok = l.nextCall() {
 			l.perform(ctx, c)
 		}
@@ -32,34 +33,35 @@
 	return f, l
 }
 
-// Symptom: in a peak each core stands idle for the time of a commit between two
-// tasks. Sequence: a task ends on a full worker, another waits. Cause: the room
-// was given on only after the commit that took note of the end.
-func TestRoomIsGivenOnWithTheEnd(t *testing.T) {
+// A core must not stay idle for the time of a commit between two tasks at peak
+// load. This happened when a task ended on a full worker while another waited,
+// and the capacity was reused only after the commit that recorded the end.
+func TestCapacityIsReusedInTheCommitOfTheEnd(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
-	f, l := fillOne(w)
+	sim := newSimulation(3)
+	f, l := fillWorker(sim)
 	is.Equal(len(f.worker.Running()), 1)
 	first := f.worker.Running()[0]
 	f.worker.End(first, workload.EndDone)
 	l.hold(context.Background())
-	before := w.index
-	w.leader.round(context.Background(), w.term)
-	is.Equal(w.index, before+1)
-	w.machine.Read(func(t *workload.Tables) {
+	before := sim.index
+	sim.leader.round(context.Background(), sim.term)
+	is.Equal(sim.index, before+1)
+	sim.machine.Read(func(t *workload.Tables) {
 		is.Equal(len(t.Runs[f.worker.ID]), 1)
 		is.True(!t.Runs[f.worker.ID][first])
 		is.Equal(t.Used[f.worker.ID], f.worker.Capacity)
 	})
 }
 
-// Symptom: a worker gets more than it has room for. Sequence: an end and a
-// release of one run, or the end of a run that is not committed there. Cause:
-// its room counted twice, or though it was never taken.
-func TestFreedRoomIsCountedOnce(t *testing.T) {
+// A worker must not get more runs than fit its capacity. This can happen when a
+// run both ends and is released, or when an end is listed for a run that is not
+// committed there: its capacity would be counted twice, or without ever having
+// been taken.
+func TestFreedCapacityIsCountedOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
-	f, _ := fillOne(w)
+	sim := newSimulation(3)
+	f, _ := fillWorker(sim)
 	run := f.worker.Running()[0]
 	other := run
 	other.Attempt++
@@ -67,7 +69,7 @@
 		Ends:     []workload.End{{Worker: f.worker.ID, Number: 1, Run: run}, {Worker: f.worker.ID, Number: 2, Run: other}},
 		Releases: []workload.Release{{Worker: f.worker.ID, Run: run}},
 	}
-	w.machine.Read(func(t *workload.Tables) {
-		is.Equal(freed(t, command)[f.worker.ID], f.worker.Capacity)
+	sim.machine.Read(func(t *workload.Tables) {
+		is.Equal(freedCapacity(t, command)[f.worker.ID], f.worker.Capacity)
 	})
 }
--- a/internal/dispatch/giveup_test.go
+++ b/internal/dispatch/giveup_test.go
@@ -10,51 +10,52 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// turn takes one round of the leader with a look at the worker.
-func (w *world) turn(l *link, after time.Duration) {
+// stepLink advances the clock, requests the worker's list if due, and runs one
+// round of the leader with its calls.
+func (sim *simulation) stepLink(l *link, after time.Duration) {
 	ctx := context.Background()
-	w.pass(after)
+	sim.advance(after)
 	if l.mustHold() {
 		l.hold(ctx)
 	}
-	w.leader.round(ctx, w.term)
+	sim.leader.round(ctx, sim.term)
 	for c, ok := l.nextCall(); ok; c, ok = l.nextCall() {
 		l.perform(ctx, c)
 	}
 }
 
-// Symptom: a job stays running for ever though its worker is well and idle.
-// Sequence: a start goes to a worker that is cut off; its leases pass and the
-// run is given up, but the log takes no command; the worker comes back, then
-// the log. Cause: the run is not sent again, as it is given up, and its end is not
-// certain any more, as the worker's lease is renewed.
-func TestARunThatWasGivenUpIsReleasedLater(t *testing.T) {
+// A job must not stay running forever on a healthy, idle worker. A start goes
+// to a worker that is cut off. Its leases expire and the run is abandoned, but
+// the log accepts no command. Then the worker is reachable again, and later the
+// log. The run was not sent again, as it was abandoned, and its end was not
+// certain any more, as the worker's lease was renewed.
+func TestAbandonedRunIsReleasedLater(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
-	w.trouble = 0
-	f := w.workers[0]
-	w.report(f)
-	l := w.leader.links[f.worker.ID]
-	w.turn(l, 10*time.Millisecond)
-	w.turn(l, 10*time.Millisecond)
-	w.apply(&workload.Command{Submit: []workload.Submit{{ID: "j", Queue: workload.QueueID{Host: "h", Prefix: "/q/"},
+	sim := newSimulation(3)
+	sim.faultPercent = 0
+	f := sim.workers[0]
+	sim.report(f)
+	l := sim.leader.links[f.worker.ID]
+	sim.stepLink(l, 10*time.Millisecond)
+	sim.stepLink(l, 10*time.Millisecond)
+	sim.apply(&workload.Command{Submit: []workload.Submit{{ID: "j", Queue: workload.QueueID{Host: "h", Prefix: "/q/"},
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{{Count: 1, Need: workload.Resources{CPU: 100}}}}}}})
-	f.cut = true
+	f.partitioned = true
 	for range 40 {
-		w.turn(l, 100*time.Millisecond) // the start gets no answer
+		sim.stepLink(l, 100*time.Millisecond) // the start gets no answer
 	}
-	w.refuse = true
+	sim.refuseProposals = true
 	for range 60 {
-		w.turn(l, 100*time.Millisecond)
+		sim.stepLink(l, 100*time.Millisecond)
 	}
-	f.cut = false
+	f.partitioned = false
 	for range 10 {
-		w.turn(l, 100*time.Millisecond)
+		sim.stepLink(l, 100*time.Millisecond)
 	}
 	is.Equal(len(f.worker.Running()), 0) // it must not start under the old attempt
-	w.refuse = false
+	sim.refuseProposals = false
 	for range 40 {
-		w.turn(l, 100*time.Millisecond)
+		sim.stepLink(l, 100*time.Millisecond)
 	}
 	is.Equal(len(f.worker.Running()), 1)
 	is.True(f.worker.Running()[0].Attempt > 1)
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -3,47 +3,50 @@
 import "time"
 
 const (
-	// slowClock is the slowest that a worker's clock may run against ours.
-	slowClock = 0.98
-	// lapseMargin is added to the end of a lease before it counts as passed:
-	// the worker kills what lapsed by a timer of its own.
-	lapseMargin = 300 * time.Millisecond
+	// slowestClockRate is the slowest rate at which a worker's clock may run
+	// relative to this VM's clock.
+	slowestClockRate = 0.98
+	// expiryMargin is added to the end of a lease before it counts as expired, as
+	// the worker kills expired runs by a timer of its own.
+	expiryMargin = 300 * time.Millisecond
 )
 
 // lease is what the leader knows of a worker's clock and leases. The worker
-// measures leases on its own steady clock, which ours only estimates: the
-// worker read it at some instant between sending the call and the answer.
+// measures leases on its own steady clock, which the leader can only estimate:
+// the worker read it at some instant between the sending of the call and the
+// answer.
 type lease struct {
-	known bool
-	// clockMS is the worker's clock as read between sentAt and heardAt.
-	clockMS         int64
-	sentAt, heardAt time.Duration
+	clockKnown bool
+	// clockMS is the worker's clock as read between sentAt and receivedAt.
+	clockMS            int64
+	sentAt, receivedAt time.Duration
 	// grantedMS is the end of the longest lease granted, on the worker's clock.
 	grantedMS int64
-	// lapsedAt is when every lease that the worker can have has surely passed.
-	lapsedAt time.Duration
+	// expiresAt is when every lease that the worker can hold has certainly
+	// expired.
+	expiresAt time.Duration
 }
 
-// hear takes in a reading of the worker's clock.
-func (l *lease) hear(clockMS int64, sentAt, heardAt time.Duration) {
+// recordClock records a reading of the worker's clock.
+func (l *lease) recordClock(clockMS int64, sentAt, receivedAt time.Duration) {
 	if clockMS <= 0 || clockMS < l.clockMS {
 		return
 	}
-	l.known, l.clockMS, l.sentAt, l.heardAt = true, clockMS, sentAt, heardAt
+	l.clockKnown, l.clockMS, l.sentAt, l.receivedAt = true, clockMS, sentAt, receivedAt
 }
 
-// until returns the end of a lease of the given length from now on, on the
-// worker's clock, and notes it as granted. It is counted from the latest
-// instant at which the worker can have read its clock, so it is never longer
-// than asked for by more than the drift since.
-func (l *lease) until(now, length time.Duration) int64 {
-	until := l.clockMS + (now - l.heardAt + length).Milliseconds()
+// extend returns the end of a lease of the given length from now on, on the
+// worker's clock, and records it as granted. It counts from the latest instant
+// at which the worker can have read its clock, so the lease exceeds the
+// requested length at most by the drift since.
+func (l *lease) extend(now, length time.Duration) int64 {
+	until := l.clockMS + (now - l.receivedAt + length).Milliseconds()
 	left := time.Duration(until-l.clockMS) * time.Millisecond
-	lapsed := l.heardAt + time.Duration(float64(left)/slowClock) + lapseMargin
-	l.lapsedAt = max(l.lapsedAt, lapsed)
+	expires := l.receivedAt + time.Duration(float64(left)/slowestClockRate) + expiryMargin
+	l.expiresAt = max(l.expiresAt, expires)
 	l.grantedMS = max(l.grantedMS, until)
 	return until
 }
 
-// passed says whether every lease has surely passed.
-func (l *lease) passed(now time.Duration) bool { return now >= l.lapsedAt }
+// expired reports whether every lease has certainly expired.
+func (l *lease) expired(now time.Duration) bool { return now >= l.expiresAt }
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -10,117 +10,123 @@
 )
 
 // link is the leader's side of one worker. Its goroutines make the calls: some
-// send orders, one holds leases and asks for lists. The round reads and fills it
-// under its lock.
+// send orders, one renews leases and requests lists. The round reads and
+// updates it under its lock.
 type link struct {
 	d      *Dispatcher
 	target workers.Target
 	fence  uint64
 	cancel context.CancelFunc
-	// woken holds one token when there may be an order to send, listen one
+	// orderReady holds one token when there may be an order to send, listDue one
 	// when the worker should be asked for its list.
-	woken, listen chan struct{}
+	orderReady, listDue chan struct{}
 
 	mu     sync.Mutex
 	lease  lease
 	orders map[workload.RunRef]*order
 	queue  []call
-	// inherited holds runs that an earlier leader committed; they are ordered
-	// again only if the first list does not hold them.
+	// inherited holds runs that an earlier leader committed. They are ordered
+	// again only if the first list lacks them.
 	inherited map[workload.RunRef]bool
-	// contact is when the worker last answered or reported, listedAt when the
-	// call was sent that the lists come from; 0 before the first.
-	contact, listedAt time.Duration
-	// answered is when it last answered a call, failures the calls since that
-	// got no answer.
-	answered time.Duration
-	failures int
-	// brokeAt is when the first of them failed, 0 while none has.
-	brokeAt time.Duration
-	// lostHoldAt is when a call for the lists last got no answer; 0 for never.
-	lostHoldAt time.Duration
-	running    map[workload.RunRef]*observed
-	ends       []workload.End
-	// unread counts the rows of the last list that could not be read.
-	unread int
-	// wanted says that runs are committed on the worker, so that it is held.
+	// lastContact is when the worker last answered or reported, listedAt when the
+	// call that returned the lists was sent; 0 before the first.
+	lastContact, listedAt time.Duration
+	// lastAnswer is when it last answered a call, failures the number of calls
+	// since then that got no answer.
+	lastAnswer time.Duration
+	failures   int
+	// firstFailure is when the first of them failed, 0 while none has.
+	firstFailure time.Duration
+	// lastHoldFailure is when a call for the lists last got no answer, 0 for
+	// never.
+	lastHoldFailure time.Duration
+	running         map[workload.RunRef]*observedRun
+	ends            []workload.End
+	// unreadableRows counts the rows of the last list that could not be read.
+	unreadableRows int
+	// wanted is true while runs are committed on the worker, or it has recorded
+	// losses and reported recently, so that it must be called.
 	wanted        bool
-	acked, judged uint64
-	// asked: another incarnation reports at the address, and the worker must say
-	// whether it is still there.
-	asked bool
-	// outranked: the worker follows a later leader. gone: the incarnation is over.
-	outranked, gone bool
-	closing         bool
-	// sequence is that of the worker's last report, reported when it came.
-	sequence  uint64
-	reported  time.Duration
-	suspicion suspicion
-	// refusedUntil is when a worker that refused for want of room or health is
+	acked, scored uint64
+	// checkIncarnation is set when another incarnation reports from the address
+	// and the worker must confirm that it still runs.
+	checkIncarnation bool
+	// fenced: the worker follows a later leader. replaced: another incarnation
+	// answered, so this one has ended.
+	fenced, replaced bool
+	closing          bool
+	// sequence is that of the worker's last report, lastReport when it arrived.
+	sequence   uint64
+	lastReport time.Duration
+	suspicion  suspicion
+	// refusedUntil is when a worker that refused for lack of capacity or health is
 	// tried again.
 	refusedUntil time.Duration
-	// paced holds the pace of tasks that fill where it was changed, in percent.
-	paced   map[workload.RunRef]int
-	pacedAt time.Duration
-	// evicted holds runs that are stopped though their job goes on.
+	// pacePercent holds the pace of best-effort tasks whose pace was changed.
+	pacePercent   map[workload.RunRef]int
+	paceChangedAt time.Duration
+	// evicted holds runs that are stopped although their job continues.
 	evicted map[workload.RunRef]bool
-	// dirty: something was heard or noted since the last look. changes is the
-	// count of changes of its runs at that look.
-	dirty        bool
-	changes      uint64
-	reconciledAt time.Duration
-	// foreign: at that look the worker listed a run that is not committed there.
-	foreign bool
-	// idleSince is since when nothing is committed or listed here; 0 while
+	// dirty is set when anything about the worker changed since the last
+	// reconciliation. reconciledChanges is the change count of its runs as of
+	// then.
+	dirty             bool
+	reconciledChanges uint64
+	reconciledAt      time.Duration
+	// listsUnplanned: at that reconciliation the worker listed a run that is not
+	// committed there.
+	listsUnplanned bool
+	// idleSince is since when nothing is committed or listed here, 0 while
 	// something is.
 	idleSince time.Duration
-	// doomed: the VM has a maintenance before it.
-	doomed bool
+	// maintenanceAhead: the VM is in a wave and its maintenance has not begun.
+	maintenanceAhead bool
 }
 
-// observed is a run that the worker listed.
-type observed struct {
+// observedRun is a run that the worker listed.
+type observedRun struct {
 	workers.Running
-	// first is when it was first listed.
-	first time.Duration
-	// sinceMS and listedMS are the worker's clock when its progress was first
-	// listed as it is, and in the last list.
-	sinceMS, listedMS int64
+	// firstListed is when it was first listed.
+	firstListed time.Duration
+	// progressSinceMS and listedMS are readings of the worker's clock: when the
+	// current progress was first listed, and in the last list.
+	progressSinceMS, listedMS int64
 }
 
-// still returns for how long the worker has listed the same progress. It counts
-// from list to list: while none arrives nothing is known.
-func (o *observed) still() time.Duration {
-	return time.Duration(o.listedMS-o.sinceMS) * time.Millisecond
+// stalledFor returns for how long the worker has listed the same progress. It
+// counts from list to list, as nothing is known between lists.
+func (o *observedRun) stalledFor() time.Duration {
+	return time.Duration(o.listedMS-o.progressSinceMS) * time.Millisecond
 }
 
-// order is what was asked of a worker about a run.
+// order records what was requested from a worker for a run.
 type order struct {
-	start, stop progress
+	start, stop callState
 	// refusal is the answer to the start.
 	refusal workers.Refusal
-	// uncertain says that a start was sent that nobody answered: the worker
-	// may carry it out seconds later, whatever it answered to the next one.
+	// uncertain is set when a start was sent and not answered. The worker may
+	// carry it out seconds later, whatever it answers to the next one.
 	uncertain bool
 	// tries counts the calls about the run.
 	tries int
-	// dropped: the run is given up; it must not be sent any more.
-	dropped bool
-	// standing: the run was judged to stand still.
-	standing bool
+	// abandoned: the run must not be sent any more.
+	abandoned bool
+	// stallRecorded: the run was found stalled.
+	stallRecorded bool
 }
 
-// surelyNot says that the start was refused and can't be carried out later.
-func (o *order) surelyNot() bool {
+// certainlyRefused reports whether the start was refused and can't be carried
+// out later.
+func (o *order) certainlyRefused() bool {
 	return o.start.answered && !o.uncertain && o.refusal != workers.Accepted && o.refusal != workers.RefusedOld
 }
 
-// progress is how far one call has come.
-type progress struct {
+// callState is the state of one call.
+type callState struct {
 	queued, calling, sent, answered bool
-	// answeredAt is when the answer came.
+	// answeredAt is when the answer arrived.
 	answeredAt time.Duration
-	// sentAt is when it was first sent.
+	// sentAt is when the call was first sent.
 	sentAt   time.Duration
 	queuedAt time.Duration
 }
@@ -144,18 +150,18 @@
 func newLink(d *Dispatcher, w *workload.Worker, fence uint64) *link {
 	return &link{
 		d: d, target: workers.Target{ID: w.ID, Address: w.Address}, fence: fence, acked: w.Acked,
-		woken: make(chan struct{}, 1), listen: make(chan struct{}, 1),
+		orderReady: make(chan struct{}, 1), listDue: make(chan struct{}, 1),
 		orders: map[workload.RunRef]*order{}, inherited: map[workload.RunRef]bool{},
-		running: map[workload.RunRef]*observed{}, paced: map[workload.RunRef]int{},
+		running: map[workload.RunRef]*observedRun{}, pacePercent: map[workload.RunRef]int{},
 		evicted: map[workload.RunRef]bool{},
 		cancel:  func() {},
 	}
 }
 
-// orderSenders is how many orders to one worker are on their way at once. A
-// step of many tasks that is packed on one worker would otherwise start over
-// many round trips. Orders may overtake each other: a stop that comes first
-// makes the worker refuse the start.
+// orderSenders is how many orders to one worker may be in flight at once. With
+// a single one, a step of many tasks packed on one worker would start over many
+// round trips. Orders may overtake each other: a stop that arrives first makes
+// the worker refuse the start.
 const orderSenders = 3
 
 // run makes the calls until ctx ends.
@@ -168,50 +174,51 @@
 }
 
 const (
-	// silentCalls without an answer make a worker count as silent if it has not
-	// answered any for silentSoon, a single one if it has not for silentAfter.
-	// One lost answer says little: others come over the next connection.
-	silentCalls = 3
-	silentSoon  = 400 * time.Millisecond
-	silentAfter = holdWait + 300*time.Millisecond
+	// After unresponsiveFailures calls without an answer a worker counts as
+	// unresponsive if it has answered none for unresponsiveAfterFailures. After a
+	// single such call it does if it has answered none for unresponsiveAfter. A
+	// single lost answer proves little, as others arrive over the next connection.
+	unresponsiveFailures      = 3
+	unresponsiveAfterFailures = 400 * time.Millisecond
+	unresponsiveAfter         = holdWait + 300*time.Millisecond
 )
 
-// silent says whether the worker does not answer.
-func (l *link) silent(now time.Duration) bool {
-	since := now - l.answered
-	return l.failures >= silentCalls && since > silentSoon || l.failures > 0 && since > silentAfter
+// unresponsive reports whether the worker does not answer.
+func (l *link) unresponsive(now time.Duration) bool {
+	since := now - l.lastAnswer
+	return l.failures >= unresponsiveFailures && since > unresponsiveAfterFailures || l.failures > 0 && since > unresponsiveAfter
 }
 
-// usable says whether new work may go to the worker.
+// usable reports whether new work may go to the worker.
 func (l *link) usable(now time.Duration) bool {
-	return !l.gone && !l.outranked && l.lease.known && !l.silent(now) && l.unread == 0 &&
-		now >= l.refusedUntil && now-l.contact < freshContact &&
+	return !l.replaced && !l.fenced && l.lease.clockKnown && !l.unresponsive(now) && l.unreadableRows == 0 &&
+		now >= l.refusedUntil && now-l.lastContact < maxContactAge &&
 		(len(l.inherited) == 0 || l.listedAt > 0)
 }
 
-// heard notes an answer of the worker.
-func (l *link) heard(a workers.Answer, sentAt time.Duration) {
+// recordAnswer records an answer of the worker.
+func (l *link) recordAnswer(a workers.Answer, sentAt time.Duration) {
 	now := l.d.now()
 	l.dirty = true
 	if a.Refusal == workers.RefusedIncarnation {
-		l.gone = true
+		l.replaced = true
 		return // another incarnation answered
 	}
-	l.lease.hear(a.ClockMS, sentAt, now)
-	l.contact, l.answered, l.failures, l.brokeAt = now, now, 0, 0
-	l.asked = false
+	l.lease.recordClock(a.ClockMS, sentAt, now)
+	l.lastContact, l.lastAnswer, l.failures, l.firstFailure = now, now, 0, 0
+	l.checkIncarnation = false
 	switch a.Refusal {
 	case workers.RefusedFence:
-		l.outranked = true
+		l.fenced = true
 	case workers.RefusedBusy, workers.RefusedRoom:
-		l.refusedUntil = now + refusedPause
+		l.refusedUntil = now + refusalBackoff
 	}
 }
 
 // enqueue queues a call.
 func (l *link) enqueue(c call) {
 	l.queue = append(l.queue, c)
-	poke(l.woken)
+	notify(l.orderReady)
 }
 
 func (l *link) orderOf(run workload.RunRef) *order {
@@ -223,19 +230,19 @@
 	return o
 }
 
-func (l *link) isGone() bool {
+func (l *link) isReplaced() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.gone
+	return l.replaced
 }
 
 func (l *link) reportedAt() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reported
+	return l.lastReport
 }
 
-func (l *link) evicts(run workload.RunRef) bool {
+func (l *link) isEvicted(run workload.RunRef) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.evicted[run]
@@ -250,26 +257,26 @@
 	l.d.wakeUp()
 }
 
-// isAtWork says whether a lasting run was at work in the last list, while the
-// worker answers and the run is not being stopped.
-func (l *link) isAtWork(run workload.RunRef) bool {
+// isAvailable reports whether a long-running run was available in the last
+// list, while the worker answers and the run is not being stopped.
+func (l *link) isAvailable(run workload.RunRef) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := l.running[run]
-	return seen != nil && seen.Percent >= atWork && !l.silent(l.d.now()) && !l.gone && !l.evicted[run]
+	return seen != nil && seen.Percent >= availablePercent && !l.unresponsive(l.d.now()) && !l.replaced && !l.evicted[run]
 }
 
-// standsStill says whether a run showed no progress for too long in the lists of a
-// worker that answers, and is not being stopped.
-func (l *link) standsStill(run workload.RunRef) bool {
+// isStalled reports whether a run showed no progress for too long in the lists
+// of a worker that answers, and is not being stopped.
+func (l *link) isStalled(run workload.RunRef) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := l.running[run]
-	return seen != nil && seen.still() >= standstill && !l.silent(l.d.now()) && !l.gone && !l.evicted[run]
+	return seen != nil && seen.stalledFor() >= stallTimeout && !l.unresponsive(l.d.now()) && !l.replaced && !l.evicted[run]
 }
 
-// poke puts a token in a channel that holds one.
-func poke(c chan struct{}) {
+// notify puts a token into a channel that holds one.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -15,7 +15,7 @@
 
 // logDecisions writes a line for each decision of a committed round.
 func (d *Dispatcher) logDecisions(c *workload.Command, why *reasons) {
-	d.counters.committed(c)
+	d.counters.countCommitted(c)
 	for first := 0; first < len(c.Starts); {
 		next := first + 1
 		for next < len(c.Starts) && sameStep(c.Starts[first].Run.Task, c.Starts[next].Run.Task) {
@@ -33,16 +33,16 @@
 		d.runLine(c.Term, r.Run, r.Worker, "").WithField("why", why.released[r.Run]).Info("run released")
 	}
 	for _, id := range c.Gone {
-		d.logGone(c.Term, id, why.gone[id])
+		d.logRemoved(c.Term, id, why.removed[id])
 	}
 	for _, id := range c.Crashed {
-		d.logSuspects(id, why.gone[id])
+		d.logSuspects(id, why.removed[id])
 	}
 }
 
-// logSuspects writes what the crash of a worker says of the tasks that were lost
-// with it, for those that lost others before.
-func (d *Dispatcher) logSuspects(id workload.WorkerID, reason goneReason) {
+// logSuspects logs the tasks that were lost with a crashed worker and that lost
+// other workers before.
+func (d *Dispatcher) logSuspects(id workload.WorkerID, reason removalReason) {
 	d.counters.crashes.Inc(1)
 	d.config.Machine.Read(func(t *workload.Tables) {
 		for _, task := range reason.tasks {
@@ -63,10 +63,11 @@
 	}
 }
 
-// logGone writes why a worker is over and what may have been running there.
-func (d *Dispatcher) logGone(term uint64, id workload.WorkerID, reason goneReason) {
+// logRemoved logs why a worker was removed and what may have been running
+// there.
+func (d *Dispatcher) logRemoved(term uint64, id workload.WorkerID, reason removalReason) {
 	d.config.Logger.WithFields(log.Fields{
-		"term": term, "worker": string(id), "why": reason.why, "runs": len(reason.lost), "lost": tellLost(reason.lost),
+		"term": term, "worker": string(id), "why": reason.why, "runs": len(reason.lost), "lost": formatLost(reason.lost),
 	}).Info("worker gone")
 }
 
@@ -90,8 +91,8 @@
 	}).Info("runs committed")
 }
 
-// runLine begins a line about a run; its fields are set at once, as a busy
-// leader writes hundreds a second.
+// runLine begins a line about a run. All fields are set at once, as a busy
+// leader writes hundreds of lines per second.
 func (d *Dispatcher) runLine(term uint64, run workload.RunRef, worker workload.WorkerID, end string) log.Interface {
 	fields := log.Fields{
 		"term": term, "job": string(run.Task.Job), "task": run.Task.String(), "attempt": run.Attempt, "worker": string(worker),
@@ -108,28 +109,29 @@
 		WithField("attempt", run.Attempt).WithField("refusal", a.Refusal.String()).Info("start refused")
 }
 
-// logSilent writes a line for the first call in a row without an answer.
-func (d *Dispatcher) logSilent(l *link, err error) {
-	if l.failures == silentCalls {
+// logUnresponsive writes a line for the failed call with which a worker reaches
+// unresponsiveFailures in a row.
+func (d *Dispatcher) logUnresponsive(l *link, err error) {
+	if l.failures == unresponsiveFailures {
 		d.config.Logger.WithField("worker", string(l.target.ID)).WithField("address", l.target.Address).
-			WithField("age_ms", (d.now() - l.contact).Milliseconds()).WithError(err).Warn("worker does not answer")
+			WithField("age_ms", (d.now() - l.lastContact).Milliseconds()).WithError(err).Warn("worker does not answer")
 	}
 }
 
 // logUnread writes a line when the lists of a worker begin to hold rows that
 // can't be read.
 func (d *Dispatcher) logUnread(l *link, rows int) {
-	d.counters.unread.Inc(1)
+	d.counters.unreadableLists.Inc(1)
 	d.config.Logger.WithField("worker", string(l.target.ID)).WithField("address", l.target.Address).
 		WithField("rows", rows).WithField("acked", l.acked).Warn("rows of a worker's lists can't be read; it gets no new work")
 }
 
-// logStandstill writes that a run shows no progress; waitsFor is the task of its
-// step for which it is not stopped yet, nil when it is.
-func (d *Dispatcher) logStandstill(l *link, run workload.RunRef, seen *observed, waitsFor *workload.TaskRef) {
+// logStall logs that a run shows no progress. waitsFor is the task of its step
+// because of which it is not stopped yet, nil if it is stopped.
+func (d *Dispatcher) logStall(l *link, run workload.RunRef, seen *observedRun, waitsFor *workload.TaskRef) {
 	fields := log.Fields{
 		"worker": string(l.target.ID), "task": run.Task.String(), "attempt": run.Attempt, "percent": seen.Percent,
-		"age_ms": seen.still().Milliseconds(), "list_age_ms": (d.now() - l.listedAt).Milliseconds(),
+		"age_ms": seen.stalledFor().Milliseconds(), "list_age_ms": (d.now() - l.listedAt).Milliseconds(),
 	}
 	if waitsFor != nil {
 		fields["waits_for"] = waitsFor.String()
@@ -166,12 +168,13 @@
 	d.config.Logger.WithError(err).Warn(what)
 }
 
-// logBalance writes what each pool has and needs, at most once in balanceEvery.
+// logBalance logs what each pool has and needs, at most once per
+// balanceLogInterval.
 func (d *Dispatcher) logBalance(pools []capacity.Balance, now time.Duration) {
-	if now-d.fleet.balanced < balanceEvery {
+	if now-d.fleet.balanceLoggedAt < balanceLogInterval {
 		return
 	}
-	d.fleet.balanced = now
+	d.fleet.balanceLoggedAt = now
 	for _, b := range pools {
 		d.config.Logger.WithField("pool", b.Pool).WithField("have_mcpu", b.Have).WithField("need_mcpu", b.Need).
 			WithField("spare_vms", b.Idle).WithField("list_age_ms", (now - d.fleet.listedAt).Milliseconds()).Info("balance")
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -11,15 +11,15 @@
 
 const (
 	// orderTimeout bounds the first call about a run; a worker answers within a
-	// few milliseconds. Each further one may take twice as long, up to
+	// few milliseconds. Each further call may take twice as long, up to
 	// maxOrderTimeout, so that a slow worker is not flooded.
 	orderTimeout    = 300 * time.Millisecond
 	maxOrderTimeout = 1200 * time.Millisecond
-	// orderPause is the pause after a call without an answer.
-	orderPause = 30 * time.Millisecond
+	// orderRetryPause is the pause after a call without an answer.
+	orderRetryPause = 30 * time.Millisecond
 )
 
-// sendOrders is the duty that starts and stops runs, one call after another.
+// sendOrders starts and stops runs, one call after another.
 func (l *link) sendOrders(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !l.d.leads(l.fence) {
@@ -28,14 +28,14 @@
 		c, ok := l.nextCall()
 		if !ok {
 			select {
-			case <-l.woken:
+			case <-l.orderReady:
 				continue
 			case <-ctx.Done():
 				return
 			}
 		}
 		if !l.perform(ctx, c) {
-			steady.Pause(ctx, orderPause)
+			steady.Pause(ctx, orderRetryPause)
 		}
 	}
 }
@@ -43,20 +43,20 @@
 func (l *link) nextCall() (call, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.queue) == 0 || l.outranked || l.gone {
+	if len(l.queue) == 0 || l.fenced || l.replaced {
 		return call{}, false
 	}
 	c := l.queue[0]
 	l.queue = l.queue[1:]
 	if len(l.queue) > 0 {
-		poke(l.woken) // another sender takes the next
+		notify(l.orderReady) // another sender takes the next
 	}
 	return c, true
 }
 
-// perform makes one call; false when it got no answer.
+// perform makes one call. It returns false if it got no answer.
 func (l *link) perform(ctx context.Context, c call) bool {
-	ctx, cancel := context.WithTimeout(ctx, l.orderLimit(c.run))
+	ctx, cancel := context.WithTimeout(ctx, l.callTimeout(c.run))
 	defer cancel()
 	switch c.kind {
 	case callStart:
@@ -68,8 +68,8 @@
 	}
 }
 
-// orderLimit bounds the next call about a run.
-func (l *link) orderLimit(run workload.RunRef) time.Duration {
+// callTimeout returns the timeout of the next call about a run.
+func (l *link) callTimeout(run workload.RunRef) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.orderOf(run)
@@ -84,11 +84,11 @@
 	l.mu.Lock()
 	record := l.orderOf(run)
 	record.start.queued = false
-	if !wanted || !l.lease.known || record.dropped {
+	if !wanted || !l.lease.clockKnown || record.abandoned {
 		l.mu.Unlock()
 		return true
 	}
-	o.LeaseUntilMS = l.grant(sentAt)
+	o.LeaseUntilMS = l.grantLease(sentAt)
 	o.Fence = l.fence
 	if !record.start.sent {
 		record.start.sentAt = sentAt
@@ -100,37 +100,37 @@
 	defer l.mu.Unlock()
 	record.start.calling = false
 	if err != nil {
-		l.failed(err)
+		l.recordFailure(err)
 		if workers.NotSent(err) && !record.uncertain {
 			record.start.answered, record.start.answeredAt, record.refusal = true, l.d.now(), workers.RefusedBusy
-			l.refusedUntil = l.d.now() + refusedPause
+			l.refusedUntil = l.d.now() + refusalBackoff
 		} else if !workers.NotSent(err) {
 			record.uncertain = true
 		}
 		l.d.wakeUp()
 		return false
 	}
-	l.heard(answer, sentAt)
+	l.recordAnswer(answer, sentAt)
 	record.start.answered, record.start.answeredAt, record.refusal = true, l.d.now(), answer.Refusal
 	if answer.Refusal != workers.Accepted {
 		l.d.logRefusal(l.target, run, answer)
-		poke(l.listen)
+		notify(l.listDue)
 		l.d.wakeUp()
 	}
 	return true
 }
 
-// grant returns the end of the lease that goes with a call, 0 for none. While
-// the worker does not answer nothing is granted beyond what it may have
-// already: its leases would otherwise never surely pass.
-func (l *link) grant(now time.Duration) int64 {
-	if !l.lease.known {
+// grantLease returns the end of the lease that a call grants, 0 for none. While
+// the worker does not answer, nothing is granted beyond what it may already
+// hold. Otherwise its leases would never certainly expire.
+func (l *link) grantLease(now time.Duration) int64 {
+	if !l.lease.clockKnown {
 		return 0
 	}
-	if l.silent(now) {
+	if l.unresponsive(now) {
 		return l.lease.grantedMS
 	}
-	return l.lease.until(now, l.d.config.Lease)
+	return l.lease.extend(now, l.d.config.Lease)
 }
 
 func (l *link) performStop(ctx context.Context, run workload.RunRef) bool {
@@ -144,13 +144,13 @@
 	defer l.mu.Unlock()
 	record.stop.calling = false
 	if err != nil {
-		l.failed(err)
+		l.recordFailure(err)
 		l.d.wakeUp()
 		return false
 	}
-	l.heard(answer, sentAt)
+	l.recordAnswer(answer, sentAt)
 	record.stop.answered, record.stop.answeredAt = true, l.d.now()
-	poke(l.listen)
+	notify(l.listDue)
 	return true
 }
 
@@ -160,25 +160,25 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		delete(l.paced, c.run)
-		l.failed(err)
+		delete(l.pacePercent, c.run)
+		l.recordFailure(err)
 		return false
 	}
-	l.heard(answer, sentAt)
+	l.recordAnswer(answer, sentAt)
 	return true
 }
 
-// failed notes a call without an answer. One that never left says nothing
-// about the worker's leases, but that it does not take work now.
-func (l *link) failed(err error) {
+// recordFailure records a call without an answer. A call that was never sent
+// shows nothing about the worker's leases, only that it does not take work now.
+func (l *link) recordFailure(err error) {
 	if context.Cause(l.d.leading) != nil {
 		return
 	}
 	if l.failures == 0 {
-		l.brokeAt = l.d.now()
+		l.firstFailure = l.d.now()
 	}
 	l.failures++
 	l.dirty = true
 	l.d.counters.callsFailed.Inc(1)
-	l.d.logSilent(l, err)
+	l.d.logUnresponsive(l, err)
 }
--- a/internal/dispatch/absent.go
+++ b/internal/dispatch/reconcile_run.go
@@ -8,33 +8,34 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// absent orders what a committed run needs, and returns why it is certain that
-// the run neither runs nor will; empty when it is not. A run that is withheld, as
-// its worker's room has shrunk or its job is final, does not begin any more.
-func (l *link) absent(run workload.RunRef, stopping, withheld bool, now time.Duration) string {
-	if l.isEnding(run) {
+// reconcileRun queues the orders that a committed run needs. It returns the
+// reason why it is certain that the run neither runs nor will run, or "" while
+// it is not certain. A withheld run does not start any more, because its
+// worker's capacity has shrunk or its job is final.
+func (l *link) reconcileRun(run workload.RunRef, stopping, withheld bool, now time.Duration) string {
+	if l.hasListedEnd(run) {
 		return ""
 	}
 	o := l.orderOf(run)
-	if l.surelyOver(run, o, now) {
-		o.dropped = true
+	if l.cannotRun(run, o, now) {
+		o.abandoned = true
 		if !o.start.sent && !l.inherited[run] {
 			return releasedUnsent
 		}
-		return releasedLapsed
+		return releasedLeaseExpired
 	}
 	_, listed := l.running[run]
 	if listed {
 		delete(l.inherited, run)
-		// Whoever ordered it, it was ordered: a run that was once listed must
-		// never count as one that was not sent.
+		// Whichever leader ordered the run, it was ordered. A run that was once
+		// listed must never count as one that was not sent.
 		o.start.sent, o.start.answered, o.refusal = true, true, workers.Accepted
 		if stopping {
 			l.orderStop(run, o, now)
 		}
 		return ""
 	}
-	if o.surelyNot() {
+	if o.certainlyRefused() {
 		return releasedRefused
 	}
 	if l.inherited[run] {
@@ -48,7 +49,7 @@
 		l.orderStop(run, o, now)
 		return l.unlistedSince(o.stop)
 	case !o.start.answered && withheld:
-		return l.withhold(run, o, now)
+		return l.withholdStart(run, o, now)
 	case !o.start.answered:
 		l.orderStart(run, o, now)
 		return ""
@@ -57,51 +58,52 @@
 	}
 }
 
-// isFinal says whether a run belongs to a job that is final: some work on, but
-// none begins.
+// isFinal reports whether a run belongs to a final job. Runs of such a job may
+// continue, but none starts.
 func isFinal(t *workload.Tables, run workload.RunRef) bool {
 	job := t.Jobs[run.Task.Job]
 	return job == nil || job.State.Final()
 }
 
-// withhold keeps a start back that may not happen any more, and returns why it is
-// certain that it will not; empty when it is not yet.
-func (l *link) withhold(run workload.RunRef, o *order, now time.Duration) string {
+// withholdStart prevents a start that must not happen any more. It returns the
+// reason why it is certain that the run will not start, or "" while it is not
+// certain.
+func (l *link) withholdStart(run workload.RunRef, o *order, now time.Duration) string {
 	if !o.start.sent {
-		o.dropped = true
+		o.abandoned = true
 		return releasedWithheld
 	}
 	l.orderStop(run, o, now)
 	return l.unlistedSince(o.stop)
 }
 
-// unlistedSince returns releasedUnlisted when a list was asked for after the
-// answer to a call; the caller has seen that it lacks the run.
-func (l *link) unlistedSince(p progress) string {
+// unlistedSince returns releasedUnlisted if a list was requested after the
+// answer to a call. The caller has checked that the list lacks the run.
+func (l *link) unlistedSince(p callState) string {
 	if p.answered && l.listedAt > p.answeredAt {
 		return releasedUnlisted
 	}
 	return ""
 }
 
-// surelyOver says whether a run on a worker that does not answer can't run any
-// more: it was never ordered, or every lease has passed. That stands when the
+// cannotRun reports whether a run on an unresponsive worker can't run any more:
+// it was never ordered, or every lease has expired. This remains true if the
 // worker answers again before the release is committed, as the run is not
-// ordered any more; only a list that names the run speaks against it.
-func (l *link) surelyOver(run workload.RunRef, o *order, now time.Duration) bool {
-	if !l.silent(now) {
+// ordered again. Only a list that names the run disproves it.
+func (l *link) cannotRun(run workload.RunRef, o *order, now time.Duration) bool {
+	if !l.unresponsive(now) {
 		_, listed := l.running[run]
-		return o.dropped && !listed
+		return o.abandoned && !listed
 	}
 	if !o.start.sent && !l.inherited[run] {
 		return true
 	}
-	return l.lease.passed(now)
+	return l.lease.expired(now)
 }
 
-// isEnding says whether the worker listed an end of the run that is not
+// hasListedEnd reports whether the worker listed an end of the run that is not
 // committed yet.
-func (l *link) isEnding(run workload.RunRef) bool {
+func (l *link) hasListedEnd(run workload.RunRef) bool {
 	return slices.ContainsFunc(l.ends, func(e workload.End) bool { return e.Run == run })
 }
 
@@ -112,17 +114,18 @@
 	}
 }
 
-// orderStop orders a stop, and once more when it was answered without effect.
+// orderStop queues a stop, and queues it again if it was answered without
+// effect.
 func (l *link) orderStop(run workload.RunRef, o *order, now time.Duration) {
-	if o.stop.queued || o.stop.calling || o.stop.answered && now-o.stop.queuedAt < stopAgain {
+	if o.stop.queued || o.stop.calling || o.stop.answered && now-o.stop.queuedAt < stopRetryInterval {
 		return
 	}
 	o.stop.queued, o.stop.queuedAt = true, now
 	l.enqueue(call{kind: callStop, run: run})
 }
 
-// stopForeign stops what runs on the worker and is not committed there.
-func (l *link) stopForeign(runs map[workload.RunRef]bool, now time.Duration) {
+// stopUnplannedRuns stops runs on the worker that are not committed there.
+func (l *link) stopUnplannedRuns(runs map[workload.RunRef]bool, now time.Duration) {
 	for run := range l.running {
 		if !runs[run] {
 			l.orderStop(run, l.orderOf(run), now)
@@ -130,12 +133,12 @@
 	}
 }
 
-// forgetOrders drops what is known of runs that are neither committed nor listed.
+// forgetOrders drops the records of runs that are neither committed nor listed.
 func (l *link) forgetOrders(runs map[workload.RunRef]bool) {
 	for run := range l.orders {
 		if _, listed := l.running[run]; !listed && !runs[run] {
 			delete(l.orders, run)
-			delete(l.paced, run)
+			delete(l.pacePercent, run)
 			delete(l.evicted, run)
 		}
 	}
--- a/internal/dispatch/round.go
+++ b/internal/dispatch/round.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// round brings the tables and the workers together: it commits what the
+// round reconciles the replicated state with the workers. It commits what the
 // workers listed and what is decided next, and queues the orders that follow
-// from what is committed.
+// from the committed state. It returns how long it took, without its commit.
 func (d *Dispatcher) round(ctx context.Context, term uint64) time.Duration {
 	began := time.Now()
 	command := &workload.Command{Term: term}
@@ -20,22 +20,22 @@
 	d.syncLinks(ctx)
 	d.config.Machine.Read(func(t *workload.Tables) {
 		held := 0
-		d.noteSilences(t)
-		d.standing = d.standing[:0]
+		d.recordLostContacts(t)
+		d.stalled = d.stalled[:0]
 		for _, l := range d.links {
 			d.reconcile(t, l, command, why)
 			held += min(len(t.Runs[l.target.ID]), 1)
 		}
-		d.held.Store(int64(held))
-		d.stopStanding(t)
+		d.heldWorkers.Store(int64(held))
+		d.stopStalledRuns(t)
 		d.schedule(t, command)
 	})
-	d.forget(command)
+	d.prune(command)
 	d.mu.Unlock()
 	work := time.Since(began)
 	d.counters.roundTime.Update(work)
 	if !isEmpty(command) {
-		sortCommand(command)
+		sortEnds(command)
 		if d.propose(ctx, command) == nil {
 			d.logDecisions(command, why)
 		}
@@ -48,32 +48,33 @@
 }
 
 const (
-	// keepJobs is how long a job that ended is answered for: five times what
-	// callers are promised, so that a resend that was held up finds it.
-	keepJobs = 10 * time.Minute
-	// forgetEvery is the time between two looks for jobs to forget.
-	forgetEvery = 30 * time.Second
+	// endedJobRetention is how long requests about an ended job are answered. It
+	// is five times what callers are promised, so that a delayed resend still
+	// finds the job.
+	endedJobRetention = 10 * time.Minute
+	// pruneInterval is the time between two prunings of ended jobs.
+	pruneInterval = 30 * time.Second
 )
 
-// forget drops what nobody asks for any more: the state would otherwise grow
-// with every job that ever was.
-func (d *Dispatcher) forget(c *workload.Command) {
+// prune drops jobs and incarnations that ended so long ago that nobody asks for
+// them. Otherwise the state would grow with every job ever submitted.
+func (d *Dispatcher) prune(c *workload.Command) {
 	now := d.now()
-	if now-d.forgotAt < forgetEvery {
+	if now-d.prunedAt < pruneInterval {
 		return
 	}
-	d.forgotAt = now
-	c.ForgetBeforeMS = d.config.WallMS() - keepJobs.Milliseconds()
-	for id, at := range d.over {
-		if now-at > keepJobs {
-			delete(d.over, id)
+	d.prunedAt = now
+	c.ForgetBeforeMS = d.config.WallMS() - endedJobRetention.Milliseconds()
+	for id, at := range d.endedIncarnations {
+		if now-at > endedJobRetention {
+			delete(d.endedIncarnations, id)
 		}
 	}
 }
 
-// sortCommand puts the ends of each worker in the order of their numbers,
-// which is the only one in which they are taken.
-func sortCommand(c *workload.Command) {
+// sortEnds sorts the ends of each worker by number, the only order in which
+// they are accepted.
+func sortEnds(c *workload.Command) {
 	slices.SortStableFunc(c.Ends, func(a, b workload.End) int {
 		if a.Worker != b.Worker {
 			return 0
@@ -82,20 +83,20 @@
 	})
 }
 
-// syncLinks opens links for workers that are new and closes those of workers
-// that are gone from the tables.
+// syncLinks opens links for new workers and closes those of workers that were
+// removed from the state.
 func (d *Dispatcher) syncLinks(ctx context.Context) {
 	d.config.Machine.Read(func(t *workload.Tables) {
 		for id, w := range t.Workers {
 			if d.links[id] == nil {
-				d.open(ctx, w, func(*link) {})
+				d.openLink(ctx, w, func(*link) {})
 			}
 		}
 		for id, l := range d.links {
 			if t.Workers[id] == nil {
 				l.cancel()
 				delete(d.links, id)
-				d.over[id] = d.now()
+				d.endedIncarnations[id] = d.now()
 			}
 		}
 	})
@@ -114,92 +115,93 @@
 		return
 	}
 	runs := t.Runs[worker.ID]
-	l.foreign = l.holdsForeign(runs)
-	l.takeAcked(worker.Acked)
-	if l.gone {
+	l.listsUnplanned = l.hasUnplannedRun(runs)
+	l.dropAckedEnds(worker.Acked)
+	if l.replaced {
 		lost := l.lostRuns(runs)
 		c.Gone = append(c.Gone, worker.ID)
-		c.Lost = append(c.Lost, lossesOf(worker.ID, lost, d.lostTogether(t, worker.Pool, l.contact))...)
+		c.Lost = append(c.Lost, newLosses(worker.ID, lost, d.lostTogether(t, worker.Pool, l.lastContact))...)
 		c.Crashed = append(c.Crashed, worker.ID)
-		c.Void = append(c.Void, l.voidRuns(runs)...)
-		why.gone[worker.ID] = goneReason{why: goneReplaced, lost: lost, tasks: liveTasks(t, worker.ID, lost)}
+		c.Void = append(c.Void, l.neverStartedRuns(runs)...)
+		why.removed[worker.ID] = removalReason{why: removedReplaced, lost: lost, tasks: unfinishedTasks(t, worker.ID, lost)}
 		return
 	}
 	for _, e := range l.ends {
 		if e.Number > worker.Acked {
 			c.Ends = append(c.Ends, e)
-			l.judge(t, e, now)
+			l.scoreEnd(t, e, now)
 		}
 	}
-	lapsed := false
-	over := !t.Used[worker.ID].Fits(worker.Capacity)
+	expired := false
+	exceeded := !t.Used[worker.ID].Fits(worker.Capacity)
 	for run := range runs {
 		_, stopping := t.Stopping[run]
-		if reason := l.absent(run, stopping || l.evicted[run], over || isFinal(t, run), now); reason != "" {
+		if reason := l.reconcileRun(run, stopping || l.evicted[run], exceeded || isFinal(t, run), now); reason != "" {
 			why.released[run] = reason
-			lapsed = lapsed || reason == releasedLapsed
-			if isVoid(reason) {
+			expired = expired || reason == releasedLeaseExpired
+			if impliesNeverStarted(reason) {
 				c.Void = append(c.Void, run)
 			}
 			c.Releases = append(c.Releases, workload.Release{Worker: worker.ID, Run: run})
 		}
 	}
-	if lapsed {
-		c.Lost = append(c.Lost, l.lapsedLosses(t, runs, why)...)
+	if expired {
+		c.Lost = append(c.Lost, l.expiredLosses(t, runs, why)...)
 	}
 	hasLosses := len(t.Losses[worker.ID]) > 0
-	if hasLosses && l.failures == 0 && l.answered > 0 {
+	if hasLosses && l.failures == 0 && l.lastAnswer > 0 {
 		c.Returned = append(c.Returned, worker.ID)
 	}
-	l.proveSuspects(t, c)
-	l.stopForeign(runs, now)
+	l.clearSuspects(t, c)
+	l.stopUnplannedRuns(runs, now)
 	l.forgetOrders(runs)
-	l.watch(t, now)
-	l.steerPace(t, now)
-	l.want(len(runs) > 0 || hasLosses && now-l.reported < freshContact)
-	l.noteIdle(len(runs) == 0 && len(l.running) == 0, now)
-	if len(runs) == 0 && now-l.contact > forgetWorker && l.contact > 0 {
+	l.detectStalls(t, now)
+	l.adjustPace(t, now)
+	l.setWanted(len(runs) > 0 || hasLosses && now-l.lastReport < maxContactAge)
+	l.updateIdle(len(runs) == 0 && len(l.running) == 0, now)
+	if len(runs) == 0 && now-l.lastContact > forgetWorkerAfter && l.lastContact > 0 {
 		c.Gone = append(c.Gone, worker.ID)
-		why.gone[worker.ID] = goneReason{why: goneSilent}
+		why.removed[worker.ID] = removalReason{why: removedUnresponsive}
 	}
 }
 
-// reconcileEvery is how often a worker is looked at about which nothing is new:
-// for what passes with time alone.
-const reconcileEvery = 150 * time.Millisecond
+// reconcileInterval is how often a worker without changes is reconciled, for
+// what depends on time alone.
+const reconcileInterval = 150 * time.Millisecond
 
-// isDue says whether a worker must be looked at in this round. Most rounds
+// isDue reports whether a worker must be reconciled in this round. Most rounds
 // concern few of hundreds of workers.
 func (l *link) isDue(changes uint64, now time.Duration) bool {
-	if !l.dirty && changes == l.changes && now-l.reconciledAt < reconcileEvery {
+	if !l.dirty && changes == l.reconciledChanges && now-l.reconciledAt < reconcileInterval {
 		return false
 	}
-	l.dirty, l.changes, l.reconciledAt = false, changes, now
+	l.dirty, l.reconciledChanges, l.reconciledAt = false, changes, now
 	return true
 }
 
-// forgetWorker is how long a worker may be silent, with nothing on it, before
-// it is dropped. It comes back with its next report.
-const forgetWorker = 2 * time.Minute
+// forgetWorkerAfter is how long a worker without runs may be out of contact
+// before it is removed. Its next report adds it again.
+const forgetWorkerAfter = 2 * time.Minute
 
-// takeAcked drops the ends that are committed and lets the next list be asked for.
-func (l *link) takeAcked(acked uint64) {
+// dropAckedEnds drops the ends that are committed and lets the next list be
+// requested.
+func (l *link) dropAckedEnds(acked uint64) {
 	l.acked = acked
 	before := len(l.ends)
 	l.ends = slices.DeleteFunc(l.ends, func(e workload.End) bool { return e.Number <= acked })
 	if before > 0 && len(l.ends) == 0 {
-		poke(l.listen)
+		notify(l.listDue)
 	}
 }
 
-func (l *link) want(wanted bool) {
+func (l *link) setWanted(wanted bool) {
 	if wanted && !l.wanted {
-		poke(l.listen)
+		notify(l.listDue)
 	}
 	l.wanted = wanted
 }
 
-func (l *link) noteIdle(idle bool, now time.Duration) {
+func (l *link) updateIdle(idle bool, now time.Duration) {
 	if !idle {
 		l.idleSince = 0
 	} else if l.idleSince == 0 {
@@ -207,58 +209,59 @@
 	}
 }
 
-// judge counts an end for or against the worker, once.
-func (l *link) judge(t *workload.Tables, e workload.End, now time.Duration) {
-	if l.judged >= e.Number {
+// scoreEnd counts an end for or against the worker, once.
+func (l *link) scoreEnd(t *workload.Tables, e workload.End, now time.Duration) {
+	if l.scored >= e.Number {
 		return
 	}
-	l.judged = e.Number
+	l.scored = e.Number
 	switch e.Kind {
 	case workload.EndFailed:
-		l.suspicion.failed(now)
+		l.suspicion.recordFailure(now)
 	case workload.EndDone:
-		l.suspicion.done()
+		l.suspicion.recordSuccess()
 	}
 }
 
-// schedule adds what is decided next.
+// schedule adds the starts that are decided next.
 func (d *Dispatcher) schedule(t *workload.Tables, c *workload.Command) {
 	now := d.now()
 	workers := make(map[workload.WorkerID]schedule.Worker, len(d.links))
-	silent := 0
-	doubts := d.doubts(t)
-	overdue := d.overdue(now)
+	unresponsive := 0
+	suspects := d.suspectsByWorker(t)
+	overdue := d.overdueSuspects(now)
 	for id, l := range d.links {
 		l.mu.Lock()
-		if l.silent(now) {
-			silent++
+		if l.unresponsive(now) {
+			unresponsive++
 		}
 		w := schedule.Worker{
-			Usable:    l.usable(now) && !l.foreign,
+			Usable:    l.usable(now) && !l.listsUnplanned,
 			Closing:   l.closing,
-			Doomed:    l.doomed,
+			Doomed:    l.maintenanceAhead,
 			Suspicion: l.suspicion.level(now),
-			Suspects:  doubts[id].suspects,
-			Trial:     doubts[id].isolated,
+			Suspects:  suspects[id].count,
+			Trial:     suspects[id].isolated,
 		}
-		if len(d.waiting) > 0 {
-			w.Unproven = l.unproven(t.Runs[id])
+		if len(d.waitingSuspects) > 0 {
+			w.Unproven = l.countOnTrial(t.Runs[id])
 		}
 		workers[id] = w
 		l.mu.Unlock()
 	}
 	nowMS := d.config.WallMS()
-	d.counters.measure(t, workers, silent, now, nowMS)
+	d.counters.measure(t, workers, unresponsive, now, nowMS)
 	plan := schedule.Make(schedule.Input{
-		Tables: t, Workers: workers, Freed: freed(t, c), Advice: d.advice.get, Overdue: overdue, NowMS: nowMS, MaxStarts: maxStarts,
+		Tables: t, Workers: workers, Freed: freedCapacity(t, c), Advice: d.advice.get, Overdue: overdue, NowMS: nowMS, MaxStarts: maxStarts,
 	})
-	d.counters.waited(t, plan.Starts, nowMS)
+	d.counters.recordFirstStarts(t, plan.Starts, nowMS)
 	c.Starts, c.Due = plan.Starts, plan.Due
-	d.advice.ask(plan.Ask)
+	d.advice.request(plan.Ask)
 }
 
-// holdsForeign says whether something takes room that the tables don't know.
-func (l *link) holdsForeign(runs map[workload.RunRef]bool) bool {
+// hasUnplannedRun reports whether the worker lists a run that is not committed
+// there and takes capacity that the state does not account for.
+func (l *link) hasUnplannedRun(runs map[workload.RunRef]bool) bool {
 	for run := range l.running {
 		if !runs[run] {
 			return true
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -7,61 +7,63 @@
 )
 
 const (
-	// massWindow is how close the losses of many workers lie that have one cause.
-	massWindow = 2 * time.Second
-	// massShare of a pool, and massLeast workers, are many.
-	massShare = 0.5
-	massLeast = 3
+	// massLossWindow is the time within which many workers are lost that have a
+	// common cause.
+	massLossWindow = 2 * time.Second
+	// A mass loss takes at least massLossShare of a pool and massLossMin workers.
+	massLossShare = 0.5
+	massLossMin   = 3
 )
 
-// silence is when a worker was last heard that does not answer or is over.
-type silence struct {
+// lostContact holds the time of the last contact with a worker that does not
+// answer or was replaced.
+type lostContact struct {
 	pool string
 	at   time.Duration
 }
 
-// silenceKept is how long the silence of a worker is remembered that is over:
-// the next incarnation begins seconds later, each at its own time.
-const silenceKept = 15 * time.Second
+// lostContactRetention is how long the last contact with a replaced worker is
+// remembered. The next incarnations start seconds later, each at its own time.
+const lostContactRetention = 15 * time.Second
 
-// noteSilences notes which workers do not answer or were found over, and since
-// when.
-func (d *Dispatcher) noteSilences(t *workload.Tables) {
+// recordLostContacts records which workers don't answer or were found to be
+// replaced, and since when.
+func (d *Dispatcher) recordLostContacts(t *workload.Tables) {
 	now := d.now()
-	for id, s := range d.silences {
-		if now-s.at > silenceKept {
-			delete(d.silences, id)
+	for id, contact := range d.lostContacts {
+		if now-contact.at > lostContactRetention {
+			delete(d.lostContacts, id)
 		}
 	}
 	for id, l := range d.links {
 		l.mu.Lock()
-		if worker := t.Workers[id]; worker != nil && (l.gone || l.failures > 0) {
-			d.silences[id] = silence{pool: worker.Pool, at: l.contact}
+		if worker := t.Workers[id]; worker != nil && (l.replaced || l.failures > 0) {
+			d.lostContacts[id] = lostContact{pool: worker.Pool, at: l.lastContact}
 		} else {
-			delete(d.silences, id)
+			delete(d.lostContacts, id)
 		}
 		l.mu.Unlock()
 	}
 }
 
-// lostTogether says whether a large part of a pool fell silent at about the time
-// of one worker: then a rack or its power failed, and no task shows itself to be
-// the cause.
+// lostTogether reports whether contact with a large part of a pool was lost at
+// about the same time as with one worker. Then a rack or its power failed, and
+// no task can be identified as the cause.
 func (d *Dispatcher) lostTogether(t *workload.Tables, pool string, at time.Duration) bool {
 	together := 0
-	for _, s := range d.silences {
-		if s.pool == pool && max(s.at-at, at-s.at) <= massWindow {
+	for _, contact := range d.lostContacts {
+		if contact.pool == pool && max(contact.at-at, at-contact.at) <= massLossWindow {
 			together++
 		}
 	}
-	if together < massLeast {
+	if together < massLossMin {
 		return false
 	}
-	places := map[string]bool{} // an incarnation that is over and the next one share an address
+	addresses := map[string]bool{} // a replaced incarnation and the next one share an address
 	for _, w := range t.Workers {
 		if w.Pool == pool {
-			places[w.Address] = true
+			addresses[w.Address] = true
 		}
 	}
-	return float64(together) >= massShare*float64(len(places))
+	return float64(together) >= massLossShare*float64(len(addresses))
 }
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// suspicionFrom is the number of runs that must fail on a worker, with none
-	// done in between, before it becomes the last choice: one failure is more
-	// often the task's fault than the worker's.
-	suspicionFrom = 2
-	// suspicionLasts is how long a worker stays the last choice after its last
+	// suspicionThreshold is the number of runs that must fail on a worker, with
+	// none done in between, before the worker becomes the last choice. A single
+	// failure is more often the task's fault than the worker's.
+	suspicionThreshold = 2
+	// suspicionDuration is how long a worker stays the last choice after its last
 	// failure. Then it is tried again.
-	suspicionLasts = 6 * time.Second
+	suspicionDuration = 6 * time.Second
 )
 
-// suspicion judges a worker by how runs end there, not by what it reports: a
-// worker can fail all that it starts and still report that it is well.
+// suspicion rates a worker by how runs end there, not by what it reports. A
+// worker can fail everything it starts and still report that it is healthy.
 type suspicion struct {
-	inRow int
-	last  time.Duration
+	consecutiveFailures int
+	lastFailure         time.Duration
 }
 
-func (s *suspicion) failed(now time.Duration) {
-	s.inRow++
-	s.last = now
+func (s *suspicion) recordFailure(now time.Duration) {
+	s.consecutiveFailures++
+	s.lastFailure = now
 }
 
-func (s *suspicion) done() { s.inRow = 0 }
+func (s *suspicion) recordSuccess() { s.consecutiveFailures = 0 }
 
 // level is 0 for a worker without suspicion.
 func (s *suspicion) level(now time.Duration) int {
-	if s.inRow < suspicionFrom || now-s.last > suspicionLasts {
+	if s.consecutiveFailures < suspicionThreshold || now-s.lastFailure > suspicionDuration {
 		return 0
 	}
-	return s.inRow
+	return s.consecutiveFailures
 }
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -11,97 +11,101 @@
 )
 
 const (
-	// warmUp is how long a lasting task takes until it is at work in the stand-in.
-	warmUp = time.Second
-	// awayAfter is how long a task may be away before it counts as away for
-	// whatever cause; one that was stopped counts at once.
-	awayAfter = 4500 * time.Millisecond
+	// warmUpTime is how long a long-running task takes until it is available in
+	// the stand-in worker.
+	warmUpTime = time.Second
+	// unavailableAfter is how long a task may be unavailable before it counts,
+	// whatever the cause. One that was stopped counts at once.
+	unavailableAfter = 4500 * time.Millisecond
 )
 
-// budgetWatch follows a lasting step as its workers see it.
-type budgetWatch struct {
-	world *world
-	// atWork is when each task was last at work, stopped whether we ended it since.
-	atWork  []time.Duration
-	stopped []bool
-	most    int
-	broken  int
+// budgetMonitor follows a long-running step as its workers see it.
+type budgetMonitor struct {
+	sim *simulation
+	// availableAt is when each task was last available, stopped whether the leader
+	// stopped it since.
+	availableAt    []time.Duration
+	stopped        []bool
+	maxUnavailable int
+	violations     int
 }
 
-// look notes which tasks are at work now.
-func (b *budgetWatch) look() {
-	for _, f := range b.world.workers {
+// observe records which tasks are available now.
+func (b *budgetMonitor) observe() {
+	for _, f := range b.sim.workers {
 		if f.worker.Hangs {
 			continue
 		}
 		for _, run := range f.worker.Running() {
-			if f.worker.Age(run, b.world.now) >= warmUp {
-				b.atWork[run.Task.Index], b.stopped[run.Task.Index] = b.world.now, false
+			if f.worker.Age(run, b.sim.now) >= warmUpTime {
+				b.availableAt[run.Task.Index], b.stopped[run.Task.Index] = b.sim.now, false
 			}
 		}
 	}
 }
 
-// stop notes that a run is stopped by an order of ours.
-func (b *budgetWatch) stop(worker *standin.Worker, run workload.RunRef) {
-	works := !worker.Hangs && worker.Age(run, b.world.now) >= warmUp
+// recordStop records that a run is stopped by an order of the leader.
+func (b *budgetMonitor) recordStop(worker *standin.Worker, run workload.RunRef) {
+	available := !worker.Hangs && worker.Age(run, b.sim.now) >= warmUpTime
 	b.stopped[run.Task.Index] = true
-	if !works {
+	if !available {
 		return
 	}
-	away := 0
-	for i := range b.atWork {
-		if i != run.Task.Index && (b.stopped[i] || b.world.now-b.atWork[i] > awayAfter) {
-			away++
+	unavailable := 0
+	for i := range b.availableAt {
+		if i != run.Task.Index && (b.stopped[i] || b.sim.now-b.availableAt[i] > unavailableAfter) {
+			unavailable++
 		}
 	}
-	if away >= b.most {
-		b.broken++
+	if unavailable >= b.maxUnavailable {
+		b.violations++
 	}
 }
 
-// playBudget plays a lasting step on workers that hang, crash and fall silent, and
-// returns how often a task at work was stopped though too many others were away.
-func playBudget(seed uint64, skip bool) int {
-	w := newWorld(seed)
-	w.trouble = 0
-	w.skipBudget = skip
-	w.leader.skipBudget = skip
-	b := &budgetWatch{world: w, atWork: make([]time.Duration, 4), stopped: make([]bool, 4), most: 1}
-	w.play(300 * time.Millisecond)
-	w.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 900}, Lasting: true, MaxUnavailable: 1})
-	w.play(3 * time.Second)
-	b.look()
-	w.stopping = b.stop
+// simulateBudget simulates a long-running step on workers that hang, crash and
+// are cut off. It returns how often an available task was stopped although too
+// many others were unavailable.
+func simulateBudget(seed uint64, skip bool) int {
+	sim := newSimulation(seed)
+	sim.faultPercent = 0
+	sim.skipBudget = skip
+	sim.leader.skipBudget = skip
+	b := &budgetMonitor{sim: sim, availableAt: make([]time.Duration, 4), stopped: make([]bool, 4), maxUnavailable: 1}
+	sim.run(300 * time.Millisecond)
+	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 900}, Lasting: true, MaxUnavailable: 1})
+	sim.run(3 * time.Second)
+	b.observe()
+	sim.onStop = b.recordStop
 	for i := range 1200 {
-		f := w.workers[w.random.IntN(len(w.workers))]
-		switch n := w.random.IntN(1000); {
+		f := sim.workers[sim.random.IntN(len(sim.workers))]
+		switch n := sim.random.IntN(1000); {
 		case n < 12:
 			f.worker.Hangs, f.worker.HangsAt = !f.worker.Hangs, 60
-		case n < 20 && f.down == 0:
-			w.crash(f)
+		case n < 20 && f.restartAt == 0:
+			sim.crash(f)
 		case n < 40:
-			f.cut = !f.cut
+			f.partitioned = !f.partitioned
 		}
 		if i%400 == 399 {
-			w.elect()
+			sim.elect()
 		}
-		w.play(tick)
-		b.look()
+		sim.run(tickInterval)
+		b.observe()
 	}
-	return b.broken
+	return b.violations
 }
 
-// A lasting task at work must not be ended by us while as many of its step are
-// away as it allows; without the rule the same runs find it.
-func TestLastingTasksKeepTheirBudget(t *testing.T) {
+// The leader must not stop an available long-running task while as many others
+// of its step are unavailable as the budget allows. With the rule switched off,
+// the same runs detect violations.
+func TestLongRunningTasksKeepTheirBudget(t *testing.T) {
 	is := is.New(t)
 	found := 0
 	for seed := range uint64(seeds(t) / 4) {
-		if n := playBudget(seed, false); n > 0 {
-			t.Fatalf("seed %d: %d tasks at work were stopped beyond the budget of their step", seed, n)
+		if n := simulateBudget(seed, false); n > 0 {
+			t.Fatalf("seed %d: %d available tasks were stopped beyond the budget of their step", seed, n)
 		}
-		found += playBudget(seed, true)
+		found += simulateBudget(seed, true)
 	}
-	is.True(found > 0) // switched off
+	is.True(found > 0) // with the rule switched off
 }
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// standstill is how long a run may show no progress before it is stopped
-	// and started elsewhere. A task of many seconds moves by one in a hundred
-	// several times in this time.
-	standstill = 2 * time.Second
-	// atWork is the progress at which a lasting task is at work.
-	atWork = 100
+	// stallTimeout is how long a run may show no progress before it is stopped and
+	// started elsewhere. A task of many seconds advances by one percent several
+	// times in this period.
+	stallTimeout = 2 * time.Second
+	// availablePercent is the progress at which a long-running task is available.
+	availablePercent = 100
 )
 
-// standingRun is a lasting run that shows no progress.
-type standingRun struct {
+// stalledRun is a long-running run that shows no progress.
+type stalledRun struct {
 	link *link
 	run  workload.RunRef
-	seen *observed
+	seen *observedRun
 }
 
-// watch finds the runs that stand still: a worker can hold a task for ever,
-// renew its lease and report that it is well. Those that end are stopped.
-func (l *link) watch(t *workload.Tables, now time.Duration) {
-	if l.silent(now) {
+// detectStalls finds the runs that are stalled. A worker can hold a task
+// forever, renew its lease and report that it is healthy. Stalled runs of tasks
+// that are not long-running are stopped.
+func (l *link) detectStalls(t *workload.Tables, now time.Duration) {
+	if l.unresponsive(now) {
 		return
 	}
 	for run, seen := range l.running {
-		if seen.still() < standstill {
+		if seen.stalledFor() < stallTimeout {
 			continue
 		}
 		job, _, task := t.Task(run.Task)
@@ -37,44 +38,44 @@
 			continue
 		}
 		spec := &job.Spec.Steps[run.Task.Step]
-		if spec.Gang || spec.Fills || spec.Lasting && seen.Percent >= atWork {
+		if spec.Gang || spec.Fills || spec.Lasting && seen.Percent >= availablePercent {
 			continue
 		}
 		if spec.Lasting {
-			l.d.standing = append(l.d.standing, standingRun{link: l, run: run, seen: seen})
+			l.d.stalled = append(l.d.stalled, stalledRun{link: l, run: run, seen: seen})
 			continue
 		}
-		l.noteStandstill(run, seen, now, nil)
+		l.recordStall(run, seen, now, nil)
 		l.orderStop(run, l.orderOf(run), now)
 	}
 }
 
-// noteStandstill counts a standstill against the worker, once a run.
-func (l *link) noteStandstill(run workload.RunRef, seen *observed, now time.Duration, waitsFor *workload.TaskRef) {
+// recordStall counts a stall against the worker, once per run.
+func (l *link) recordStall(run workload.RunRef, seen *observedRun, now time.Duration, waitsFor *workload.TaskRef) {
 	o := l.orderOf(run)
-	if o.standing {
+	if o.stallRecorded {
 		return
 	}
-	o.standing = true
-	l.suspicion.inRow += suspicionFrom
-	l.suspicion.last = now
-	l.d.counters.standstills.Inc(1)
-	l.d.logStandstill(l, run, seen, waitsFor)
+	o.stallRecorded = true
+	l.suspicion.consecutiveFailures += suspicionThreshold
+	l.suspicion.lastFailure = now
+	l.d.counters.stalls.Inc(1)
+	l.d.logStall(l, run, seen, waitsFor)
 }
 
-// stopStanding stops the lasting runs that stand still, as far as the budgets of
+// stopStalledRuns stops the stalled long-running runs, as far as the budgets of
 // their steps allow.
-func (d *Dispatcher) stopStanding(t *workload.Tables) {
-	for _, s := range d.standing {
+func (d *Dispatcher) stopStalledRuns(t *workload.Tables) {
+	for _, s := range d.stalled {
 		job, step, task := t.Task(s.run.Task)
-		if task == nil || s.link.evicts(s.run) {
+		if task == nil || s.link.isEvicted(s.run) {
 			continue
 		}
-		away := d.awayButStanding(s.run, &job.Spec.Steps[s.run.Task.Step], step)
+		blocker := d.stallBudgetBlocker(s.run, &job.Spec.Steps[s.run.Task.Step], step)
 		s.link.mu.Lock()
-		s.link.noteStandstill(s.run, s.seen, d.now(), away)
+		s.link.recordStall(s.run, s.seen, d.now(), blocker)
 		s.link.mu.Unlock()
-		if away == nil {
+		if blocker == nil {
 			s.link.evictRun(s.run)
 		}
 	}
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -9,20 +9,21 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// lastingSite has a lasting step with a task on each of two workers.
-func lastingSite(t *testing.T) *world {
+// newLongRunningSite returns a site that has a long-running step with a task on
+// each of two workers.
+func newLongRunningSite(t *testing.T) *simulation {
 	t.Helper()
-	w := newWorld(1)
-	w.trouble = 0
-	w.workers = w.workers[:2]
-	w.play(200 * time.Millisecond)
-	w.submitJob("lasts", workload.StepSpec{Count: 2, Need: workload.Resources{CPU: 1500}, Lasting: true, MaxUnavailable: 1})
-	return w
+	sim := newSimulation(1)
+	sim.faultPercent = 0
+	sim.workers = sim.workers[:2]
+	sim.run(200 * time.Millisecond)
+	sim.submitJob("lasts", workload.StepSpec{Count: 2, Need: workload.Resources{CPU: 1500}, Lasting: true, MaxUnavailable: 1})
+	return sim
 }
 
-// attempts returns the highest attempt of each task of the lasting job.
-func (w *world) attempts() (all []int) {
-	w.machine.Read(func(t *workload.Tables) {
+// attempts returns the highest attempt of each task of the long-running job.
+func (sim *simulation) attempts() (all []int) {
+	sim.machine.Read(func(t *workload.Tables) {
 		for _, task := range t.Jobs["lasts"].Occurrences[0].Steps[0].Tasks {
 			all = append(all, task.Attempt)
 		}
@@ -30,62 +31,62 @@
 	return all
 }
 
-// A worker whose answers don't arrive for a while says nothing of the progress of
-// its tasks; they must not be stopped for standing still when it answers again.
-func TestASilentSpellIsNoStandstill(t *testing.T) {
+// While a worker's answers don't arrive, nothing is known of the progress of
+// its tasks. They must not be stopped as stalled when the worker answers again.
+func TestUnresponsivePeriodIsNotAStall(t *testing.T) {
 	is := is.New(t)
-	w := lastingSite(t)
-	w.play(300 * time.Millisecond) // its tasks are warming up
-	w.workers[0].cut = true
-	w.play(standstill + 300*time.Millisecond)
-	w.workers[0].cut = false
-	w.play(3 * time.Second)
-	is.Equal(w.attempts(), []int{1, 1})
+	sim := newLongRunningSite(t)
+	sim.run(300 * time.Millisecond) // its tasks are warming up
+	sim.workers[0].partitioned = true
+	sim.run(stallTimeout + 300*time.Millisecond)
+	sim.workers[0].partitioned = false
+	sim.run(3 * time.Second)
+	is.Equal(sim.attempts(), []int{1, 1})
 }
 
-// A task that does hang is stopped in time.
-func TestATaskThatHangsIsStopped(t *testing.T) {
+// A task that hangs is stopped in time.
+func TestHangingTaskIsStopped(t *testing.T) {
 	is := is.New(t)
-	w := lastingSite(t)
-	w.workers[0].worker.Hangs, w.workers[0].worker.HangsAt = true, 18
-	w.play(100 * time.Millisecond)
-	w.play(3 * time.Second)
-	is.True(len(w.workers[0].worker.Running()) == 0 || w.workers[0].worker.Running()[0].Attempt > 1)
+	sim := newLongRunningSite(t)
+	sim.workers[0].worker.Hangs, sim.workers[0].worker.HangsAt = true, 18
+	sim.run(100 * time.Millisecond)
+	sim.run(3 * time.Second)
+	is.True(len(sim.workers[0].worker.Running()) == 0 || sim.workers[0].worker.Running()[0].Attempt > 1)
 }
 
-// A lasting task must not be stopped for standing still while another of its step
-// is away.
-func TestAStandstillWaitsForTheBudgetOfItsStep(t *testing.T) {
+// A long-running task must not be stopped as stalled while another task of its
+// step is unavailable.
+func TestStalledTaskWaitsForTheBudgetOfItsStep(t *testing.T) {
 	is := is.New(t)
-	w := lastingSite(t)
-	w.play(2 * time.Second)
-	is.Equal(w.attempts(), []int{1, 1})
-	w.crash(w.workers[1])
-	w.workers[1].down = w.now + 6*time.Second
-	w.workers[0].worker.Hangs, w.workers[0].worker.HangsAt = true, 60
-	w.play(5500 * time.Millisecond)
-	is.Equal(w.workers[0].worker.Running()[0].Attempt, 1)
-	w.play(6 * time.Second)
-	for _, f := range w.workers {
+	sim := newLongRunningSite(t)
+	sim.run(2 * time.Second)
+	is.Equal(sim.attempts(), []int{1, 1})
+	sim.crash(sim.workers[1])
+	sim.workers[1].restartAt = sim.now + 6*time.Second
+	sim.workers[0].worker.Hangs, sim.workers[0].worker.HangsAt = true, 60
+	sim.run(5500 * time.Millisecond)
+	is.Equal(sim.workers[0].worker.Running()[0].Attempt, 1)
+	sim.run(6 * time.Second)
+	for _, f := range sim.workers {
 		for _, run := range f.worker.Running() {
-			is.True(run.Attempt > 1) // the lost one is back, then the one that hangs was stopped
+			is.True(run.Attempt > 1) // the lost one is back, then the hanging one was stopped
 		}
 	}
 }
 
-// Two tasks that hang must not wait for each other for ever.
-func TestTwoTasksThatHangAreStoppedInTurn(t *testing.T) {
+// Two hanging tasks must not wait for each other forever.
+func TestTwoHangingTasksAreStoppedInTurn(t *testing.T) {
 	is := is.New(t)
-	w := lastingSite(t)
-	w.play(200 * time.Millisecond)
-	for _, f := range w.workers {
+	sim := newLongRunningSite(t)
+	sim.run(200 * time.Millisecond)
+	for _, f := range sim.workers {
 		f.worker.Hangs, f.worker.HangsAt = true, 18
 	}
-	w.play(4 * time.Second)
-	for _, f := range w.workers { // the one that was stopped works where it is now
+	sim.run(4 * time.Second)
+	for _, f := range sim.workers { // the one that was stopped makes progress where it is now
 		f.worker.Hangs = f.worker.Running()[0].Attempt == 1
 	}
-	w.play(6 * time.Second)
-	got := w.attempts()
+	sim.run(6 * time.Second)
+	got := sim.attempts()
 	is.True(got[0] > 1 && got[1] > 1)
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -23,12 +23,12 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-var quiet = &log.Logger{Handler: text.New(io.Discard), Level: log.FatalLevel}
+var discardLogger = &log.Logger{Handler: text.New(io.Discard), Level: log.FatalLevel}
 
-// world is a site in one goroutine: a control log that loses answers, workers
-// that follow the protocol, and one leader after the other. Every step checks
-// what must never happen, as the workers see it.
-type world struct {
+// simulation is a site in one goroutine: a control log that loses answers,
+// workers that follow the protocol, and a sequence of leaders. Every step
+// checks the invariants as the workers see them.
+type simulation struct {
 	random  *rand.Rand
 	now     time.Duration
 	machine *workload.Machine
@@ -36,221 +36,223 @@
 	term    uint64
 	leader  *Dispatcher
 	workers []*fakeWorker
-	late    []lateCall
+	delayed []delayedCall
 	jobs    []workload.JobID
-	// done holds the tasks whose end was acknowledged, failed how often one
-	// was acknowledged as failed.
-	done   map[workload.TaskRef]bool
-	failed map[workload.TaskRef]int
-	broken []string
-	// trouble is the share of calls that go wrong, out of 100.
-	trouble int
-	births  int
-	// refuse lets the log take no command.
-	refuse bool
+	// done holds the tasks whose end was acknowledged, failed how often one was
+	// acknowledged as failed.
+	done       map[workload.TaskRef]bool
+	failed     map[workload.TaskRef]int
+	violations []string
+	// faultPercent controls the share of calls and commits that fail.
+	faultPercent int
+	incarnations int
+	// refuseProposals makes the log reject all commands.
+	refuseProposals bool
 	// crashers holds the jobs whose first task crashes each worker that starts it.
 	crashers map[workload.JobID]*crasher
-	// skipBudget switches a rule of each leader off; stopping is told of each
-	// stop that arrives.
+	// skipBudget switches the availability budget off at each leader. onStop is
+	// called for each stop that arrives.
 	skipBudget bool
-	stopping   func(*standin.Worker, workload.RunRef)
-	// roomChanges: what runs may exceed a room that has shrunk under it.
-	roomChanges bool
-	// garble is the share of lists with a row that can't be read, out of 100.
-	garble int
+	onStop     func(*standin.Worker, workload.RunRef)
+	// capacityChanges: runs may exceed a capacity that has shrunk after their
+	// start.
+	capacityChanges bool
+	// unreadablePercent is the share of lists with a row that can't be read.
+	unreadablePercent int
 }
 
-type lateCall struct {
+type delayedCall struct {
 	at time.Duration
 	do func()
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newSimulation(seed uint64) *simulation {
+	sim := &simulation{
 		random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, machine: workload.NewMachine(),
-		done: map[workload.TaskRef]bool{}, failed: map[workload.TaskRef]int{}, trouble: 12,
+		done: map[workload.TaskRef]bool{}, failed: map[workload.TaskRef]int{}, faultPercent: 12,
 		crashers: map[workload.JobID]*crasher{},
 	}
 	for i := range 4 {
-		w.workers = append(w.workers, &fakeWorker{address: fmt.Sprintf("10.0.0.%d:80", i)})
-		w.bear(w.workers[i])
+		sim.workers = append(sim.workers, &fakeWorker{address: fmt.Sprintf("10.0.0.%d:80", i)})
+		sim.startIncarnation(sim.workers[i])
 	}
-	w.apply(&workload.Command{Config: &workload.Config{
+	sim.apply(&workload.Command{Config: &workload.Config{
 		Version: 1, Pools: []workload.Pool{{Name: "p"}},
 		Queues: []workload.Queue{{ID: workload.QueueID{Host: "h", Prefix: "/q/"}, Pool: "p", MaxAttempts: 3, TimeoutMS: 1}},
 	}})
-	w.elect()
-	return w
+	sim.elect()
+	return sim
 }
 
-func (w *world) apply(c *workload.Command) {
+func (sim *simulation) apply(c *workload.Command) {
 	data, err := workload.Encode(c)
 	if err != nil {
 		panic(err)
 	}
-	w.index++
-	w.machine.Apply(w.index, data)
+	sim.index++
+	sim.machine.Apply(sim.index, data)
 }
 
-// elect replaces the leader. Calls of the last one may still be on their way.
-func (w *world) elect() {
-	w.term++
-	if w.leader != nil {
-		w.leader.end()
+// elect replaces the leader. Calls of the previous one may still be in flight.
+func (sim *simulation) elect() {
+	sim.term++
+	if sim.leader != nil {
+		sim.leader.endTerm()
 	}
 	d := New(Config{
-		Self: "leader", Log: &fakeLog{world: w, term: w.term}, Machine: w.machine, Workers: fakeNet{w},
-		Lease: 5 * time.Second, LeaseMax: 6 * time.Second, Now: func() time.Duration { return w.now },
-		WallMS: func() int64 { return w.now.Milliseconds() }, Logger: quiet, Metrics: metrics.NewRegistry(),
+		Self: "leader", Log: &fakeLog{sim: sim, term: sim.term}, Machine: sim.machine, Workers: fakeNet{sim},
+		Lease: 5 * time.Second, LeaseMax: 6 * time.Second, Now: func() time.Duration { return sim.now },
+		WallMS: func() int64 { return sim.now.Milliseconds() }, Logger: discardLogger, Metrics: metrics.NewRegistry(),
 	})
 	d.launch = func(context.Context, *link) {}
-	d.skipBudget = w.skipBudget
-	w.leader = d
-	w.apply(&workload.Command{Term: w.term, StartTerm: true})
-	d.begin(context.Background(), w.term, &conc.WaitGroup{})
+	d.skipBudget = sim.skipBudget
+	sim.leader = d
+	sim.apply(&workload.Command{Term: sim.term, StartTerm: true})
+	d.beginTerm(context.Background(), sim.term, &conc.WaitGroup{})
 }
 
 // fakeLog is the control log as one leader sees it.
 type fakeLog struct {
-	world *world
-	term  uint64
+	sim  *simulation
+	term uint64
 }
 
 func (l *fakeLog) Standing() control.Standing {
-	return control.Standing{Term: l.term, Leads: l.term == l.world.term, Confirmed: l.term == l.world.term}
+	return control.Standing{Term: l.term, Leads: l.term == l.sim.term, Confirmed: l.term == l.sim.term}
 }
 
 func (l *fakeLog) Propose(_ context.Context, c *workload.Command) error {
-	w := l.world
-	if l.term != w.term || w.refuse || w.chance(w.trouble/4) {
+	sim := l.sim
+	if l.term != sim.term || sim.refuseProposals || sim.chance(sim.faultPercent/4) {
 		return state.ErrNotProposed
 	}
-	c.AtMS = w.now.Milliseconds() // as the product's log does
-	w.apply(c)
-	if w.chance(w.trouble / 4) {
+	c.AtMS = sim.now.Milliseconds() // as the real log does
+	sim.apply(c)
+	if sim.chance(sim.faultPercent / 4) {
 		return state.ErrOutcomeUnknown
 	}
 	return nil
 }
 
-func (w *world) chance(percent int) bool { return w.random.IntN(100) < percent }
+func (sim *simulation) chance(percent int) bool { return sim.random.IntN(100) < percent }
 
-// step does one thing.
-func (w *world) step() {
+// step performs one random action.
+func (sim *simulation) step() {
 	ctx := context.Background()
-	switch w.random.IntN(14) {
+	switch sim.random.IntN(14) {
 	case 0, 1:
-		w.pass(time.Duration(w.random.IntN(300)) * time.Millisecond)
+		sim.advance(time.Duration(sim.random.IntN(300)) * time.Millisecond)
 	case 2, 3:
-		w.leader.round(ctx, w.term)
+		sim.leader.round(ctx, sim.term)
 	case 4, 5, 6:
-		if l := w.anyLink(); l != nil {
+		if l := sim.anyLink(); l != nil {
 			if c, ok := l.nextCall(); ok {
 				l.perform(ctx, c)
 			}
 		}
 	case 7, 8:
-		if l := w.anyLink(); l != nil && l.mustHold() {
+		if l := sim.anyLink(); l != nil && l.mustHold() {
 			l.hold(ctx)
 		}
 	case 9:
-		w.submit()
+		sim.submit()
 	case 10:
-		w.report(w.workers[w.random.IntN(len(w.workers))])
+		sim.report(sim.workers[sim.random.IntN(len(sim.workers))])
 	case 11, 12:
-		w.finishSome()
+		sim.endSomeRun()
 	default:
-		w.disturb()
+		sim.injectFault()
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-// disturb does one of the rarer things.
-func (w *world) disturb() {
-	f := w.workers[w.random.IntN(len(w.workers))]
-	switch w.random.IntN(12) {
+// injectFault performs one of the rarer events, or none.
+func (sim *simulation) injectFault() {
+	f := sim.workers[sim.random.IntN(len(sim.workers))]
+	switch sim.random.IntN(12) {
 	case 0:
-		w.elect()
+		sim.elect()
 	case 1:
-		w.bear(f)
+		sim.startIncarnation(f)
 	case 2, 3:
-		f.cut = !f.cut
+		f.partitioned = !f.partitioned
 	case 4:
-		if len(w.jobs) > 0 {
-			w.apply(&workload.Command{AtMS: w.now.Milliseconds(), Cancel: []workload.JobID{w.jobs[w.random.IntN(len(w.jobs))]}})
+		if len(sim.jobs) > 0 {
+			sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Cancel: []workload.JobID{sim.jobs[sim.random.IntN(len(sim.jobs))]}})
 		}
 	}
 }
 
-// pass lets time pass and carries out what was held up.
-func (w *world) pass(d time.Duration) {
-	until := w.now + d
+// advance advances the clock and performs the calls that were delayed until
+// then.
+func (sim *simulation) advance(d time.Duration) {
+	until := sim.now + d
 	for {
-		next := slices.IndexFunc(w.late, func(c lateCall) bool { return c.at <= until })
+		next := slices.IndexFunc(sim.delayed, func(c delayedCall) bool { return c.at <= until })
 		if next < 0 {
 			break
 		}
-		c := w.late[next]
-		w.late = slices.Delete(w.late, next, next+1)
-		w.now = max(w.now, c.at)
-		w.expire()
+		c := sim.delayed[next]
+		sim.delayed = slices.Delete(sim.delayed, next, next+1)
+		sim.now = max(sim.now, c.at)
+		sim.expire()
 		c.do()
-		w.check()
+		sim.checkInvariants()
 	}
-	w.now = until
-	w.revive()
-	w.expire()
+	sim.now = until
+	sim.restartCrashed()
+	sim.expire()
 }
 
-func (w *world) expire() {
-	for _, f := range w.workers {
-		f.worker.Expire(w.now)
+func (sim *simulation) expire() {
+	for _, f := range sim.workers {
+		f.worker.Expire(sim.now)
 	}
 }
 
-func (w *world) anyLink() *link {
+func (sim *simulation) anyLink() *link {
 	var all []workload.WorkerID
-	for id := range w.leader.links {
+	for id := range sim.leader.links {
 		all = append(all, id)
 	}
 	if len(all) == 0 {
 		return nil
 	}
 	slices.Sort(all)
-	return w.leader.links[all[w.random.IntN(len(all))]]
+	return sim.leader.links[all[sim.random.IntN(len(all))]]
 }
 
-func (w *world) submit() {
-	if len(w.jobs) > 60 {
+func (sim *simulation) submit() {
+	if len(sim.jobs) > 60 {
 		return
 	}
-	id := workload.JobID(fmt.Sprintf("job-%d", len(w.jobs)))
-	w.jobs = append(w.jobs, id)
+	id := workload.JobID(fmt.Sprintf("job-%d", len(sim.jobs)))
+	sim.jobs = append(sim.jobs, id)
 	step := func() workload.StepSpec {
 		return workload.StepSpec{
-			Count: 1 + w.random.IntN(4), Need: workload.Resources{CPU: int64(100 + w.random.IntN(400)), MemoryMB: 10},
-			Speculative: w.chance(10), Checkpoints: w.chance(30), MaxPerWorker: w.random.IntN(3),
+			Count: 1 + sim.random.IntN(4), Need: workload.Resources{CPU: int64(100 + sim.random.IntN(400)), MemoryMB: 10},
+			Speculative: sim.chance(10), Checkpoints: sim.chance(30), MaxPerWorker: sim.random.IntN(3),
 		}
 	}
 	spec := workload.JobSpec{Steps: []workload.StepSpec{step(), step()}}
 	spec.Steps[1].DependsOn = []int{0}
-	w.apply(&workload.Command{AtMS: w.now.Milliseconds(), Submit: []workload.Submit{
+	sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Submit: []workload.Submit{
 		{ID: id, Queue: workload.QueueID{Host: "h", Prefix: "/q/"}, Spec: spec}}})
 }
 
-// finishSome ends a run at a worker.
-func (w *world) finishSome() {
-	f := w.workers[w.random.IntN(len(w.workers))]
+// endSomeRun ends a run at a worker.
+func (sim *simulation) endSomeRun() {
+	f := sim.workers[sim.random.IntN(len(sim.workers))]
 	running := f.worker.Running()
 	if len(running) == 0 {
 		return
 	}
 	slices.SortFunc(running, func(a, b workload.RunRef) int { return compareText(a.Task.String(), b.Task.String()) })
 	kind := workload.EndDone
-	if w.chance(5) {
+	if sim.chance(5) {
 		kind = workload.EndFailed
 	}
-	f.worker.End(running[w.random.IntN(len(running))], kind)
+	f.worker.End(running[sim.random.IntN(len(running))], kind)
 }
 
 func compareText(a, b string) int {
@@ -264,38 +266,38 @@
 }
 
 // report sends a worker's report to the leader.
-func (w *world) report(f *fakeWorker) {
-	if f.down > 0 {
+func (sim *simulation) report(f *fakeWorker) {
+	if f.restartAt > 0 {
 		return
 	}
 	f.sequence++
 	r := control.Report{
 		Worker:   workload.Worker{ID: f.worker.ID, Pool: "p", Address: f.address, Capacity: f.worker.Capacity},
-		Sequence: f.sequence, ClockMS: f.worker.ClockMS(w.now),
+		Sequence: f.sequence, ClockMS: f.worker.ClockMS(sim.now),
 	}
-	err := w.leader.Report(context.Background(), r)
+	err := sim.leader.Report(context.Background(), r)
 	if err != nil && !errors.Is(err, state.ErrNotProposed) && !errors.Is(err, state.ErrOutcomeUnknown) {
 		panic(err)
 	}
 }
 
-// calm ends all trouble and lets everything run out.
-func (w *world) calm() {
-	w.trouble, w.garble = 0, 0
-	for _, f := range w.workers {
-		f.cut = false
+// settle stops all faults and lets the remaining work finish.
+func (sim *simulation) settle() {
+	sim.faultPercent, sim.unreadablePercent = 0, 0
+	for _, f := range sim.workers {
+		f.partitioned = false
 	}
 	ctx := context.Background()
 	for range 600 {
-		w.pass(50 * time.Millisecond)
-		for _, f := range w.workers {
-			w.report(f)
+		sim.advance(50 * time.Millisecond)
+		for _, f := range sim.workers {
+			sim.report(f)
 			for _, r := range f.worker.Running() {
 				f.worker.End(r, workload.EndDone)
 			}
 		}
-		w.leader.round(ctx, w.term)
-		for _, l := range w.leader.links {
+		sim.leader.round(ctx, sim.term)
+		for _, l := range sim.leader.links {
 			for c, ok := l.nextCall(); ok; c, ok = l.nextCall() {
 				l.perform(ctx, c)
 			}
@@ -303,36 +305,37 @@
 				l.hold(ctx)
 			}
 		}
-		w.check()
+		sim.checkInvariants()
 	}
 }
 
-func TestLeaderKeepsItsPromises(t *testing.T) { playSeeds(t, 0) }
+func TestLeaderKeepsItsInvariants(t *testing.T) { simulateSeeds(t, 0) }
 
-// Symptom: a task runs twice at one time, or an end is lost and its task never
-// ends. Sequence: one list in ten has a row that can't be read; the run in it is
-// taken for one that neither runs nor will, released and started elsewhere, or a
-// later end is acknowledged and the worker forgets the one that was not read.
-// Cause: "could not be read" was taken for "is not there".
-func TestRowsThatCannotBeReadAreNotAbsent(t *testing.T) { playSeeds(t, 10) }
+// Guards against a task that runs twice at the same time, and against a lost
+// end whose task never ends. One list in ten has an unreadable row. If "could
+// not be read" is taken for "absent", the run in that row is released and
+// started elsewhere, or a later end is acknowledged and the worker drops the
+// one that was not read.
+func TestUnreadableRowsAreNotTakenForAbsent(t *testing.T) { simulateSeeds(t, 10) }
 
-// playSeeds plays each seed with a share of garbled lists, out of 100.
-func playSeeds(t *testing.T, garble int) {
+// simulateSeeds simulates each seed with a share of unreadable lists, in
+// percent.
+func simulateSeeds(t *testing.T, unreadablePercent int) {
 	for seed := range uint64(seeds(t)) {
-		w := newWorld(seed)
-		w.garble = garble
+		sim := newSimulation(seed)
+		sim.unreadablePercent = unreadablePercent
 		for i := range 4000 {
-			w.step()
-			if len(w.broken) > 0 {
-				t.Fatalf("seed %d, step %d: %s", seed, i, w.broken[0])
+			sim.step()
+			if len(sim.violations) > 0 {
+				t.Fatalf("seed %d, step %d: %s", seed, i, sim.violations[0])
 			}
 		}
-		w.calm()
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d, after the trouble: %s", seed, w.broken[0])
+		sim.settle()
+		if len(sim.violations) > 0 {
+			t.Fatalf("seed %d, after the faults: %s", seed, sim.violations[0])
 		}
-		w.machine.Read(func(tables *workload.Tables) {
-			for _, id := range w.jobs {
+		sim.machine.Read(func(tables *workload.Tables) {
+			for _, id := range sim.jobs {
 				if j := tables.Jobs[id]; !j.State.Final() {
 					t.Fatalf("seed %d: job %s is %s at the end", seed, id, j.State)
 				}
@@ -341,7 +344,7 @@
 	}
 }
 
-func TestModelVerdict(t *testing.T) {
+func TestVerdictOfWrappedCallError(t *testing.T) {
 	err := &workers.CallError{Verdict: model.NotRun, Err: io.EOF}
 	if !workers.NotSent(fmt.Errorf("wrapped: %w", err)) || workers.NotSent(io.EOF) {
 		t.Fatal("the verdict of a wrapped error is lost")
