--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -51,7 +51,7 @@
 	for refusal := workers.RefusedFence; refusal <= workers.RefusedIncarnation; refusal++ {
 		c.refusal(refusal).Inc(0)
 	}
-	for answer := FleetDone; answer <= FleetLimited; answer++ {
+	for answer := FleetDone; answer <= FleetRateLimited; answer++ {
 		c.order(answer).Inc(0)
 	}
 	return c
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -59,9 +59,9 @@
 	// Lease is the length of a worker's lease. It is well below LeaseMax, the
 	// longest lease that a worker grants.
 	Lease, LeaseMax time.Duration
-	// TakeOver is how long a new leader delays orders to the platform, so that
-	// they don't alternate with those of the previous leader.
-	TakeOver time.Duration
+	// TakeOverDelay is how long a new leader delays orders to the platform, so
+	// that they don't alternate with those of the previous leader.
+	TakeOverDelay time.Duration
 	// FleetRate is how many orders per second the platform accepts from the site.
 	FleetRate float64
 	// Now is the steady clock, WallMS the time of day in Unix milliseconds.
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -143,7 +143,7 @@
 			if age := d.config.WallMS() - atMS; max(age, -age) >= recentOrderAge.Milliseconds() {
 				continue
 			}
-			until := latestOrderTime(t, machine, f.startedAt) + d.config.TakeOver
+			until := latestOrderTime(t, machine, f.startedAt) + d.config.TakeOverDelay
 			if now < until {
 				f.blockedUntil[machine] = until
 			}
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -27,12 +27,12 @@
 	FleetFenced
 	// FleetBusy: the VM is not up, or is leaving.
 	FleetBusy
-	// FleetWave: the VM is not part of that wave.
-	FleetWave
+	// FleetWrongWave: the VM is not part of that wave.
+	FleetWrongWave
 	// FleetUnknown: there is no such VM, or it can't go to that pool.
 	FleetUnknown
-	// FleetLimited: too many calls at the moment; nothing was done.
-	FleetLimited
+	// FleetRateLimited: too many calls at the moment; nothing was done.
+	FleetRateLimited
 )
 
 // String names the answer for log lines.
@@ -125,7 +125,7 @@
 	o := fl.Order
 	intent := &workload.Command{Term: term, Ordered: []workload.MachineID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
 	if err := d.propose(ctx, intent); err != nil {
-		return FleetLimited, nil // nothing was ordered; the next round decides again
+		return FleetRateLimited, nil // nothing was ordered; the next round decides again
 	}
 	if !d.hasNoRuns(fl.Worker) {
 		return FleetBusy, nil
@@ -165,7 +165,7 @@
 // commitFleetAnswer commits the consequences of an answered order.
 func (d *Dispatcher) commitFleetAnswer(ctx context.Context, term uint64, fl *flight, answer FleetAnswer) {
 	c := &workload.Command{Term: term}
-	if fl.Order.Kind == capacity.Maintain && (answer == FleetDone || answer == FleetUnknown || answer == FleetWave) {
+	if fl.Order.Kind == capacity.Maintain && (answer == FleetDone || answer == FleetUnknown || answer == FleetWrongWave) {
 		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, Machine: fl.Order.Machine})
 	}
 	switch {
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -52,7 +52,7 @@
 	order("just")
 	sim.now += 100 * time.Millisecond
 	d := sim.leader
-	d.config.TakeOver = 3 * time.Second
+	d.config.TakeOverDelay = 3 * time.Second
 	d.fleet = newFleetState(sim.now, &capacity.Demand{})
 	d.blockRecentlyOrdered(sim.now)
 	_, waits := d.fleet.blockedUntil["old"]
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -125,7 +125,7 @@
 		Self: string(m.Settings.Node.Name), Log: controlled, Machine: m.machine,
 		Workers: m.outside.Workers, Fleet: m.outside.Fleet, Advisor: m.outside.Advisor,
 		Lease:    time.Duration(leaseShare * float64(m.Settings.Bounds.LeaseMax)),
-		LeaseMax: m.Settings.Bounds.LeaseMax, TakeOver: m.Settings.Bounds.FleetTakeOver,
+		LeaseMax: m.Settings.Bounds.LeaseMax, TakeOverDelay: m.Settings.Bounds.FleetTakeOver,
 		FleetRate: m.Settings.FleetRate,
 		Now:       steady.Now, WallMS: wallMS, Logger: m.Logger, Metrics: m.Metrics,
 	})
