--- a/internal/workload/apply.go
+++ b/internal/workload/apply.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// apply carries out a command. It returns why the command as a whole had no
-// effect, empty when it had.
+// apply applies a command. It returns the reason when the command as a whole is
+// refused, an empty string otherwise.
 func (t *Tables) apply(index uint64, c *Command) string {
 	if c.Term != 0 && c.Term < t.Term {
 		return "a later leader has taken over"
@@ -21,7 +21,7 @@
 	}
 	t.applyWorkers(c)
 	for _, d := range c.Due {
-		t.occur(d)
+		t.beginOccurrence(d)
 	}
 	t.startAll(c.Starts)
 	t.applyWaves(c)
@@ -29,7 +29,7 @@
 		t.Ordered[machine] = c.AtMS
 	}
 	if c.ForgetBeforeMS != 0 {
-		t.forget(c.ForgetBeforeMS)
+		t.dropEndedJobs(c.ForgetBeforeMS)
 	}
 	return ""
 }
@@ -43,14 +43,14 @@
 		t.putWorker(c.Workers[i], sequence)
 	}
 	for i := range c.Ends {
-		t.end(&c.Ends[i], c.AtMS)
+		t.recordEnd(&c.Ends[i], c.AtMS)
 	}
 	t.applyLosses(c)
 	for _, r := range c.Releases {
 		t.release(r.Worker, r.Run, c.AtMS)
 	}
 	for _, id := range c.Gone {
-		t.gone(id, c.AtMS)
+		t.removeWorker(id, c.AtMS)
 	}
 	for _, id := range c.Close {
 		t.setClosed(id, true)
@@ -62,25 +62,25 @@
 
 func (t *Tables) applyLosses(c *Command) {
 	for _, loss := range c.Lost {
-		t.lose(loss)
+		t.recordLoss(loss)
 	}
 	for _, id := range c.Crashed {
-		t.crashed(id, c.AtMS)
+		t.recordCrash(id, c.AtMS)
 	}
 	for _, id := range c.Returned {
 		t.dropLosses(id)
 	}
 	for _, run := range c.Void {
-		t.uncountStart(run)
+		t.uncountSuspectStart(run)
 	}
 	for _, task := range c.Proven {
 		delete(t.Suspects, task)
 	}
 }
 
-// setClosed closes or opens a worker for starts. A start that the leader
-// decided on before, and that is committed after, is refused: its VM would be
-// taken away under it.
+// setClosed closes or opens a worker for starts. Once it is closed, starts that
+// the leader decided on earlier are refused as well: the VM is about to be taken
+// away.
 func (t *Tables) setClosed(id WorkerID, closed bool) {
 	if old := t.Workers[id]; old != nil && old.Closed != closed {
 		changed := *old
@@ -89,15 +89,16 @@
 	}
 }
 
-// openAll forgets what the last leader was about to order. If an order was
-// carried out, its worker is over and says so.
+// openAll reopens all workers, as the orders that the previous leader planned no
+// longer apply. If an order was carried out, its worker has ended and reports that.
 func (t *Tables) openAll() {
 	for id := range t.Workers {
 		t.setClosed(id, false)
 	}
 }
 
-// applyConfig puts a higher version in force; any other changes nothing.
+// applyConfig puts a configuration in force if its version is higher than the
+// current one.
 func (t *Tables) applyConfig(c *Config) {
 	if c == nil || (t.Config != nil && c.Version <= t.Config.Version) {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// submit enters a job unless it is known, so that a resend changes nothing.
+// submit adds a job unless its ID exists already, so that a resend has no effect.
 func (t *Tables) submit(index uint64, s *Submit, nowMS int64) {
 	if t.Jobs[s.ID] != nil || t.Queues[s.Queue] == nil {
 		return
@@ -121,7 +122,7 @@
 	}
 	t.Jobs[job.ID] = job
 	t.Live[job.Queue] = append(t.Live[job.Queue], job)
-	t.settle(job, nowMS)
+	t.completeIfDone(job, nowMS)
 }
 
 func (t *Tables) cancel(id JobID, nowMS int64) {
@@ -130,8 +131,9 @@
 	}
 }
 
-// occur begins the next occurrence of a job; a repeated command changes nothing.
-func (t *Tables) occur(d Occurring) {
+// beginOccurrence begins the next occurrence of a job; a repeated command has no
+// effect.
+func (t *Tables) beginOccurrence(d Occurring) {
 	job := t.Jobs[d.Job]
 	if job == nil || job.State.Final() || job.Spec.Repeat == nil {
 		return
@@ -143,8 +145,9 @@
 	job.Next++
 }
 
-// putWorker enters a worker or what changed about it, unless a later report came
-// before. The number of committed ends and a draining state stay.
+// putWorker adds or updates a worker. The capacity from a report that is older
+// than the last one applied is ignored. The number of the last committed end never
+// decreases, and a draining worker stays draining.
 func (t *Tables) putWorker(w Worker, sequence uint64) {
 	if old := t.Workers[w.ID]; old != nil {
 		if sequence < t.Sequences[w.ID] {
@@ -160,9 +163,9 @@
 	}
 }
 
-// end takes note of an end. Ends come in the order of their numbers; one that
-// was noted before changes nothing.
-func (t *Tables) end(e *End, nowMS int64) {
+// recordEnd applies the end of a run. Ends are applied in the order of their
+// numbers; one that was applied before has no effect.
+func (t *Tables) recordEnd(e *End, nowMS int64) {
 	worker := t.Workers[e.Worker]
 	if worker == nil || e.Number <= worker.Acked {
 		return
@@ -182,10 +185,10 @@
 	t.removeRun(e.Worker, e.Run)
 	spec := &job.Spec.Steps[e.Run.Task.Step]
 	if e.Checkpoint != "" && spec.Checkpoints {
-		keepCheckpoint(spec, step, task, e.Checkpoint)
+		storeCheckpoint(spec, step, task, e.Checkpoint)
 	}
 	if job.State.Final() {
-		t.shrink(job)
+		t.compactJob(job)
 		return
 	}
 	switch {
@@ -195,14 +198,15 @@
 		t.taskFailed(job, spec, step, task, nowMS)
 	}
 	if e.Kind == EndDone || e.Kind == EndFailed {
-		delete(t.Suspects, e.Run.Task) // it ended and its worker did not
+		delete(t.Suspects, e.Run.Task) // the run ended and the worker did not crash
 	}
-	t.giveUpSpent(job, e.Run.Task, task, nowMS)
-	t.settle(job, nowMS)
+	t.failIfExhausted(job, e.Run.Task, task, nowMS)
+	t.completeIfDone(job, nowMS)
 }
 
-// keepCheckpoint stores progress. The members of a gang resume from one value.
-func keepCheckpoint(spec *StepSpec, step *Step, task *Task, value string) {
+// storeCheckpoint stores progress. All members of a gang resume from the same
+// checkpoint.
+func storeCheckpoint(spec *StepSpec, step *Step, task *Task, value string) {
 	if !spec.Gang {
 		task.Checkpoint = value
 		return
@@ -212,7 +216,7 @@
 	}
 }
 
-// taskDone marks a task done; the end of one member of a gang stands for all.
+// taskDone marks a task done; when one member of a gang is done, all are.
 func (t *Tables) taskDone(job *Job, spec *StepSpec, step *Step, ref TaskRef) {
 	for i := range step.Tasks {
 		if (i != ref.Index && !spec.Gang) || step.Tasks[i].Done {
@@ -224,11 +228,12 @@
 		member.Index = i
 		t.stopRuns(member, &step.Tasks[i])
 	}
-	t.dropDone(job)
+	t.dropDoneOccurrences(job)
 }
 
-// dropDone takes off the occurrences that are done and of which nothing runs.
-func (t *Tables) dropDone(job *Job) {
+// dropDoneOccurrences removes the occurrences of a repeated job that are done and
+// have no runs left.
+func (t *Tables) dropDoneOccurrences(job *Job) {
 	if job.Spec.Repeat == nil {
 		return
 	}
@@ -255,7 +260,8 @@
 	return false
 }
 
-// taskFailed counts an attempt; a gang fails as a whole.
+// taskFailed counts a failed attempt, for a gang at all its members, and fails the
+// job when the queue allows no more.
 func (t *Tables) taskFailed(job *Job, spec *StepSpec, step *Step, task *Task, nowMS int64) {
 	task.Failures++
 	if spec.Gang {
@@ -269,12 +275,12 @@
 	}
 }
 
-// settle completes a job of which every task is done.
-func (t *Tables) settle(job *Job, nowMS int64) {
+// completeIfDone completes a job when every task of every occurrence is done.
+func (t *Tables) completeIfDone(job *Job, nowMS int64) {
 	if job.State.Final() {
 		return
 	}
-	t.dropDone(job)
+	t.dropDoneOccurrences(job)
 	if r := job.Spec.Repeat; r != nil && job.Next < r.Times {
 		return
 	}
@@ -292,15 +298,15 @@
 	}
 	job, _, task := t.Task(run.Task)
 	if job.State.Final() {
-		t.shrink(job)
+		t.compactJob(job)
 		return
 	}
-	t.giveUpSpent(job, run.Task, task, nowMS)
-	t.dropDone(job)
+	t.failIfExhausted(job, run.Task, task, nowMS)
+	t.dropDoneOccurrences(job)
 }
 
-// gone drops a worker whose incarnation is over, with all that ran on it.
-func (t *Tables) gone(id WorkerID, nowMS int64) {
+// removeWorker removes a worker whose incarnation has ended, with all its runs.
+func (t *Tables) removeWorker(id WorkerID, nowMS int64) {
 	for run := range t.Runs[id] {
 		t.release(id, run, nowMS)
 	}
@@ -331,8 +337,8 @@
 	}
 }
 
-// forget drops jobs that ended before an instant.
-func (t *Tables) forget(beforeMS int64) {
+// dropEndedJobs removes the jobs that ended before a time.
+func (t *Tables) dropEndedJobs(beforeMS int64) {
 	for id, job := range t.Jobs {
 		if job.State.Final() && job.EndedMS < beforeMS && !job.IsActive() {
 			delete(t.Jobs, id)
--- a/internal/workload/room_test.go
+++ b/internal/workload/capacity_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// A start that was decided on before a worker's room shrank, and is committed
-// after, must not bring it over its room; a gang then does not start in part.
-func TestAStartIsCheckedAgainstTheRoomOfItsCommit(t *testing.T) {
+// A start that was decided before a worker's capacity shrank and is committed
+// afterwards must not exceed the new capacity; a gang then doesn't start in part.
+func TestStartIsCheckedAgainstCapacityAtCommit(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	gang := step(2)
--- a/internal/workload/command.go
+++ b/internal/workload/command.go
@@ -6,13 +6,13 @@
 	"github.com/comfreyloom/comfreyloom/internal/codec"
 )
 
-// Command is one entry of the control log. Its parts are applied in the order
-// of the fields.
+// Command is one entry of the control log. Its parts are applied in a fixed order,
+// see apply.
 type Command struct {
 	// AtMS is the leader's time of day when it proposed, in Unix milliseconds.
 	AtMS int64 `cbor:"1,keyasint"`
-	// Term fences decisions: a command with a term is refused once one of a
-	// later term was applied. 0 for what callers and operators ask for.
+	// Term fences decisions of a leader: a command with a term is refused once one
+	// of a later term was applied. 0 for requests of callers and operators.
 	Term uint64 `cbor:"2,keyasint,omitempty"`
 
 	StartTerm bool      `cbor:"3,keyasint,omitempty"`
@@ -22,36 +22,38 @@
 	Workers   []Worker  `cbor:"7,keyasint,omitempty"`
 	Ends      []End     `cbor:"8,keyasint,omitempty"`
 	Releases  []Release `cbor:"9,keyasint,omitempty"`
-	// Gone lists incarnations that are certainly over.
+	// Gone lists the incarnations of workers that have certainly ended.
 	Gone   []WorkerID  `cbor:"10,keyasint,omitempty"`
 	Due    []Occurring `cbor:"11,keyasint,omitempty"`
 	Starts []Start     `cbor:"12,keyasint,omitempty"`
 	Wave   *Wave       `cbor:"13,keyasint,omitempty"`
 	Begun  []WaveBegun `cbor:"14,keyasint,omitempty"`
-	// Ordered lists the VMs for which an order to the platform follows.
+	// Ordered lists the VMs for which the leader is about to send an order to the
+	// platform.
 	Ordered []MachineID `cbor:"16,keyasint,omitempty"`
-	// Close lists the workers on which nothing may be started from now on,
-	// Open those where it may again.
+	// Close lists the workers that accept no more starts, Open those that accept
+	// them again.
 	Close []WorkerID `cbor:"17,keyasint,omitempty"`
 	Open  []WorkerID `cbor:"18,keyasint,omitempty"`
-	// Lost lists runs that leave the tables with their worker, ahead of their
-	// releases; Crashed the workers of such runs that are certainly over,
-	// Returned those that are not.
+	// Lost lists runs that are about to be released because their worker was lost.
+	// Crashed lists the workers of such runs that have certainly ended, Returned
+	// those that turned out to be alive.
 	Lost     []Loss     `cbor:"19,keyasint,omitempty"`
 	Crashed  []WorkerID `cbor:"20,keyasint,omitempty"`
 	Returned []WorkerID `cbor:"21,keyasint,omitempty"`
-	// Sequences holds the numbers of the reports that Workers come from, in the
-	// same order; none where they don't come from reports.
+	// Sequences holds the numbers of the reports behind Workers, in the same order;
+	// it is empty when Workers doesn't come from reports.
 	Sequences []uint64 `cbor:"23,keyasint,omitempty"`
-	// Void lists the runs among Releases that surely never began.
+	// Void lists the runs in Releases that certainly never began.
 	Void []RunRef `cbor:"24,keyasint,omitempty"`
-	// Proven lists the suspects that have run long enough to be sound.
+	// Proven lists the suspects that have run for so long that they are cleared.
 	Proven []TaskRef `cbor:"22,keyasint,omitempty"`
-	// ForgetBeforeMS drops jobs that ended before; 0 drops none.
+	// ForgetBeforeMS removes the jobs that ended before this time, in Unix
+	// milliseconds; 0 removes none.
 	ForgetBeforeMS int64 `cbor:"15,keyasint,omitempty"`
 }
 
-// Submit accepts a job. A job that is known stays as it is.
+// Submit accepts a job. A job that exists already stays as it is.
 type Submit struct {
 	_     struct{} `cbor:",toarray"`
 	ID    JobID
@@ -59,26 +61,26 @@
 	Spec  JobSpec
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind uint8
 
 // The ends of a run.
 const (
-	// EndDone: the task is done.
+	// EndDone means that the task is done.
 	EndDone EndKind = iota + 1
-	// EndFailed: by the task's own fault or the worker's; it counts as an attempt.
+	// EndFailed means that the task or its worker failed; it counts as an attempt.
 	EndFailed
-	// EndStopped: we stopped it.
+	// EndStopped means that the run was stopped on our request.
 	EndStopped
-	// EndLapsed: its lease ended.
+	// EndLapsed means that the lease of the run expired.
 	EndLapsed
-	// EndBroken: another member of its gang ended.
+	// EndBroken means that another member of the gang ended.
 	EndBroken
-	// EndAlone: the other members of its gang did not come.
+	// EndAlone means that the other members of the gang did not join.
 	EndAlone
 )
 
-// String names the end for log lines.
+// String returns the name of the kind for log lines.
 func (k EndKind) String() string {
 	names := [...]string{"?", "done", "failed", "stopped", "lapsed", "broken", "alone"}
 	if int(k) < len(names) {
@@ -87,18 +89,18 @@
 	return fmt.Sprintf("end %d", uint8(k))
 }
 
-// End is an end that a worker listed.
+// End is the end of a run as its worker reported it.
 type End struct {
 	_      struct{} `cbor:",toarray"`
 	Worker WorkerID
-	// Number counts the ends of one incarnation from 1.
+	// Number is the sequence number of the end within one incarnation, from 1.
 	Number     uint64
 	Run        RunRef
 	Kind       EndKind
 	Checkpoint string
 }
 
-// Release takes a run off that neither runs nor ever will.
+// Release removes a run that isn't running and never will.
 type Release struct {
 	_      struct{} `cbor:",toarray"`
 	Worker WorkerID
@@ -112,14 +114,14 @@
 	K   int
 }
 
-// Start commits a run before the worker is told.
+// Start commits a run before it is sent to the worker.
 type Start struct {
 	_      struct{} `cbor:",toarray"`
 	Worker WorkerID
 	Run    RunRef
 }
 
-// WaveBegun notes that a machine of a wave has begun its maintenance.
+// WaveBegun records that the maintenance of a VM in a wave has begun.
 type WaveBegun struct {
 	_       struct{} `cbor:",toarray"`
 	Wave    int64
@@ -129,7 +131,7 @@
 // Encode returns the bytes of a command for the control log.
 func Encode(c *Command) ([]byte, error) { return codec.Marshal(c) }
 
-// Decode is the inverse of Encode; it refuses unknown fields.
+// Decode is the inverse of Encode; it rejects unknown fields.
 func Decode(data []byte) (*Command, error) {
 	var c Command
 	if err := codec.Unmarshal(data, &c); err != nil {
@@ -138,7 +140,7 @@
 	return &c, nil
 }
 
-// EncodeSpec returns the bytes of a job for a call between VMs.
+// EncodeSpec returns the encoded job for a call between VMs.
 func EncodeSpec(s *JobSpec) ([]byte, error) { return codec.Marshal(s) }
 
 // DecodeSpec is the inverse of EncodeSpec.
@@ -148,7 +150,7 @@
 	return s, err
 }
 
-// EncodeConfig returns the bytes of a configuration for a call between VMs.
+// EncodeConfig returns the encoded configuration for a call between VMs.
 func EncodeConfig(c *Config) ([]byte, error) { return codec.Marshal(c) }
 
 // DecodeConfig is the inverse of EncodeConfig.
--- a/internal/workload/config.go
+++ b/internal/workload/config.go
@@ -1,46 +1,48 @@
 package workload
 
-// QueueID names a queue: the host and path prefix that callers use.
+// QueueID identifies a queue by the host and path prefix that callers use.
 type QueueID struct {
 	_            struct{} `cbor:",toarray"`
 	Host, Prefix string
 }
 
-// Config is the configuration in force: which queues there are, which pool of
-// workers serves each, and the bounds of callers' requests.
+// Config is the configuration in force: the queues, the pool of workers that
+// serves each, and the limits of callers' requests.
 type Config struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Queues  []Queue
 	Pools   []Pool
 	Limits  Limits
-	// Text is the configuration as the operator sent it; it is read back so.
+	// Text is the configuration as the operator sent it, and as it is returned to
+	// operators.
 	Text []byte
 }
 
-// Queue is where callers hand in jobs.
+// Queue accepts the jobs of callers.
 type Queue struct {
 	_    struct{} `cbor:",toarray"`
 	ID   QueueID
 	Name string
 	// Pool is the pool whose workers run the queue's tasks.
 	Pool string
-	// Priority 0 comes first.
+	// Priority is the rank of the queue; 0 comes first.
 	Priority int
-	// MaxAttempts is the number of failed runs of one task that fail the job.
+	// MaxAttempts is the number of failed runs of one task after which the job
+	// fails; 0 for no limit.
 	MaxAttempts int
-	// A job is in time within TargetFactor times its longest chain of tasks
+	// A job is on time if it takes at most TargetFactor times its critical path
 	// plus TargetLatencyMS.
 	TargetFactor    float64
 	TargetLatencyMS int64
-	// TimeoutMS bounds one request of a caller.
+	// TimeoutMS limits the duration of one request of a caller.
 	TimeoutMS int64
 	// Advisor is nil where any worker of the pool may run a step.
 	Advisor *Advisor
 }
 
-// Advisor says how long the advisor of a queue takes and for how long a
-// permission is valid, in milliseconds.
+// Advisor holds how long the advisor of a queue takes for a decision, as a whole
+// and for each worker, and for how long a permission is valid, in milliseconds.
 type Advisor struct {
 	_                                struct{} `cbor:",toarray"`
 	DecisionMS, PerWorkerMS, ValidMS int64
@@ -50,21 +52,22 @@
 type Pool struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// Checks: the workers refuse what does not fit them.
+	// Checks is set when the workers refuse tasks that don't satisfy the pool's
+	// constraints.
 	Checks bool
-	// Standby: the VMs of the pool are off and cost nothing.
+	// Standby is set when the VMs of the pool are off and cost nothing.
 	Standby bool
 }
 
-// Limits bound callers' requests.
+// Limits are the limits of callers' requests. IdleTimeout is in milliseconds.
 type Limits struct {
 	_                            struct{} `cbor:",toarray"`
 	HeaderBytes, BodyBytes       int64
 	HeaderTimeoutMS, IdleTimeout int64
 }
 
-// Route returns the queue whose host matches and whose prefix is the longest
-// that the path begins with; nil when there is none.
+// Route returns the queue of the host with the longest prefix of the path, nil
+// when no queue matches.
 func (c *Config) Route(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
--- a/internal/workload/crash.go
+++ b/internal/workload/crash.go
@@ -6,109 +6,116 @@
 	"slices"
 )
 
-// Loss is a run that ended with its worker, of which no end was listed.
+// Loss is a run that was lost with its worker: the worker reported no end of it.
 type Loss struct {
 	_      struct{} `cbor:",toarray"`
 	Worker WorkerID
 	Run    RunRef
-	// AgeMS is for how long the run was known to be there when the worker last
-	// answered, 0 when nothing shows that it began.
+	// AgeMS is how long the run had been seen running when the worker last
+	// answered; 0 when nothing shows that it began.
 	AgeMS int64
-	// Alone: the worker was lost soon after the start of this run, and of no other.
+	// Alone is set when the worker was lost soon after the start of this run and of
+	// no other run.
 	Alone bool
 }
 
-// Suspect counts the workers that crashed under a task, one after the other.
+// Suspect is a task under which workers crashed in a row, with the counts that
+// decide when its job fails.
 type Suspect struct {
 	_    struct{} `cbor:",toarray"`
 	Task TaskRef
-	// Crashes counts them all, Alone those under which the task ran alone.
+	// Crashes counts all these crashes, Alone those soon after a start of the task
+	// and of no other.
 	Crashes, Alone int
-	// Later counts the starts since lostMost workers were lost, those that may
-	// still come back included.
+	// Later counts the starts after lossThreshold workers were lost, including
+	// workers that may still come back.
 	Later int
 }
 
 const (
-	// aloneMost is the number of crashes with the task alone that show that it is
-	// the cause. One happens to sound tasks.
-	aloneMost = 2
-	// laterMost bounds the starts after lostMost lost workers, if crashesLeast of
-	// them are known to be over.
-	lostMost     = 3
-	laterMost    = 2
-	crashesLeast = 2
-	// IsolateFrom is the number of workers lost under a task from which on it
-	// is started alone on a worker.
+	// isolatedCrashesToConfirm is the number of crashes with the task alone that
+	// confirm it as the cause. One also happens to healthy tasks.
+	isolatedCrashesToConfirm = 2
+	// A task gets maxExtraStarts more starts after lossThreshold workers
+	// were lost under it, if at least minCrashes of them are known to have
+	// crashed.
+	lossThreshold  = 3
+	maxExtraStarts = 2
+	minCrashes     = 2
+	// IsolateFrom is the number of lost workers from which on a task is started in
+	// isolation.
 	IsolateFrom = 2
-	// ProvenMS is for how long a run must last, in milliseconds, for the crashes
-	// before it to count no more: a task of weeks outlives many workers.
+	// ProvenMS is how long a run must last, in milliseconds, for its task to be
+	// cleared of earlier crashes. A task that runs for weeks outlives many workers.
 	ProvenMS = 20_000
-	// TrialMS is for how long after its start a run may be what crashes its
-	// worker, in milliseconds. Nothing else is started beside a suspect meanwhile.
+	// TrialMS is how long after its start a run may be the cause of a crash of its
+	// worker, in milliseconds. Nothing else is started beside an isolated suspect
+	// for that time.
 	TrialMS = 500
 )
 
-// isGuilty says whether the crashes show that the task is their cause.
-func (s *Suspect) isGuilty() bool { return s.Alone >= aloneMost }
+// isConfirmedCause reports whether the crashes show that the task is their cause.
+func (s *Suspect) isConfirmedCause() bool { return s.Alone >= isolatedCrashesToConfirm }
 
-// isSpent says whether no further start may follow. Of the workers lost before
-// its last starts one may not be known to be over yet.
-func (s *Suspect) isSpent() bool { return s.Crashes >= crashesLeast && s.Later >= laterMost }
+// startsExhausted reports whether the task may not be started again. Crashes may be
+// lower than lossThreshold, as one of the lost workers may not be known to have
+// ended yet.
+func (s *Suspect) startsExhausted() bool { return s.Crashes >= minCrashes && s.Later >= maxExtraStarts }
 
-// Suspicion returns how many workers were lost under a task in a row, those that
-// may still come back included.
+// Suspicion returns how many workers were lost under a task in a row, including
+// workers that may still come back.
 func (t *Tables) Suspicion(ref TaskRef) int {
-	lost := t.missing[ref]
+	lost := t.unconfirmedLosses[ref]
 	if s := t.Suspects[ref]; s != nil {
 		lost += s.Crashes
 	}
 	return lost
 }
 
-// HasSuspicions says whether a worker was lost under any live task.
-func (t *Tables) HasSuspicions() bool { return len(t.Suspects)+len(t.missing) > 0 }
+// HasSuspicions reports whether a worker was lost under any task of a live job.
+func (t *Tables) HasSuspicions() bool { return len(t.Suspects)+len(t.unconfirmedLosses) > 0 }
 
-// EachSuspicion calls f for every task under which workers were lost, in no order.
+// EachSuspicion calls f for every task under which workers were lost, in no
+// particular order.
 func (t *Tables) EachSuspicion(f func(ref TaskRef, lost int)) {
 	for ref, s := range t.Suspects {
-		f(ref, s.Crashes+t.missing[ref])
+		f(ref, s.Crashes+t.unconfirmedLosses[ref])
 	}
-	for ref, m := range t.missing {
+	for ref, m := range t.unconfirmedLosses {
 		if t.Suspects[ref] == nil {
 			f(ref, m)
 		}
 	}
 }
 
-// lose notes a run that leaves the tables with its worker. It counts as a crash
-// once it is certain that the worker is over.
-func (t *Tables) lose(loss Loss) {
+// recordLoss records a run that is lost with its worker. It counts as a crash once
+// it is certain that the worker has ended.
+func (t *Tables) recordLoss(loss Loss) {
 	if t.Workers[loss.Worker] == nil || !t.Runs[loss.Worker][loss.Run] {
 		return
 	}
 	t.Losses[loss.Worker] = append(t.Losses[loss.Worker], loss)
-	t.missing[loss.Run.Task]++
+	t.unconfirmedLosses[loss.Run.Task]++
 }
 
-// dropLosses forgets what was lost with a worker: it is back, or it was ended in
-// good order.
+// dropLosses removes and returns the losses recorded for a worker. On its own it
+// counts no crash: the worker is back or was ended on purpose.
 func (t *Tables) dropLosses(id WorkerID) []Loss {
 	losses := t.Losses[id]
 	delete(t.Losses, id)
 	for i := range losses {
 		task := losses[i].Run.Task
-		t.missing[task]--
-		if t.missing[task] == 0 {
-			delete(t.missing, task)
+		t.unconfirmedLosses[task]--
+		if t.unconfirmedLosses[task] == 0 {
+			delete(t.unconfirmedLosses, task)
 		}
 	}
 	return losses
 }
 
-// crashed counts the crash of a worker for each task that was lost with it. One
-// that had said that it would leave did not crash.
-func (t *Tables) crashed(id WorkerID, nowMS int64) {
+// recordCrash counts the crash of a worker for each task that was lost with it. A
+// worker that was draining or closed did not crash.
+func (t *Tables) recordCrash(id WorkerID, nowMS int64) {
 	worker := t.Workers[id]
 	losses := t.dropLosses(id)
 	if worker == nil || worker.Draining || worker.Closed {
@@ -138,14 +145,14 @@
 	if loss.Alone {
 		s.Alone++
 	}
-	if s.isGuilty() {
+	if s.isConfirmedCause() {
 		t.finish(job, JobFailed, nowMS)
 	}
 }
 
-// countStart counts a start against what a suspect may still have.
-func (t *Tables) countStart(ref TaskRef) {
-	if t.Suspicion(ref) < lostMost {
+// countSuspectStart counts a start against the limit of a suspect.
+func (t *Tables) countSuspectStart(ref TaskRef) {
+	if t.Suspicion(ref) < lossThreshold {
 		return
 	}
 	if t.Suspects[ref] == nil {
@@ -154,9 +161,9 @@
 	t.Suspects[ref].Later++
 }
 
-// uncountStart takes back what countStart counted for a run that never began. A
-// command that is applied again finds the run released.
-func (t *Tables) uncountStart(run RunRef) {
+// uncountSuspectStart reverts countSuspectStart for a run that never began. When a
+// command is applied again, the run is released already and nothing is reverted.
+func (t *Tables) uncountSuspectStart(run RunRef) {
 	_, _, task := t.Task(run.Task)
 	if task == nil || !slices.ContainsFunc(task.Runs, func(r Run) bool { return r.Attempt == run.Attempt }) {
 		return
@@ -166,16 +173,16 @@
 	}
 }
 
-// giveUpSpent fails a job when a run of a suspect that may have no further start
-// has ended without showing that the task is sound.
-func (t *Tables) giveUpSpent(job *Job, ref TaskRef, task *Task, nowMS int64) {
+// failIfExhausted fails a job when a suspect without further starts has no run left
+// and was not cleared.
+func (t *Tables) failIfExhausted(job *Job, ref TaskRef, task *Task, nowMS int64) {
 	s := t.Suspects[ref]
-	if s != nil && s.isSpent() && len(task.Runs) == 0 && !task.Done && !job.State.Final() {
+	if s != nil && s.startsExhausted() && len(task.Runs) == 0 && !task.Done && !job.State.Final() {
 		t.finish(job, JobFailed, nowMS)
 	}
 }
 
-// clearSuspects forgets the suspects of a job that is over.
+// clearSuspects removes the suspects of a job that is final.
 func (t *Tables) clearSuspects(id JobID) {
 	maps.DeleteFunc(t.Suspects, func(ref TaskRef, _ *Suspect) bool { return ref.Job == id })
 }
@@ -184,7 +191,8 @@
 	return slices.SortedFunc(maps.Values(t.Suspects), func(a, b *Suspect) int { return a.Task.Compare(b.Task) })
 }
 
-// sortedLosses returns the losses by worker; those of one stay in their order.
+// sortedLosses returns the losses ordered by worker; those of one worker keep their
+// order.
 func (t *Tables) sortedLosses() []Loss {
 	var all []Loss
 	for _, id := range slices.Sorted(maps.Keys(t.Losses)) {
@@ -193,7 +201,7 @@
 	return all
 }
 
-// Compare orders references.
+// Compare orders references by job, occurrence, step and index.
 func (t TaskRef) Compare(o TaskRef) int {
 	return cmp.Or(
 		cmp.Compare(t.Job, o.Job), cmp.Compare(t.Occurrence, o.Occurrence),
--- a/internal/workload/crash_test.go
+++ b/internal/workload/crash_test.go
@@ -10,7 +10,7 @@
 
 var suspectTask = TaskRef{Job: "j"}
 
-// crashLog has a job of two tasks, the first of which is started on a new worker.
+// crashLog returns a log with a job of two tasks.
 func crashLog() *log {
 	l := newLog()
 	l.submit("j", step(2))
@@ -27,46 +27,46 @@
 	return []Loss{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}, AgeMS: ageMS, Alone: alone}}
 }
 
-// crash commits that a worker is over with its run.
+// crash commits that a worker crashed under its run.
 func (l *log) crash(id WorkerID, attempt int, ageMS int64, alone bool) {
 	l.do(&Command{AtMS: 2000, Lost: lossOn(id, attempt, ageMS, alone), Crashed: []WorkerID{id}, Gone: []WorkerID{id}})
 }
 
-func (l *log) suspicion() (lost int) {
+func (l *log) lostWorkers() (lost int) {
 	l.Read(func(t *Tables) { lost = t.Suspicion(suspectTask) })
 	return lost
 }
 
-// A crash that is committed again, as its first outcome was not known, must not
-// count twice.
-func TestACrashCountsOnce(t *testing.T) {
+// A crash that is committed again, because the outcome of the first proposal was
+// unknown, must not count twice.
+func TestRepeatedCrashCountsOnce(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
 	l.startOn("a", 1)
 	l.crash("a", 1, 0, true)
 	l.crash("a", 1, 0, true)
-	is.Equal(l.suspicion(), 1)
+	is.Equal(l.lostWorkers(), 1)
 	is.Equal(l.job("j").State, JobRunning)
 }
 
-// A worker that was cut off and comes back has not crashed: its tasks are sound.
-func TestAWorkerThatReturnsDidNotCrash(t *testing.T) {
+// A worker that was cut off and comes back has not crashed, so its tasks are not
+// suspects.
+func TestReturningWorkerDidNotCrash(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
 	for i, id := range []WorkerID{"a", "b", "c", "d", "e", "f"} {
 		l.startOn(id, i+1)
 		run := RunRef{Task: suspectTask, Attempt: i + 1}
 		l.do(&Command{AtMS: 2000, Lost: lossOn(id, i+1, 0, true), Releases: []Release{{Worker: id, Run: run}}})
-		is.Equal(l.suspicion(), 1) // until it is known
+		is.Equal(l.lostWorkers(), 1) // until the worker is known to be alive
 		l.do(&Command{AtMS: 3000, Returned: []WorkerID{id}})
-		is.Equal(l.suspicion(), 0)
+		is.Equal(l.lostWorkers(), 0)
 	}
 	is.Equal(l.job("j").State, JobRunning)
 }
 
-// A worker that had said that it would leave, or that was emptied for an order, did
-// not crash.
-func TestAWorkerThatWasToLeaveDidNotCrash(t *testing.T) {
+// A worker that was draining, or closed for an order to the platform, did not crash.
+func TestDrainingOrClosedWorkerDidNotCrash(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
 	l.startOn("a", 1)
@@ -75,12 +75,12 @@
 	l.startOn("b", 2)
 	l.do(&Command{Close: []WorkerID{"b"}})
 	l.crash("b", 2, 0, true)
-	is.Equal(l.suspicion(), 0)
+	is.Equal(l.lostWorkers(), 0)
 }
 
-// A task is given up after two crashes that it was alone in.
-func TestTheCauseOfCrashesIsGivenUp(t *testing.T) {
-	for name, alone := range map[string][]bool{"at once": {true, true}, "in company first": {false, false, true, true}} {
+// A job fails after two crashes soon after its task was started alone.
+func TestJobFailsAfterTwoIsolatedCrashes(t *testing.T) {
+	for name, alone := range map[string][]bool{"at once": {true, true}, "beside other runs first": {false, false, true, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := crashLog()
@@ -91,13 +91,13 @@
 				l.crash(id, i+1, 0, a)
 			}
 			is.Equal(l.job("j").State, JobFailed)
-			is.Equal(l.suspicion(), 0)
+			is.Equal(l.lostWorkers(), 0)
 		})
 	}
 }
 
-// However little the crashes show, a task must not be started three times more
-// after three of them.
+// Even if no crash was isolated, a task must not get more than two further starts
+// after three crashes.
 func TestStartsAfterThreeCrashesAreBounded(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
@@ -107,12 +107,12 @@
 		l.startOn(id, starts+1)
 		l.crash(id, starts+1, 0, false)
 	}
-	is.Equal(starts, lostMost+laterMost)
+	is.Equal(starts, lossThreshold+maxExtraStarts)
 }
 
-// What a run shows by ending, or by lasting, clears its task: a sound one outlives
-// many workers.
-func TestASuspectIsCleared(t *testing.T) {
+// A run that ends while its worker lives, or that lasts long enough, clears its
+// task: a healthy long-running task outlives many workers.
+func TestSuspectIsCleared(t *testing.T) {
 	for name, clear := range map[string]func(*log){
 		"failed": func(l *log) {
 			l.do(&Command{Ends: []End{{Worker: "b", Number: 1, Run: RunRef{Task: suspectTask, Attempt: 2}, Kind: EndFailed}}})
@@ -128,15 +128,15 @@
 			l.startOn("a", 1)
 			l.crash("a", 1, 0, true)
 			l.startOn("b", 2)
-			is.Equal(l.suspicion(), 1)
+			is.Equal(l.lostWorkers(), 1)
 			clear(l)
-			is.Equal(l.suspicion(), 0)
+			is.Equal(l.lostWorkers(), 0)
 		})
 	}
 }
 
-// What was counted must survive a restart of all core VMs.
-func TestSuspectsSurviveASnapshot(t *testing.T) {
+// The counts of suspects must survive a restart of all core VMs.
+func TestSuspectsSurviveSnapshot(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
 	l.startOn("a", 1)
@@ -155,10 +155,10 @@
 	is.Equal(again, data)
 }
 
-// A site must start on the snapshots of the build before.
-func TestASnapshotOfTheLastVersionIsRead(t *testing.T) {
+// A site must start from the snapshots of the previous build.
+func TestSnapshotOfPreviousVersionIsRead(t *testing.T) {
 	is := is.New(t)
-	data, err := codec.Marshal(imageV1{Version: 1, Index: 7, Term: 3, Jobs: []*Job{{ID: "j", Queue: QueueID{Host: "h"}, Order: 1}}})
+	data, err := codec.Marshal(snapshotV1{Version: 1, Index: 7, Term: 3, Jobs: []*Job{{ID: "j", Queue: QueueID{Host: "h"}, Order: 1}}})
 	is.NoErr(err)
 	m := NewMachine()
 	is.NoErr(m.Restore(data))
@@ -166,14 +166,14 @@
 	m.Read(func(tables *Tables) { is.Equal(tables.Jobs["j"].Order, uint64(1)) })
 }
 
-// After a restart the tasks of a lasting step work on as before, and still end with
-// the caller's cancelling.
-func TestARestartLeavesTheRestOfALastingStepAlone(t *testing.T) {
+// After a restart the remaining tasks of a failed long-running job keep running, and
+// still end when the caller cancels the job.
+func TestRestartKeepsRestOfLongRunningStep(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
-	lasting := step(2)
-	lasting.Lasting, lasting.MaxUnavailable = true, 1
-	l.submit("j", lasting)
+	longRunning := step(2)
+	longRunning.Lasting, longRunning.MaxUnavailable = true, 1
+	l.submit("j", longRunning)
 	other := TaskRef{Job: "j", Index: 1}
 	l.start(other, 1)
 	for i, id := range []WorkerID{"a", "b"} {
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -2,41 +2,42 @@
 
 import "fmt"
 
-// JobID names a job; the caller chooses it.
+// JobID identifies a job; the caller chooses it.
 type JobID string
 
-// WorkerID names one incarnation of a worker.
+// WorkerID identifies one incarnation of a worker.
 type WorkerID string
 
-// MachineID names a VM of the platform, through all incarnations of its worker.
+// MachineID identifies a VM of the platform; it is the same for all incarnations of
+// the worker on the VM.
 type MachineID string
 
-// Resources are what a task needs or a worker offers.
+// Resources are the resources that a task needs or a worker offers.
 type Resources struct {
 	_ struct{} `cbor:",toarray"`
 	// CPU is in thousandths of a core, MemoryMB in MiB, GPU in devices.
 	CPU, MemoryMB, GPU int64
 }
 
-// Plus returns the sum.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, MemoryMB: r.MemoryMB + o.MemoryMB, GPU: r.GPU + o.GPU}
 }
 
-// Minus returns the difference.
+// Minus returns r less o.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
-// Fits says whether r is within o in every part.
+// Fits reports whether r is at most o in every resource.
 func (r Resources) Fits(o Resources) bool {
 	return r.CPU <= o.CPU && r.MemoryMB <= o.MemoryMB && r.GPU <= o.GPU
 }
 
-// JobSpec is a job as the caller handed it in.
+// JobSpec is a job as the caller submitted it.
 type JobSpec struct {
 	_ struct{} `cbor:",toarray"`
-	// Payload is what each task is started with; opaque here.
+	// Payload is passed to each task at its start; its content is opaque here.
 	Payload string
 	Steps   []StepSpec
 	// Repeat is nil for a job that runs once.
@@ -56,44 +57,45 @@
 // Due returns when occurrence k is due, in Unix milliseconds.
 func (r *Repeat) Due(k int) int64 { return r.FirstMS + int64(k)*r.IntervalMS }
 
-// StepSpec is one step of a job: Count equal tasks.
+// StepSpec is one step of a job: Count identical tasks.
 type StepSpec struct {
 	_     struct{} `cbor:",toarray"`
 	Count int
 	Need  Resources
-	// EstimatedMS is the caller's rough guess of a task's run time.
+	// EstimatedMS is the caller's rough estimate of a task's run time.
 	EstimatedMS int64
-	// DependsOn lists earlier steps whose tasks must all be done first.
+	// DependsOn lists the earlier steps that must be done first.
 	DependsOn []int
-	// Image names the program; tasks of one image behave alike.
+	// Image names the program; tasks with the same image behave alike.
 	Image string
-	// Label must be among the worker's labels, empty for any worker.
+	// Label is a label that the worker must have; empty for any worker.
 	Label string
-	// DataRack is where the data lies; elsewhere tasks take several times as long.
+	// DataRack is the rack that holds the data. On other racks tasks take several
+	// times as long.
 	DataRack string
-	// MaxPerWorker bounds the tasks of one occurrence on one worker; 0 for no bound.
+	// MaxPerWorker limits the tasks of one occurrence on one worker; 0 for no limit.
 	MaxPerWorker int
-	// TargetMS is the latency that a lasting task must stay below; 0 for none.
+	// TargetMS is the latency that a long-running task must stay below; 0 for none.
 	TargetMS int64
-	// MaxUnavailable bounds how many tasks of a lasting step may be away at
-	// once by our doing; 0 when the caller states no bound.
+	// MaxUnavailable limits how many tasks of a long-running step we may make
+	// unavailable at once; 0 when the caller states no limit.
 	MaxUnavailable int
-	// Checkpoints: a task saves its progress and can resume from it.
+	// Checkpoints is set when a task saves its progress and can resume from it.
 	Checkpoints bool
-	// Gang: tasks only work when all of them are present, and end together.
+	// Gang is set when the tasks work only while all of them run, and end together.
 	Gang bool
-	// SameRack: tasks are several times slower on more than one rack.
+	// SameRack is set when the tasks are several times slower on more than one rack.
 	SameRack bool
-	// Speculative: two copies of a task may run; the first end counts.
+	// Speculative is set when two copies of a task may run; the first end counts.
 	Speculative bool
-	// Lasting: tasks run until the job is cancelled.
+	// Lasting is set for long-running tasks: they run until the job is cancelled.
 	Lasting bool
-	// Fills: processor time is taken from what other tasks leave, and is not
-	// counted against the worker.
+	// Fills is set for best-effort tasks: they use the processor time that other
+	// tasks leave, and it isn't counted against the worker's capacity.
 	Fills bool
 }
 
-// Charge is what a task takes of a worker's room.
+// Charge returns the resources that a task takes from a worker's capacity.
 func (s *StepSpec) Charge() Resources {
 	need := s.Need
 	if s.Fills {
@@ -102,7 +104,7 @@
 	return need
 }
 
-// TaskRef names a task: occurrence, step and index count from 0.
+// TaskRef identifies a task; occurrence, step and index count from 0.
 type TaskRef struct {
 	_          struct{} `cbor:",toarray"`
 	Job        JobID
@@ -116,17 +118,17 @@
 	return fmt.Sprintf("%s/%d/%d/%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// RunRef names a run: one attempt at a task.
+// RunRef identifies a run: one attempt at a task.
 type RunRef struct {
 	_       struct{} `cbor:",toarray"`
 	Task    TaskRef
 	Attempt int
 }
 
-// JobState is how far a job has come.
+// JobState is the state of a job.
 type JobState uint8
 
-// The states of a job; those from Completed on are final.
+// The states of a job; those from JobCompleted on are final.
 const (
 	JobQueued JobState = iota
 	JobRunning
@@ -135,10 +137,10 @@
 	JobCancelled
 )
 
-// Final says that nothing of the job may be started any more.
+// Final reports whether no task of the job may be started any more.
 func (s JobState) Final() bool { return s >= JobCompleted }
 
-// String names the state for log lines.
+// String returns the name of the state for log lines.
 func (s JobState) String() string {
 	names := [...]string{"queued", "running", "completed", "failed", "cancelled"}
 	if int(s) < len(names) {
@@ -147,16 +149,16 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Job is an accepted job. Occurrences holds those that are not done yet.
+// Job is an accepted job. Occurrences holds those that have begun and are not done.
 type Job struct {
 	_     struct{} `cbor:",toarray"`
 	ID    JobID
 	Queue QueueID
-	// Spec is emptied once the job is final and nothing of it runs.
+	// Spec is emptied once the job is final and has no runs left.
 	Spec  JobSpec
 	State JobState
-	// Order is the log index of the acceptance; AcceptedMS and EndedMS are the
-	// leader's time of day.
+	// Order is the log index at which the job was accepted. AcceptedMS and EndedMS
+	// are the leader's time of day in Unix milliseconds.
 	Order       uint64
 	AcceptedMS  int64
 	EndedMS     int64
@@ -164,23 +166,23 @@
 	// Next is the number of the first occurrence that has not begun.
 	Next int
 
-	// work is derived from the spec; see Work.
+	// work is derived from Spec; see Work.
 	work int64
 }
 
-// Work estimates the processor time of one occurrence of the steps that end,
+// Work estimates the processor time of one occurrence, without long-running steps,
 // in thousandths of a core times milliseconds.
 func (j *Job) Work() int64 { return j.work }
 
-// typicalMS stands for the run time of a task without an estimate.
-const typicalMS = 1000
+// defaultRunMS is the assumed run time of a task without an estimate.
+const defaultRunMS = 1000
 
 // RunMS estimates the run time of a task, in milliseconds.
 func (s *StepSpec) RunMS() int64 {
 	if s.EstimatedMS > 0 {
 		return s.EstimatedMS
 	}
-	return typicalMS
+	return defaultRunMS
 }
 
 func (s *JobSpec) work() int64 {
@@ -193,7 +195,7 @@
 	return work
 }
 
-// Occurrence is one pass through the steps of a job.
+// Occurrence is one pass through the steps of a job. K is its number, from 0.
 type Occurrence struct {
 	_     struct{} `cbor:",toarray"`
 	K     int
@@ -204,7 +206,7 @@
 type Step struct {
 	_     struct{} `cbor:",toarray"`
 	Tasks []Task
-	// Done counts the tasks that are done, Active those that have a run.
+	// Done counts the tasks that are done, Active those that have at least one run.
 	Done, Active int
 }
 
@@ -212,22 +214,22 @@
 type Task struct {
 	_    struct{} `cbor:",toarray"`
 	Done bool
-	// Failures counts the runs that ended failed, Attempt is the highest
-	// attempt given out.
+	// Failures counts the runs that failed, Attempt is the highest attempt number
+	// used.
 	Failures, Attempt int
-	// Checkpoint is the latest saved progress, empty for none.
+	// Checkpoint is the last saved progress, empty for none.
 	Checkpoint string
 	Runs       []Run
 }
 
-// Run is an attempt that may run on a worker.
+// Run is an attempt that may be running on a worker.
 type Run struct {
 	_       struct{} `cbor:",toarray"`
 	Worker  WorkerID
 	Attempt int
 }
 
-// Find returns the occurrence with number k, nil when it is done or has not begun.
+// Find returns the occurrence with number k, nil if it is done or has not begun.
 func (j *Job) Find(k int) *Occurrence {
 	for _, o := range j.Occurrences {
 		if o.K == k {
@@ -237,17 +239,17 @@
 	return nil
 }
 
-// Ready says whether all steps that a step depends on are done.
+// Ready reports whether all steps that a step depends on are done.
 func (o *Occurrence) Ready(spec *JobSpec, step int) bool {
-	for _, before := range spec.Steps[step].DependsOn {
-		if o.Steps[before].Done < spec.Steps[before].Count {
+	for _, dependency := range spec.Steps[step].DependsOn {
+		if o.Steps[dependency].Done < spec.Steps[dependency].Count {
 			return false
 		}
 	}
 	return true
 }
 
-// IsActive says whether anything of the job may still run.
+// IsActive reports whether any task of the job may still be running.
 func (j *Job) IsActive() bool {
 	for _, o := range j.Occurrences {
 		for i := range o.Steps {
--- a/internal/workload/machine.go
+++ b/internal/workload/machine.go
@@ -14,16 +14,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// ErrStepBack says that a snapshot is older than what was applied.
+// ErrStepBack is returned for a snapshot that is older than the applied state.
 var ErrStepBack = errors.New("workload: snapshot is older than the applied state")
 
-// Machine guards the tables: one applier, any number of readers.
+// Machine is the replicated state machine. It guards the tables: one goroutine
+// applies commands, any number read.
 type Machine struct {
 	mu      sync.RWMutex
 	index   uint64
 	tables  *Tables
 	applied chan struct{}
-	// clock is steady; nil where nobody asks when an order was learnt of.
+	// clock is monotonic; nil when the times of orders are not needed.
 	clock func() time.Duration
 }
 
@@ -32,16 +33,16 @@
 	return &Machine{tables: newTables(), applied: make(chan struct{})}
 }
 
-// SetClock has the machine note when it learns of orders to the platform. It is
-// called before anything is applied.
+// SetClock makes the machine record when it applies orders to the platform. It must
+// be called before anything is applied.
 func (m *Machine) SetClock(steady func() time.Duration) { m.clock = steady }
 
 // Apply applies the command at an index of the log. A command that cannot be
-// decoded is refused, on every VM alike.
+// decoded is refused, in the same way on every VM.
 func (m *Machine) Apply(index uint64, data []byte) state.Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.changed()
+	defer m.notifyChanged()
 	m.index = index
 	if len(data) == 0 {
 		return state.Result{Index: index}
@@ -52,12 +53,12 @@
 	}
 	refused := m.tables.apply(index, command)
 	if refused == "" {
-		m.learn(command.Ordered)
+		m.recordOrderTimes(command.Ordered)
 	}
 	return state.Result{Index: index, Refused: state.Refusal(refused)}
 }
 
-func (m *Machine) learn(ordered []MachineID) {
+func (m *Machine) recordOrderTimes(ordered []MachineID) {
 	if m.clock == nil || len(ordered) == 0 {
 		return
 	}
@@ -67,26 +68,28 @@
 	}
 }
 
-func (m *Machine) changed() {
+func (m *Machine) notifyChanged() {
 	close(m.applied)
 	m.applied = make(chan struct{})
 }
 
-// Applied returns the last index applied.
+// Applied returns the index of the last command applied.
 func (m *Machine) Applied() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.index
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next command or snapshot is
+// applied.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.applied
 }
 
-// Wait returns once an index was applied, or with the error of ctx.
+// Wait waits until an index is applied. It returns the error of ctx if that ends
+// first.
 func (m *Machine) Wait(ctx context.Context, index uint64) error {
 	for {
 		m.mu.RLock()
@@ -103,18 +106,19 @@
 	}
 }
 
-// Read calls f with the tables, which f must neither change nor keep.
+// Read calls f with the tables, which f must neither modify nor retain.
 func (m *Machine) Read(f func(t *Tables)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	f(m.tables)
 }
 
-// snapshotVersion is the format that this build writes and reads.
+// snapshotVersion is the format that this build writes; it reads version 1 as well.
 const snapshotVersion = 2
 
-// image is the encoded form of the whole state, each list in a fixed order.
-type image struct {
+// snapshot is the encoded form of the whole state, each list in a fixed order. Its
+// fields are stored by position.
+type snapshot struct {
 	_        struct{} `cbor:",toarray"`
 	Version  int
 	Index    uint64
@@ -131,8 +135,8 @@
 	Sequences map[WorkerID]uint64
 }
 
-// imageV1 is version 1, which this build reads as well.
-type imageV1 struct {
+// snapshotV1 is the format of version 1, which this build still reads.
+type snapshotV1 struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
 	Index   uint64
@@ -145,8 +149,8 @@
 	Ordered map[MachineID]int64
 }
 
-func (p *imageV1) upgrade() image {
-	return image{
+func (p *snapshotV1) upgrade() snapshot {
+	return snapshot{
 		Version: snapshotVersion, Index: p.Index, Term: p.Term, Config: p.Config, Queues: p.Queues,
 		Jobs: p.Jobs, Workers: p.Workers, Waves: p.Waves, Ordered: p.Ordered,
 	}
@@ -157,66 +161,66 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	t := m.tables
-	picture := image{Version: snapshotVersion, Index: m.index, Term: t.Term, Config: t.Config, Jobs: t.sortedJobs(), Ordered: t.Ordered}
+	snap := snapshot{Version: snapshotVersion, Index: m.index, Term: t.Term, Config: t.Config, Jobs: t.sortedJobs(), Ordered: t.Ordered}
 	for _, id := range slices.SortedFunc(maps.Keys(t.Queues), compareQueues) {
-		picture.Queues = append(picture.Queues, t.Queues[id])
+		snap.Queues = append(snap.Queues, t.Queues[id])
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.Workers)) {
-		picture.Workers = append(picture.Workers, t.Workers[id])
+		snap.Workers = append(snap.Workers, t.Workers[id])
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.Waves)) {
-		picture.Waves = append(picture.Waves, t.Waves[id])
+		snap.Waves = append(snap.Waves, t.Waves[id])
 	}
-	picture.Sequences = t.Sequences
-	picture.Losses, picture.Suspects = t.sortedLosses(), t.sortedSuspects()
-	return codec.Marshal(picture)
+	snap.Sequences = t.Sequences
+	snap.Losses, snap.Suspects = t.sortedLosses(), t.sortedSuspects()
+	return codec.Marshal(snap)
 }
 
 func compareQueues(a, b QueueID) int {
 	return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Prefix, b.Prefix))
 }
 
-// Restore replaces the state by a snapshot, wholly or not at all.
+// Restore replaces the state by a snapshot; on an error the state is unchanged.
 func (m *Machine) Restore(data []byte) error {
-	picture, err := decodeImage(data)
+	snap, err := decodeSnapshot(data)
 	if err != nil {
 		return err
 	}
-	restored := picture.tables()
+	restored := snap.tables()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if picture.Index < m.index {
+	if snap.Index < m.index {
 		return ErrStepBack
 	}
-	before := m.tables
-	m.index, m.tables = picture.Index, restored
+	previous := m.tables
+	m.index, m.tables = snap.Index, restored
 	for machine, atMS := range restored.Ordered {
-		if learnt, known := before.Learnt[machine]; known && before.Ordered[machine] == atMS {
-			restored.Learnt[machine] = learnt
+		if appliedAt, known := previous.Learnt[machine]; known && previous.Ordered[machine] == atMS {
+			restored.Learnt[machine] = appliedAt
 			continue
 		}
-		m.learn([]MachineID{machine})
+		m.recordOrderTimes([]MachineID{machine})
 	}
-	m.changed()
+	m.notifyChanged()
 	return nil
 }
 
-func decodeImage(data []byte) (image, error) {
-	var old imageV1
+func decodeSnapshot(data []byte) (snapshot, error) {
+	var old snapshotV1
 	if codec.Unmarshal(data, &old) == nil && old.Version == 1 {
 		return old.upgrade(), nil
 	}
-	var picture image
-	if err := codec.Unmarshal(data, &picture); err != nil {
-		return image{}, fmt.Errorf("workload: decode snapshot: %w", err)
+	var snap snapshot
+	if err := codec.Unmarshal(data, &snap); err != nil {
+		return snapshot{}, fmt.Errorf("workload: decode snapshot: %w", err)
 	}
-	if picture.Version != snapshotVersion {
-		return image{}, fmt.Errorf("workload: snapshot has version %d; this build reads 1 and %d", picture.Version, snapshotVersion)
+	if snap.Version != snapshotVersion {
+		return snapshot{}, fmt.Errorf("workload: snapshot has version %d; this build reads 1 and %d", snap.Version, snapshotVersion)
 	}
-	return picture, nil
+	return snap, nil
 }
 
-func (p *image) tables() *Tables {
+func (p *snapshot) tables() *Tables {
 	t := newTables()
 	t.Term, t.Config = p.Term, p.Config
 	for _, q := range p.Queues {
@@ -236,7 +240,7 @@
 	}
 	for _, loss := range p.Losses {
 		t.Losses[loss.Worker] = append(t.Losses[loss.Worker], loss)
-		t.missing[loss.Run.Task]++
+		t.unconfirmedLosses[loss.Run.Task]++
 	}
 	if p.Sequences != nil {
 		t.Sequences = p.Sequences
@@ -244,6 +248,6 @@
 	for _, s := range p.Suspects {
 		t.Suspects[s.Task] = s
 	}
-	t.derive()
+	t.rebuildDerived()
 	return t
 }
--- a/internal/workload/machine_test.go
+++ b/internal/workload/machine_test.go
@@ -58,7 +58,7 @@
 	l := newLog()
 	l.submit("j", step(1), step(1, 0))
 	is.Equal(l.job("j").State, JobQueued)
-	l.start(TaskRef{Job: "j", Step: 1}, 1) // its turn has not come
+	l.start(TaskRef{Job: "j", Step: 1}, 1) // refused: step 0 is not done
 	is.Equal(l.job("j").State, JobQueued)
 	l.start(TaskRef{Job: "j"}, 1)
 	is.Equal(l.job("j").State, JobRunning)
@@ -73,10 +73,9 @@
 	})
 }
 
-// Symptom: a job fails after fewer attempts than it has. Sequence: a worker
-// lists an end again, because the acknowledgement was lost. Cause: one end
-// counted twice.
-func TestAnEndCountsOnce(t *testing.T) {
+// A worker reports an end again when the acknowledgement was lost. Counting it twice
+// would fail the job after fewer attempts than the queue allows.
+func TestRepeatedEndCountsOnce(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.submit("j", step(1))
@@ -90,7 +89,7 @@
 	is.Equal(l.job("j").State, JobFailed)
 }
 
-func TestACancelledJobIsToBeStopped(t *testing.T) {
+func TestCancelledJobStopsItsRuns(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.submit("j", step(2))
@@ -106,7 +105,7 @@
 	l.Read(func(tables *Tables) { is.Equal(len(tables.Stopping), 0) })
 }
 
-func TestGangEndsTogetherAndSharesProgress(t *testing.T) {
+func TestGangSharesCheckpointAndEndsTogether(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	gang := step(2)
@@ -138,7 +137,7 @@
 	is.Equal(l.job("j").State, JobCompleted)
 }
 
-func TestALaterLeaderFencesTheLastOne(t *testing.T) {
+func TestCommandOfEarlierTermIsRefused(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.submit("j", step(1))
@@ -147,9 +146,9 @@
 	is.Equal(l.job("j").State, JobQueued)
 }
 
-// Symptom: a configuration steps back. Sequence: an older one arrives late, or
-// other content under the version in force. Cause: the last one taken.
-func TestOnlyAHigherVersionTakesEffect(t *testing.T) {
+// An older configuration that arrives late, or different content under the version
+// in force, must not replace the current configuration.
+func TestOnlyHigherConfigVersionTakesEffect(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	for _, version := range []uint64{2, 3} {
@@ -161,7 +160,7 @@
 	})
 	l.submit("j", step(1))
 	l.do(&Command{Config: &Config{Version: 9}})
-	l.start(TaskRef{Job: "j"}, 1) // the queue is gone, its jobs are carried out
+	l.start(TaskRef{Job: "j"}, 1) // the queue is no longer configured, its jobs still run
 	is.Equal(l.job("j").State, JobRunning)
 }
 
@@ -192,7 +191,7 @@
 	is.True(errors.Is(older.Restore(data), ErrStepBack))
 }
 
-func TestRouteTakesTheLongestPrefix(t *testing.T) {
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.Read(func(tables *Tables) {
@@ -224,10 +223,10 @@
 	}
 }
 
-// Symptom: a VM is moved under a task. Sequence: the leader decides on a start,
-// decides to move the idle VM, and commits the start last. Cause: a start that
-// only the leader checks.
-func TestNothingStartsOnAClosedWorker(t *testing.T) {
+// The leader may decide on a start, then decide to move the idle VM, and commit the
+// start last. Unless the start is also checked when it is applied, the VM is moved
+// while a task runs on it.
+func TestNothingStartsOnClosedWorker(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.submit("j", step(1))
@@ -245,7 +244,7 @@
 	l.Read(func(tables *Tables) { is.True(!tables.Workers["w"].Closed) })
 }
 
-func TestOnlyWhatEndedIsForgotten(t *testing.T) {
+func TestOnlyEndedJobsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	l.submit("done", step(1))
--- a/internal/workload/objective.go
+++ b/internal/workload/objective.go
@@ -1,21 +1,21 @@
 package workload
 
-// Objective returns how long a job may take to be in time, in milliseconds,
-// from its acceptance or the time at which an occurrence is due.
+// Objective returns how long an occurrence of a job may take to be on time, in
+// milliseconds from the job's acceptance or the time at which the occurrence is due.
 func (j *Job) Objective(q *Queue) int64 {
-	return int64(q.TargetFactor*float64(j.Spec.chain(nil))) + q.TargetLatencyMS
+	return int64(q.TargetFactor*float64(j.Spec.criticalPathMS(nil))) + q.TargetLatencyMS
 }
 
-// LeftMS estimates how long an occurrence takes from now on if everything
-// starts as soon as it may: its longest chain of tasks that are not done.
-func (j *Job) LeftMS(o *Occurrence) int64 { return j.Spec.chain(o) }
+// LeftMS estimates how much longer an occurrence takes if every task starts as soon
+// as its step is ready: the critical path of the steps that are not done.
+func (j *Job) LeftMS(o *Occurrence) int64 { return j.Spec.criticalPathMS(o) }
 
-// LateFactor is how many times its objective a job may take and still be of
-// some use to its caller.
+// LateFactor is how many times its objective a job may take before it is of no use
+// to its caller.
 const LateFactor = 3
 
-// SlackMS estimates how much longer an occurrence may wait and still end
-// within so many times its objective; it is negative when it can't.
+// SlackMS estimates how much longer an occurrence may wait and still end within
+// the given multiple of its objective; it is negative if it can't.
 func (j *Job) SlackMS(q *Queue, o *Occurrence, nowMS int64, times int64) int64 {
 	began := j.AcceptedMS
 	if j.Spec.Repeat != nil {
@@ -24,7 +24,7 @@
 	return began + times*j.Objective(q) - nowMS - j.LeftMS(o)
 }
 
-// IsLate says whether no occurrence of a job can be in time any more.
+// IsLate reports whether no occurrence of a job can be on time any more.
 func (j *Job) IsLate(q *Queue, nowMS int64) bool {
 	for _, o := range j.Occurrences {
 		if j.SlackMS(q, o, nowMS, 1) >= 0 {
@@ -34,16 +34,16 @@
 	return len(j.Occurrences) > 0
 }
 
-// chain returns the longest chain of run times through the steps, leaving out
-// those that are done in an occurrence.
-func (s *JobSpec) chain(o *Occurrence) int64 {
+// criticalPathMS returns the run time of the longest chain of dependent steps. Steps
+// that are done in the occurrence o count as 0; o may be nil.
+func (s *JobSpec) criticalPathMS(o *Occurrence) int64 {
 	var ends [maxSteps]int64
 	var longest int64
 	for i := range s.Steps {
 		step := &s.Steps[i]
 		var begin int64
-		for _, before := range step.DependsOn {
-			begin = max(begin, ends[before])
+		for _, dependency := range step.DependsOn {
+			begin = max(begin, ends[dependency])
 		}
 		ends[i] = begin
 		if !step.Lasting && (o == nil || o.Steps[i].Done < step.Count) {
@@ -54,7 +54,7 @@
 	return longest
 }
 
-// LeftWork estimates the processor time that an occurrence still takes, in
+// LeftWork estimates the processor time that an occurrence still needs, in
 // thousandths of a core times milliseconds.
 func (j *Job) LeftWork(o *Occurrence) int64 {
 	var work int64
--- a/internal/workload/start.go
+++ b/internal/workload/start.go
@@ -1,10 +1,10 @@
 package workload
 
-// startAll commits runs; those of one gang together or not at all.
+// startAll commits runs; the members of one gang all or none.
 func (t *Tables) startAll(starts []Start) {
 	for len(starts) > 0 {
-		n := t.together(starts)
-		if n == 1 || t.haveRoom(starts[:n]) {
+		n := t.gangPrefixLen(starts)
+		if n == 1 || t.gangFits(starts[:n]) {
 			for i := range starts[:n] {
 				t.start(&starts[i])
 			}
@@ -13,9 +13,9 @@
 	}
 }
 
-// together counts the starts at the beginning of a list that are of one gang; 1
-// for any other.
-func (t *Tables) together(starts []Start) int {
+// gangPrefixLen returns how many starts at the beginning of a list belong to the
+// same gang; 1 if the first one is not of a gang.
+func (t *Tables) gangPrefixLen(starts []Start) int {
 	first := starts[0].Run
 	job, step, _ := t.Task(first.Task)
 	if step == nil || !job.Spec.Steps[first.Task.Step].Gang {
@@ -32,8 +32,9 @@
 	return a.Task.Job == b.Task.Job && a.Task.Occurrence == b.Task.Occurrence && a.Task.Step == b.Task.Step && a.Attempt == b.Attempt
 }
 
-// haveRoom says whether the members of a gang all fit on their workers.
-func (t *Tables) haveRoom(starts []Start) bool {
+// gangFits reports whether all members of a gang fit into the free capacity of
+// their workers.
+func (t *Tables) gangFits(starts []Start) bool {
 	taken := map[WorkerID]Resources{}
 	for i := range starts {
 		worker := t.Workers[starts[i].Worker]
@@ -49,8 +50,8 @@
 	return true
 }
 
-// start commits a run if the task still wants one. The leader decided on a
-// state that may have changed since.
+// start commits a run if it is still valid. The leader decided on a state that may
+// have changed since.
 func (t *Tables) start(s *Start) {
 	job, step, task := t.Task(s.Run.Task)
 	worker := t.Workers[s.Worker]
@@ -72,6 +73,6 @@
 	}
 	task.Attempt = s.Run.Attempt
 	job.State = JobRunning
-	t.countStart(s.Run.Task)
+	t.countSuspectStart(s.Run.Task)
 	t.addRun(job, step, task, s.Run, s.Worker)
 }
--- a/internal/workload/tables.go
+++ b/internal/workload/tables.go
@@ -7,53 +7,57 @@
 	"time"
 )
 
-// Tables is the state. Readers get it under the machine's lock and change nothing.
+// Tables is the state. Readers access it under the lock of the Machine and must not
+// modify it.
 type Tables struct {
 	Term   uint64
 	Config *Config
-	// Queues holds every queue that was ever configured; one that is no longer
-	// configured keeps its last form, so that its jobs are still carried out.
+	// Queues holds every queue that was ever configured. A queue that is no longer
+	// configured keeps its last settings, so that its jobs still run.
 	Queues  map[QueueID]*Queue
 	Jobs    map[JobID]*Job
 	Workers map[WorkerID]*Worker
 	Waves   map[int64]*Wave
-	// Ordered is when an order for a VM was last given to the platform, by the
+	// Ordered holds when an order for a VM was last given to the platform, by the
 	// leader's time of day in Unix milliseconds.
 	Ordered map[MachineID]int64
-	// Learnt is when this process applied the last of these orders, by its own
-	// steady clock. It is not replicated; without a clock it stays empty.
+	// Learnt holds when this process applied the last of these orders, by its own
+	// monotonic clock. It isn't replicated, and is empty without a clock.
 	Learnt map[MachineID]time.Duration
 
-	// Sequences is the number of the last report of each worker that changed
-	// something, 0 where it is not known.
+	// Sequences holds the number of the last report that updated each worker, 0 if
+	// unknown.
 	Sequences map[WorkerID]uint64
-	// Losses holds the runs lost with a worker that may still come back, Suspects
+	// Losses holds the runs lost with workers that may still come back, Suspects
 	// the tasks under which workers crashed.
 	Losses   map[WorkerID][]Loss
 	Suspects map[TaskRef]*Suspect
 
-	// What follows is derived from the above.
+	// The fields below are derived from those above.
 
-	// missing counts Losses by task: the workers lost under it that may come back.
-	missing map[TaskRef]int
+	// unconfirmedLosses counts Losses by task: the workers lost under it that may
+	// still come back.
+	unconfirmedLosses map[TaskRef]int
 
 	// Live holds the jobs that are not final, by queue, in order of acceptance.
 	Live map[QueueID][]*Job
-	// Runs holds what may run on each worker; Used is the room it takes.
+	// Runs holds the runs that may be running on each worker, Used the resources
+	// that they are charged for.
 	Runs map[WorkerID]map[RunRef]bool
 	Used map[WorkerID]Resources
-	// Kinds counts the runs on each worker by what they are to others.
+	// Kinds counts the runs on each worker by how they affect other runs.
 	Kinds map[WorkerID]Kinds
-	// Changes counts the changes of the runs of each worker.
+	// Changes counts the changes of each worker's runs.
 	Changes map[WorkerID]uint64
-	// Stopping holds the runs whose task or job needs them no more.
+	// Stopping holds the runs that their task or job no longer needs, with their
+	// workers.
 	Stopping map[RunRef]WorkerID
 }
 
-// Kinds counts runs by what they are to others on the same worker.
+// Kinds counts the runs on a worker by how they affect other runs there.
 type Kinds struct {
-	// Lasting run until their job is cancelled, Serving have a latency target,
-	// Filling take what others leave.
+	// Lasting counts long-running runs, Serving those with a latency target,
+	// Filling best-effort ones.
 	Lasting, Serving, Filling int
 }
 
@@ -69,8 +73,8 @@
 	}
 }
 
-// count enters or takes off (n is -1) a run in what is derived for a worker.
-func (t *Tables) count(worker WorkerID, spec *StepSpec, n int) {
+// countRun adds a run to the derived counts of a worker, or removes it if n is -1.
+func (t *Tables) countRun(worker WorkerID, spec *StepSpec, n int) {
 	kinds := t.Kinds[worker]
 	kinds.add(spec, n)
 	t.Kinds[worker] = kinds
@@ -82,14 +86,14 @@
 		Queues: map[QueueID]*Queue{}, Jobs: map[JobID]*Job{},
 		Workers: map[WorkerID]*Worker{}, Waves: map[int64]*Wave{}, Ordered: map[MachineID]int64{}, Learnt: map[MachineID]time.Duration{},
 		Sequences: map[WorkerID]uint64{},
-		Losses:    map[WorkerID][]Loss{}, Suspects: map[TaskRef]*Suspect{}, missing: map[TaskRef]int{},
+		Losses:    map[WorkerID][]Loss{}, Suspects: map[TaskRef]*Suspect{}, unconfirmedLosses: map[TaskRef]int{},
 		Live: map[QueueID][]*Job{}, Runs: map[WorkerID]map[RunRef]bool{},
 		Used: map[WorkerID]Resources{}, Kinds: map[WorkerID]Kinds{}, Changes: map[WorkerID]uint64{}, Stopping: map[RunRef]WorkerID{},
 	}
 }
 
-// Task returns the task that a reference names with its step and job; nil
-// when it is unknown or its occurrence is over.
+// Task returns the task of a reference with its job and step. Task and step are nil
+// if the task is unknown or its occurrence is done, all three if the job is unknown.
 func (t *Tables) Task(ref TaskRef) (*Job, *Step, *Task) {
 	job := t.Jobs[ref.Job]
 	if job == nil {
@@ -106,16 +110,16 @@
 	return job, step, &step.Tasks[ref.Index]
 }
 
-// HasPool says whether the configuration in force names a pool.
+// HasPool reports whether the configuration in force has a pool.
 func (t *Tables) HasPool(name string) bool {
 	return t.Config != nil && slices.ContainsFunc(t.Config.Pools, func(p Pool) bool { return p.Name == name })
 }
 
-// HasRun says whether a run is committed on a worker.
+// HasRun reports whether a run is committed on a worker.
 func (t *Tables) HasRun(worker WorkerID, run RunRef) bool { return t.Runs[worker][run] }
 
-// Pending counts the live jobs of a queue of which nothing has started. Jobs
-// that repeat don't count.
+// Pending returns the number of live jobs of a queue that have started nothing yet,
+// not counting repeated jobs.
 func (t *Tables) Pending(queue QueueID) int {
 	n := 0
 	for _, job := range t.Live[queue] {
@@ -126,7 +130,7 @@
 	return n
 }
 
-// addRun enters a run in the task and in what is derived.
+// addRun adds a run to its task and to the derived tables.
 func (t *Tables) addRun(job *Job, step *Step, task *Task, ref RunRef, worker WorkerID) {
 	if len(task.Runs) == 0 {
 		step.Active++
@@ -142,10 +146,10 @@
 	t.Runs[worker][ref] = true
 	spec := &job.Spec.Steps[ref.Task.Step]
 	t.Used[worker] = t.Used[worker].Plus(spec.Charge())
-	t.count(worker, spec, 1)
+	t.countRun(worker, spec, 1)
 }
 
-// removeRun takes a run off; false when it was not there.
+// removeRun removes a run; it returns false if the run or its task is unknown.
 func (t *Tables) removeRun(worker WorkerID, ref RunRef) bool {
 	if !t.Runs[worker][ref] {
 		return false
@@ -158,7 +162,7 @@
 	}
 	spec := &job.Spec.Steps[ref.Task.Step]
 	t.Used[worker] = t.Used[worker].Minus(spec.Charge())
-	t.count(worker, spec, -1)
+	t.countRun(worker, spec, -1)
 	task.Runs = slices.DeleteFunc(task.Runs, func(r Run) bool {
 		return r.Worker == worker && r.Attempt == ref.Attempt
 	})
@@ -188,50 +192,51 @@
 	}
 }
 
-// finish makes a job final. What still runs of it is to be stopped, but for what
-// outlives it.
+// finish makes a job final. Its runs are to be stopped, except those that
+// keepsRunning exempts.
 func (t *Tables) finish(job *Job, state JobState, nowMS int64) {
 	job.State = state
 	job.EndedMS = nowMS
-	t.stopFinal(job)
+	t.stopFinalRuns(job)
 	t.clearSuspects(job.ID)
 	t.Live[job.Queue] = slices.DeleteFunc(t.Live[job.Queue], func(j *Job) bool { return j == job })
-	t.shrink(job)
+	t.compactJob(job)
 }
 
 // stopFinal marks the runs of a final job as no longer needed.
-func (t *Tables) stopFinal(job *Job) {
+func (t *Tables) stopFinalRuns(job *Job) {
 	job.eachTask(func(ref TaskRef, _ *Step, task *Task) {
-		if !job.outlives(ref) {
+		if !job.keepsRunning(ref) {
 			t.stopRuns(ref, task)
 		}
 	})
 }
 
-// outlives says whether a task works on though its job has failed. The tasks of a
-// lasting step serve users of their own, and with the one that failed as many are
-// away as the step allows: only the caller's cancelling ends them.
-func (j *Job) outlives(ref TaskRef) bool {
+// keepsRunning reports whether a task goes on although its job has failed. The
+// tasks of a long-running step with MaxUnavailable serve their own users, and the
+// failed task may already use up the limit. Only cancelling the job stops them.
+func (j *Job) keepsRunning(ref TaskRef) bool {
 	spec := &j.Spec.Steps[ref.Step]
 	return j.State == JobFailed && spec.Lasting && spec.MaxUnavailable > 0
 }
 
-// MayCancel says whether cancelling a job still changes something.
+// MayCancel reports whether cancelling a job still has an effect.
 func (j *Job) MayCancel() bool {
 	return !j.State.Final() || j.State == JobFailed && j.IsActive()
 }
 
-// shrink drops the steps of a final job of which nothing runs any more: only
-// its state is asked for then.
-func (t *Tables) shrink(job *Job) {
+// compactJob drops the spec and the occurrences of a final job without runs, as only
+// its state is still needed.
+func (t *Tables) compactJob(job *Job) {
 	if job.State.Final() && !job.IsActive() {
 		job.Spec = JobSpec{}
 		job.Occurrences = nil
 	}
 }
 
-// derive computes what is derived, after the tables were read from a snapshot.
-func (t *Tables) derive() {
+// rebuildDerived computes the derived fields after the tables were read from a
+// snapshot.
+func (t *Tables) rebuildDerived() {
 	for _, job := range t.sortedJobs() {
 		job.work = job.Spec.work()
 		if !job.State.Final() {
@@ -241,7 +246,7 @@
 			for _, run := range task.Runs {
 				t.indexRun(job, RunRef{Task: ref, Attempt: run.Attempt}, run.Worker)
 			}
-			if task.Done || job.State.Final() && !job.outlives(ref) {
+			if task.Done || job.State.Final() && !job.keepsRunning(ref) {
 				t.stopRuns(ref, task)
 			}
 		})
--- a/internal/workload/validate.go
+++ b/internal/workload/validate.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Validate says what is invalid about a configuration, nil when nothing is.
+// Validate returns an error that describes the first invalid setting of a
+// configuration, nil if it is valid.
 func (c *Config) Validate() error {
 	pools := map[string]bool{}
 	for _, p := range c.Pools {
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// Bounds of one job. They are far above what callers need and keep one request
+// Limits of one job. They are far above what callers need and prevent one request
 // from filling the memory of every core VM.
 const (
 	maxSteps       = 64
@@ -38,7 +39,8 @@
 	maxOccurrences = 1_000_000
 )
 
-// Validate says what is invalid about a job, nil when nothing is.
+// Validate returns an error that describes the first invalid part of a job, nil if
+// it is valid.
 func (s *JobSpec) Validate() error {
 	if len(s.Payload) > maxPayload {
 		return fmt.Errorf("the payload has %d bytes; at most %d are allowed", len(s.Payload), maxPayload)
@@ -69,9 +71,9 @@
 	if s.Need.CPU < 0 || s.Need.MemoryMB < 0 || s.Need.GPU < 0 {
 		return errors.New("needs must not be negative")
 	}
-	for _, before := range s.DependsOn {
-		if before < 0 || before >= number {
-			return fmt.Errorf("depends on step %d, which is not an earlier one", before)
+	for _, dependency := range s.DependsOn {
+		if dependency < 0 || dependency >= number {
+			return fmt.Errorf("depends on step %d, which is not an earlier one", dependency)
 		}
 	}
 	return nil
--- a/internal/workload/worker.go
+++ b/internal/workload/worker.go
@@ -1,50 +1,54 @@
 package workload
 
-// Worker is one incarnation of a worker as it announced itself.
+// Worker is one incarnation of a worker as it registered.
 type Worker struct {
 	_       struct{} `cbor:",toarray"`
 	ID      WorkerID
 	Pool    string
 	Address string
 	Zone    string
-	// Kind and Rack stay with the VM through all incarnations.
+	// Kind and Rack belong to the VM and are the same for all incarnations.
 	Kind, Rack string
-	// Capacity is the whole room of the worker.
+	// Capacity is the total capacity that the worker reports.
 	Capacity Resources
-	// Draining: the worker announced that it will leave; nothing is started there.
+	// Draining is set when the worker announced that it will leave; nothing is
+	// started on it.
 	Draining bool
-	// Closed: an order for its VM follows; nothing is started there.
+	// Closed is set when an order for its VM is about to be sent; nothing is started
+	// on it.
 	Closed bool
-	// Acked is the number of the last end that is committed.
+	// Acked is the number of the last committed end.
 	Acked uint64
 }
 
-// Has says whether the worker has a label; the empty label is on every worker.
+// Has reports whether the worker has a label; every worker has the empty label.
 func (w *Worker) Has(label string) bool {
 	return label == "" || label == w.Kind || label == w.Rack
 }
 
-// Wave is a round of maintenance that the operator asked for.
+// Wave is a maintenance wave that the operator requested.
 type Wave struct {
 	_  struct{} `cbor:",toarray"`
 	ID int64
-	// ForMS is the time within which all machines should have begun, counted
-	// from AskedMS, the leader's time of day when it was accepted.
+	// ForMS is the time within which the maintenance of all VMs should have begun,
+	// in milliseconds from AskedMS. AskedMS is the leader's time of day when the
+	// wave was accepted, in Unix milliseconds.
 	ForMS, AskedMS int64
-	// Most is the number of machines that may be away for it at once.
+	// Most is the number of VMs that may be unavailable for the wave at once.
 	Most     int
 	Machines []WaveMachine
 }
 
-// WaveMachine is one machine of a wave.
+// WaveMachine is one VM of a wave.
 type WaveMachine struct {
 	_       struct{} `cbor:",toarray"`
 	Machine MachineID
-	// Begun: the platform has confirmed the maintenance, or the machine is gone.
+	// Begun is set when the platform has confirmed the maintenance, or the VM no
+	// longer exists.
 	Begun bool
 }
 
-// Completed says whether every machine that stays has begun its maintenance.
+// Completed reports whether the maintenance of every VM that still exists has begun.
 func (w *Wave) Completed() bool {
 	for i := range w.Machines {
 		if !w.Machines[i].Begun {
