--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// BenchmarkPlanInAPeak is a plan of 350 workers that are full, with 2,000 jobs
-// waiting: what a round costs when there is nothing to start.
+// BenchmarkPlanInAPeak measures a plan for 350 full workers with some 2,000 waiting
+// jobs, when nothing can be started.
 func BenchmarkPlanInAPeak(b *testing.B) {
 	m := workload.NewMachine()
 	index := uint64(0)
--- a/internal/schedule/doc.go
+++ b/internal/schedule/doc.go
@@ -1,8 +1,8 @@
-// Package schedule decides which tasks to start where. It is pure: the
-// replicated tables and what the leader knows of the workers come in, starts
-// come out. Package dispatch commits and carries them out.
+// Package schedule decides which tasks to start on which workers. It has no side
+// effects: Make computes a plan from the replicated tables and the leader's state
+// of the workers. Package dispatch commits the starts and carries them out.
 //
-// Plan goes through the queues by urgency and through their jobs in order. A
-// job that does not fit never holds up one behind it. Within what a worker
-// must satisfy (Filter) the best one is taken (score).
+// Make goes through the waiting steps in order of urgency. A job that doesn't fit
+// never blocks the ones behind it. Of the workers that a step may use (filter), the
+// one with the highest score is taken.
 package schedule
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -7,15 +7,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// placement is one task on one candidate, before it is certain.
+// placement is a tentative assignment of one task to one candidate.
 type placement struct {
 	index     int
 	candidate *candidate
 }
 
-// placeStep starts as many tasks of a step as find room; all or none of a gang.
+// placeStep starts as many tasks of a step as fit; of a gang all or none.
 func (p *planner) placeStep(w waitingStep) {
-	if p.isFull(w) {
+	if p.isUnplaceable(w) {
 		return
 	}
 	fit := p.filter(w)
@@ -23,22 +23,23 @@
 		return
 	}
 	if w.spec().SameRack {
-		fit = p.oneRack(w, fit)
+		fit = p.selectRack(w, fit)
 	}
-	fit = p.nearData(w, fit)
+	fit = p.preferDataRack(w, fit)
 	placed := p.placeTasks(w, fit)
 	if w.spec().Gang && len(placed) < w.spec().Count {
-		p.undo(w, placed)
+		p.rollBack(w, placed)
 		return
 	}
-	p.commit(w, placed)
+	p.addStarts(w, placed)
 }
 
-// isFull says whether a step with needs as small found no room in the pool. In a
-// peak thousands of steps wait, and each would look at every worker.
-func (p *planner) isFull(w waitingStep) bool {
+// isUnplaceable reports whether a step that needs no more than this one already
+// failed to fit in the pool. At a peak thousands of steps wait, and checking every
+// worker for each of them would take too long.
+func (p *planner) isUnplaceable(w waitingStep) bool {
 	charge := w.spec().Charge()
-	for _, failed := range p.full[w.queue.Pool] {
+	for _, failed := range p.unplaceable[w.queue.Pool] {
 		if failed.Fits(charge) {
 			return true
 		}
@@ -46,15 +47,17 @@
 	return false
 }
 
-// noteFull notes that a step found no room though any worker would have done.
-func (p *planner) noteFull(w waitingStep, fit []*candidate) {
+// recordUnplaceable records that a step that may use any worker of the pool fits on
+// none.
+func (p *planner) recordUnplaceable(w waitingStep, fit []*candidate) {
 	spec := w.spec()
 	if spec.MaxPerWorker == 0 && len(fit) == len(p.pools[w.queue.Pool]) {
-		p.full[w.queue.Pool] = append(p.full[w.queue.Pool], spec.Charge())
+		p.unplaceable[w.queue.Pool] = append(p.unplaceable[w.queue.Pool], spec.Charge())
 	}
 }
 
-// filter returns the workers that may run the step, whatever their room.
+// filter returns the workers that may run the step, regardless of their free
+// capacity.
 func (p *planner) filter(w waitingStep) []*candidate {
 	spec := w.spec()
 	if spec.Label == "" && w.queue.Advisor == nil {
@@ -79,10 +82,10 @@
 	return fit
 }
 
-// oneRack keeps the candidates of one rack: where tasks of the step run
-// already, or the rack that has most room. When no rack holds all tasks the
-// step is spread: it is slower, but it runs.
-func (p *planner) oneRack(w waitingStep, fit []*candidate) []*candidate {
+// selectRack returns the candidates of one rack: the one on which tasks of the step
+// run already, otherwise the one with free capacity for the most tasks. If no rack
+// fits all tasks, the step uses several racks: it is slower, but it runs.
+func (p *planner) selectRack(w waitingStep, fit []*candidate) []*candidate {
 	racks := map[string][]*candidate{}
 	for _, c := range fit {
 		racks[c.worker.Rack] = append(racks[c.worker.Rack], c)
@@ -92,7 +95,7 @@
 	}
 	best, most := fit, 0
 	for _, rack := range sortedKeys(racks) {
-		n := slots(racks[rack], w.spec())
+		n := countFits(racks[rack], w.spec())
 		if n >= w.spec().Count && n > most {
 			best, most = racks[rack], n
 		}
@@ -101,17 +104,19 @@
 }
 
 const (
-	// farFactor is how many times as long a task takes away from its data, as
-	// the users state it.
-	farFactor = 3
-	// busyShare of a pool must be in use for a task to wait for room near its data.
-	busyShare = 0.5
+	// remoteDataFactor is how many times as long a task takes on another rack than
+	// its data, according to the users.
+	remoteDataFactor = 3
+	// busyThreshold is the share of a pool that must be in use for a task to wait
+	// for free capacity on the rack of its data.
+	busyThreshold = 0.5
 )
 
-// nearData keeps the workers on the rack of a step's data if the job would be
-// late away from it and is not when it waits a little. A task never waits in a
-// pool that is mostly idle: there is no sign that room comes soon.
-func (p *planner) nearData(w waitingStep, fit []*candidate) []*candidate {
+// preferDataRack restricts the candidates to the rack of a step's data if the job
+// would be late on another rack but can still be on time after a short wait. In a
+// pool that is mostly idle tasks don't wait, as nothing suggests that capacity will
+// be freed soon.
+func (p *planner) preferDataRack(w waitingStep, fit []*candidate) []*candidate {
 	spec := w.spec()
 	if spec.DataRack == "" {
 		return fit
@@ -123,8 +128,8 @@
 		}
 	}
 	slack := w.job.SlackMS(w.queue, w.occurrence, p.NowMS, 1)
-	lateAway := slack >= 0 && slack < (farFactor-1)*spec.RunMS()
-	if len(near) == 0 || !lateAway || !p.isBusy(w.queue.Pool) {
+	lateElsewhere := slack >= 0 && slack < (remoteDataFactor-1)*spec.RunMS()
+	if len(near) == 0 || !lateElsewhere || !p.isBusy(w.queue.Pool) {
 		return fit
 	}
 	return near
@@ -136,7 +141,7 @@
 		free += c.free.CPU
 		all += c.worker.Capacity.CPU
 	}
-	return float64(all-free) >= busyShare*float64(all)
+	return float64(all-free) >= busyThreshold*float64(all)
 }
 
 func sortedKeys(m map[string][]*candidate) []string {
@@ -148,21 +153,21 @@
 	return keys
 }
 
-// slots counts how many tasks of a step fit on the candidates.
-func slots(all []*candidate, spec *workload.StepSpec) int {
+// countFits returns how many tasks of a step fit on the candidates.
+func countFits(all []*candidate, spec *workload.StepSpec) int {
 	n := 0
 	for _, c := range all {
-		free, here := c.free, 0
-		for spec.Charge().Fits(free) && (spec.MaxPerWorker == 0 || here < spec.MaxPerWorker) && here < spec.Count {
+		free, onWorker := c.free, 0
+		for spec.Charge().Fits(free) && (spec.MaxPerWorker == 0 || onWorker < spec.MaxPerWorker) && onWorker < spec.Count {
 			free = free.Minus(spec.Charge())
-			here++
+			onWorker++
 		}
-		n += here
+		n += onWorker
 	}
 	return n
 }
 
-// rackOf returns the rack on which tasks of the step run, empty when none do.
+// rackOf returns the rack on which tasks of the step run, empty if none do.
 func rackOf(t *workload.Tables, w waitingStep) string {
 	for i := range w.occurrence.Steps[w.step].Tasks {
 		for _, run := range w.occurrence.Steps[w.step].Tasks[i].Runs {
@@ -176,26 +181,26 @@
 
 func (p *planner) placeTasks(w waitingStep, fit []*candidate) []placement {
 	spec := w.spec()
-	here := tasksOn(w)
+	onWorker := tasksOn(w)
 	var placed []placement
 	tasks := w.occurrence.Steps[w.step].Tasks
 	for i := range tasks {
 		if tasks[i].Done || len(tasks[i].Runs) > 0 {
 			continue
 		}
-		d := p.doubtOf(w.ref(i))
-		if d.isolated && !spec.Gang {
-			continue // placeSuspects sees to it
+		susp := p.suspicionOf(w.ref(i))
+		if susp.isolated && !spec.Gang {
+			continue // started by placeSuspects
 		}
-		best := p.best(spec, fit, here, d)
+		best := p.best(spec, fit, onWorker, susp)
 		if best == nil {
-			p.noteFull(w, fit)
-			break // the tasks of a step are alike: no other one fits either
+			p.recordUnplaceable(w, fit)
+			break // the tasks of a step are identical: the others don't fit either
 		}
-		p.take(w, best)
-		best.suspects += min(d.lost, 1)
-		best.reserved = best.reserved || d.isolated
-		here[best.worker.ID]++
+		p.assign(w, best)
+		best.recentSuspects += min(susp.lostWorkers, 1)
+		best.reserved = best.reserved || susp.isolated
+		onWorker[best.worker.ID]++
 		placed = append(placed, placement{index: i, candidate: best})
 		if len(p.plan.Starts)+len(placed) >= p.MaxStarts && !spec.Gang {
 			break
@@ -204,26 +209,27 @@
 	return placed
 }
 
-// tasksOn counts the tasks of the step on each worker.
+// tasksOn returns the number of tasks of the step on each worker.
 func tasksOn(w waitingStep) map[workload.WorkerID]int {
-	here := map[workload.WorkerID]int{}
+	onWorker := map[workload.WorkerID]int{}
 	for i := range w.occurrence.Steps[w.step].Tasks {
 		for _, run := range w.occurrence.Steps[w.step].Tasks[i].Runs {
-			here[run.Worker]++
+			onWorker[run.Worker]++
 		}
 	}
-	return here
+	return onWorker
 }
 
-// best returns the candidate with room that scores highest, nil when none has.
-func (p *planner) best(spec *workload.StepSpec, fit []*candidate, here map[workload.WorkerID]int, d doubt) *candidate {
+// best returns the candidate with the highest score among those that the task fits
+// on, nil if there is none.
+func (p *planner) best(spec *workload.StepSpec, fit []*candidate, onWorker map[workload.WorkerID]int, susp suspicion) *candidate {
 	var best *candidate
 	var bestScore score
 	for _, c := range fit {
-		if !p.hasRoom(spec, c, here) || !d.allows(c) {
+		if !p.fits(spec, c, onWorker) || !susp.allows(c) {
 			continue
 		}
-		s := scoreOf(spec, c, here[c.worker.ID], d)
+		s := scoreOf(spec, c, onWorker[c.worker.ID], susp)
 		if best == nil || s.compare(bestScore) > 0 {
 			best, bestScore = c, s
 		}
@@ -231,77 +237,80 @@
 	return best
 }
 
-// score ranks a candidate; earlier fields decide first, higher is better.
+// score ranks a candidate. Higher is better; a field only counts if all fields
+// before it are equal.
 type score struct {
-	// trust is higher where fewer tasks failed lately.
-	trust int
-	// near says that the data lies on the candidate's rack.
-	near int
-	// apart says that no task disturbs another's latency.
-	apart int
-	// company is lower where the task and another would put each other in doubt,
-	// should the worker crash.
-	company int
-	// staying is lower where the VM will be maintained soon.
-	staying int
-	// spread is lower where many lasting tasks of the step run: a VM that is
-	// lost should not take most of them along.
+	// reliability is higher on workers with fewer recent failures.
+	reliability int
+	// dataLocal is 1 if the data is on the candidate's rack.
+	dataLocal int
+	// undisturbed is lower where a best-effort task would run beside one with a
+	// latency target.
+	undisturbed int
+	// isolation is lower where a crash of the worker would leave open which of
+	// several tasks caused it.
+	isolation int
+	// stability is lower for a long-running task where the VM will be maintained
+	// soon.
+	stability int
+	// spread is lower where several long-running tasks of the step run already, so
+	// that the loss of one VM doesn't take down most of them.
 	spread int
-	// pinned is higher for a lasting task where others run already: VMs with
-	// none can move to the pool that needs them.
-	pinned int
-	// tight is higher the less processor time is left over: work on few VMs
-	// leaves the others free.
-	tight int64
+	// consolidation is higher for a long-running task where other long-running
+	// tasks run already: VMs without any can move to a pool that needs them.
+	consolidation int
+	// packing is higher the less processor capacity is left free: packing tasks on
+	// few VMs keeps the others free.
+	packing int64
 }
 
-// lastingTogether is how many lasting tasks of a step may share a worker
-// before another one is preferred.
-const lastingTogether = 2
+// longRunningPerWorker is how many long-running tasks of a step may share a worker
+// before another worker is preferred.
+const longRunningPerWorker = 2
 
-func scoreOf(spec *workload.StepSpec, c *candidate, here int, d doubt) score {
-	s := score{trust: -c.soft.Suspicion, company: d.company(c), tight: spec.Need.CPU - c.free.CPU}
+func scoreOf(spec *workload.StepSpec, c *candidate, onWorker int, susp suspicion) score {
+	s := score{reliability: -c.state.Suspicion, isolation: susp.isolationRank(c), packing: spec.Need.CPU - c.free.CPU}
 	if spec.DataRack != "" && c.worker.Rack == spec.DataRack {
-		s.near = 1
+		s.dataLocal = 1
 	}
-	if (spec.Fills && c.serves) || (spec.TargetMS > 0 && c.fills) {
-		s.apart = -1
+	if (spec.Fills && c.hasLatencyTarget) || (spec.TargetMS > 0 && c.hasBestEffort) {
+		s.undisturbed = -1
 	}
-	if spec.Lasting && c.soft.Doomed {
-		s.staying = -1
+	if spec.Lasting && c.state.Doomed {
+		s.stability = -1
 	}
-	if spec.Lasting && c.lasts {
-		s.pinned = 1
+	if spec.Lasting && c.hasLongRunning {
+		s.consolidation = 1
 	}
 	if spec.Lasting {
-		s.spread = -max(here-lastingTogether+1, 0)
+		s.spread = -max(onWorker-longRunningPerWorker+1, 0)
 	}
 	return s
 }
 
 func (s score) compare(o score) int {
 	return cmp.Or(
-		cmp.Compare(s.trust, o.trust),
-		cmp.Compare(s.near, o.near),
-		cmp.Compare(s.apart, o.apart),
-		cmp.Compare(s.company, o.company),
-		cmp.Compare(s.staying, o.staying),
+		cmp.Compare(s.reliability, o.reliability),
+		cmp.Compare(s.dataLocal, o.dataLocal),
+		cmp.Compare(s.undisturbed, o.undisturbed),
+		cmp.Compare(s.isolation, o.isolation),
+		cmp.Compare(s.stability, o.stability),
 		cmp.Compare(s.spread, o.spread),
-		cmp.Compare(s.pinned, o.pinned),
-		cmp.Compare(s.tight, o.tight),
+		cmp.Compare(s.consolidation, o.consolidation),
+		cmp.Compare(s.packing, o.packing),
 	)
 }
 
-// undo gives back the room of a gang that did not fit as a whole.
-func (p *planner) undo(w waitingStep, placed []placement) {
+// rollBack reverts the assignments of a gang that does not fit as a whole.
+func (p *planner) rollBack(w waitingStep, placed []placement) {
 	for _, pl := range placed {
 		pl.candidate.free = pl.candidate.free.Plus(w.spec().Charge())
 		pl.candidate.runs--
-		pl.candidate.unproven--
+		pl.candidate.recentRuns--
 	}
 }
 
-func (p *planner) commit(w waitingStep, placed []placement) {
+func (p *planner) addStarts(w waitingStep, placed []placement) {
 	tasks := w.occurrence.Steps[w.step].Tasks
 	shared := 0
 	for i := range tasks {
@@ -316,7 +325,7 @@
 		p.plan.Starts = append(p.plan.Starts, workload.Start{
 			Worker: pl.candidate.worker.ID, Run: workload.RunRef{Task: ref, Attempt: attempt},
 		})
-		pl.candidate.serves = pl.candidate.serves || w.spec().TargetMS > 0
-		pl.candidate.fills = pl.candidate.fills || w.spec().Fills
+		pl.candidate.hasLatencyTarget = pl.candidate.hasLatencyTarget || w.spec().TargetMS > 0
+		pl.candidate.hasBestEffort = pl.candidate.hasBestEffort || w.spec().Fills
 	}
 }
--- a/internal/schedule/place_test.go
+++ b/internal/schedule/place_test.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// site is a pool with its tables.
+// site is a pool of workers with its state machine.
 type site struct {
 	machine *workload.Machine
 	index   uint64
@@ -23,7 +23,7 @@
 	memoryEach = 32_000
 )
 
-// newSite has four workers on two racks; the last is of kind b.
+// newSite returns a site with four workers on two racks; the last is of kind b.
 func newSite() *site {
 	s := &site{machine: workload.NewMachine(), workers: map[workload.WorkerID]Worker{}, nowMS: 1000}
 	config := &workload.Config{Version: 1, Pools: []workload.Pool{{Name: "p"}}, Queues: []workload.Queue{
@@ -84,7 +84,7 @@
 	return workload.StepSpec{Count: count, Need: workload.Resources{CPU: cpu, MemoryMB: 100}, EstimatedMS: 1000}
 }
 
-func TestWorkIsPackedWithinTheRoom(t *testing.T) {
+func TestTasksArePackedWithinCapacity(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	s.submit("j", tasks(5, 2000))
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestFilterKeepsWhatTheStepAsksFor(t *testing.T) {
+func TestPlacementMeetsStepRequirements(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*workload.StepSpec, *site)
 		want   map[workload.WorkerID]int
@@ -129,7 +129,7 @@
 	s.submit("large", gang)
 	s.submit("small", tasks(1, 1000))
 	plan := s.plan()
-	is.Equal(len(plan.Starts), 1) // the gang leaves its room to others
+	is.Equal(len(plan.Starts), 1) // the capacity tried for the gang is free again
 	is.Equal(plan.Starts[0].Run.Task.Job, workload.JobID("small"))
 
 	s = newSite()
@@ -139,10 +139,10 @@
 	is.Equal(len(plan.Starts), 4)
 	s.apply(&workload.Command{Starts: plan.Starts})
 	s.apply(&workload.Command{Ends: []workload.End{{Worker: plan.Starts[0].Worker, Number: 1, Run: plan.Starts[0].Run, Kind: workload.EndFailed}}})
-	is.Equal(len(s.plan().Starts), 0) // three of the last attempt still run
+	is.Equal(len(s.plan().Starts), 0) // three runs of the last attempt are left
 }
 
-func TestSameRackStaysTogether(t *testing.T) {
+func TestSameRackStepUsesOneRack(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	step := tasks(4, 4000)
@@ -155,10 +155,10 @@
 	is.Equal(len(racks), 1)
 }
 
-// Symptom: in a peak hardly any job is in time, though half of them could be.
-// Sequence: more arrives than the pool holds; each job waits for those before
-// it, which are late already. Cause: the order of arrival.
-func TestWhatCanBeInTimeComesFirst(t *testing.T) {
+// At a peak more jobs arrive than the pool can run. In the order of arrival each job
+// waits for earlier ones that are late already, and hardly any is on time although
+// half of them could be.
+func TestJobsThatCanBeOnTimeComeFirst(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	s.submit("late", tasks(4, coresEach))
@@ -169,17 +169,16 @@
 	}
 }
 
-// Symptom: a few jobs of a quiet day take over three times their objective.
-// Sequence: they are late, and something in time always comes first. Cause:
-// late jobs always last.
-func TestALateJobIsRescuedBeforeItIsLost(t *testing.T) {
+// If late jobs always came last, some of them would take more than three times their
+// objective even on a quiet day, as a job that can be on time always comes first.
+func TestLateJobComesFirstInItsLastChance(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
-	s.submit("late", tasks(1, coresEach)) // objective 2.6 s, lost after 7.8 s
+	s.submit("late", tasks(1, coresEach)) // objective 2.6 s, of no use after 7.8 s
 	s.nowMS += 6000
 	s.submit("timely", tasks(4, coresEach))
 	is.Equal(s.plan().Starts[0].Run.Task.Job, workload.JobID("late"))
-	s.nowMS += 2000 // now nothing helps it
+	s.nowMS += 2000 // now it can't be of use any more
 	is.Equal(s.plan().Starts[0].Run.Task.Job, workload.JobID("timely"))
 }
 
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -8,58 +8,60 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Worker is what the leader knows of a worker beyond its announcement.
+// Worker is the leader's state of a worker beyond the replicated tables.
 type Worker struct {
-	// Usable: it answered lately and follows this leader's fence.
+	// Usable is set when the worker answered recently and follows this leader's
+	// fence.
 	Usable bool
-	// Closing: it is about to leave or to be maintained; nothing is started there.
+	// Closing is set when the worker is about to leave or to be maintained; nothing
+	// is started on it.
 	Closing bool
-	// Doomed: its VM will be maintained soon; lasting tasks had better not
-	// start there.
+	// Doomed is set when the VM will be maintained soon; long-running tasks should
+	// preferably start elsewhere.
 	Doomed bool
-	// Suspicion counts recent failures of different tasks there; it makes a
-	// worker the last choice.
+	// Suspicion counts recent failures of different tasks on the worker. Workers
+	// with fewer are preferred.
 	Suspicion int
-	// Unproven counts the runs there that began so lately that they may yet crash
-	// the worker, Suspects those of them whose task has lost a worker before.
+	// Unproven counts the runs on the worker that began so recently that they may
+	// still crash it, Suspects those of them whose task has lost a worker before.
 	Unproven, Suspects int
-	// Trial: a task that has lost several workers has begun there; nothing else
-	// is started until it has run for a while.
+	// Trial is set when a task that has lost several workers was started there in
+	// isolation; nothing else is started until it has run for a while.
 	Trial bool
 }
 
-// Advice is what the advisor of a queue said about one step.
+// Advice is the answer of a queue's advisor for one step.
 type Advice struct {
 	// Tickets holds the workers that may run the step, with their tickets.
 	Tickets map[workload.WorkerID]string
 }
 
-// StepRef names a step of one occurrence of a job.
+// StepRef identifies a step of one occurrence of a job.
 type StepRef struct {
 	Job        workload.JobID
 	Occurrence int
 	Step       int
 }
 
-// Input is the snapshot that a plan is made of.
+// Input is what a plan is computed from.
 type Input struct {
 	Tables  *workload.Tables
 	Workers map[workload.WorkerID]Worker
-	// Freed is the room of the runs whose ends are committed with the plan,
-	// before its starts take effect.
+	// Freed holds the resources of the runs whose ends are committed with the plan
+	// and take effect before its starts.
 	Freed map[workload.WorkerID]workload.Resources
-	// Overdue holds the suspects that have waited long enough for a worker of their
-	// own; they are started like any other task.
+	// Overdue holds the suspects that have waited long enough for isolation; they
+	// are started like any other task.
 	Overdue map[workload.TaskRef]bool
-	// Advice returns what the advisor said, nil when it must be asked first.
+	// Advice returns the advisor's answer, nil if the advisor must be asked first.
 	Advice func(StepRef) *Advice
 	// NowMS is the time of day in Unix milliseconds.
 	NowMS int64
-	// MaxStarts bounds one plan; what is left comes in the next.
+	// MaxStarts limits the starts of one plan; the rest is left to the next plan.
 	MaxStarts int
 }
 
-// Plan is what to commit next.
+// Plan is what to commit next. Due lists the occurrences that are due.
 type Plan struct {
 	Starts []workload.Start
 	Due    []workload.Occurring
@@ -67,42 +69,43 @@
 	Ask []StepRef
 }
 
-// planner holds the room that is left while a plan is made.
+// planner holds the remaining capacity while a plan is made.
 type planner struct {
 	Input
 	plan  Plan
 	pools map[string][]*candidate
-	// full holds needs for which a pool had no room.
-	full map[string][]workload.Resources
-	// reserved counts the workers of each pool that are kept for suspects.
+	// unplaceable holds the needs of steps that did not fit in a pool.
+	unplaceable map[string][]workload.Resources
+	// reserved counts the workers of each pool that are reserved for suspects.
 	reserved map[string]int
-	// rescued is the processor time that late jobs ask for that come first.
-	rescued map[string]int64
+	// lastChanceCPU is the processor capacity that the steps with
+	// urgencyLastChance need in each pool.
+	lastChanceCPU map[string]int64
 }
 
-// candidate is a worker that takes new work, with its room.
+// candidate is a worker that accepts new tasks, with its free capacity.
 type candidate struct {
 	worker *workload.Worker
-	soft   Worker
+	state  Worker
 	free   workload.Resources
-	// serves says that a task with a latency target runs here.
-	serves bool
-	// fills says that a task runs here that takes what others leave.
-	fills bool
-	// lasts says that a lasting task runs here.
-	lasts bool
-	// runs counts what runs here, unproven and suspects what of it may yet crash
-	// the worker.
-	runs, unproven, suspects int
-	// reserved: only a suspect may start here.
+	// hasLatencyTarget reports whether a task with a latency target runs there.
+	hasLatencyTarget bool
+	// hasBestEffort reports whether a best-effort task runs there.
+	hasBestEffort bool
+	// hasLongRunning reports whether a long-running task runs there.
+	hasLongRunning bool
+	// runs counts the runs there, recentRuns and recentSuspects those of them that
+	// may still crash the worker, see Worker.
+	runs, recentRuns, recentSuspects int
+	// reserved is set when only a suspect may start there.
 	reserved bool
 }
 
-// Make returns a plan.
+// Make computes a plan.
 func Make(in Input) Plan {
-	p := &planner{Input: in, pools: map[string][]*candidate{}, full: map[string][]workload.Resources{}}
-	p.findDue()
-	p.findRoom()
+	p := &planner{Input: in, pools: map[string][]*candidate{}, unplaceable: map[string][]workload.Resources{}}
+	p.collectDue()
+	p.collectCandidates()
 	waiting := p.waiting()
 	if in.Tables.HasSuspicions() {
 		p.placeSuspects(waiting)
@@ -116,8 +119,8 @@
 	return p.plan
 }
 
-// findDue lists the occurrences whose time has come.
-func (p *planner) findDue() {
+// collectDue lists the occurrences that are due.
+func (p *planner) collectDue() {
 	for _, jobs := range p.Tables.Live {
 		for _, job := range jobs {
 			r := job.Spec.Repeat
@@ -129,7 +132,7 @@
 	slices.SortFunc(p.plan.Due, func(a, b workload.Occurring) int { return cmp.Compare(a.Job, b.Job) })
 }
 
-func (p *planner) findRoom() {
+func (p *planner) collectCandidates() {
 	ids := make([]workload.WorkerID, 0, len(p.Tables.Workers))
 	for id := range p.Tables.Workers {
 		ids = append(ids, id)
@@ -137,22 +140,22 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		w := p.Tables.Workers[id]
-		soft := p.Workers[id]
-		if w.Draining || w.Closed || soft.Closing || !soft.Usable || soft.Trial {
+		state := p.Workers[id]
+		if w.Draining || w.Closed || state.Closing || !state.Usable || state.Trial {
 			continue
 		}
 		c := &candidate{
-			worker: w, soft: soft, free: w.Capacity.Minus(p.Tables.Used[id]).Plus(p.Freed[id]),
-			runs: len(p.Tables.Runs[id]), unproven: soft.Unproven, suspects: soft.Suspects,
+			worker: w, state: state, free: w.Capacity.Minus(p.Tables.Used[id]).Plus(p.Freed[id]),
+			runs: len(p.Tables.Runs[id]), recentRuns: state.Unproven, recentSuspects: state.Suspects,
 		}
-		p.findNeighbours(c)
+		p.setRunKinds(c)
 		p.pools[w.Pool] = append(p.pools[w.Pool], c)
 	}
 }
 
-func (p *planner) findNeighbours(c *candidate) {
+func (p *planner) setRunKinds(c *candidate) {
 	kinds := p.Tables.Kinds[c.worker.ID]
-	c.serves, c.fills, c.lasts = kinds.Serving > 0, kinds.Filling > 0, kinds.Lasting > 0
+	c.hasLatencyTarget, c.hasBestEffort, c.hasLongRunning = kinds.Serving > 0, kinds.Filling > 0, kinds.Lasting > 0
 }
 
 // waitingStep is a step with tasks to start.
@@ -161,30 +164,31 @@
 	queue      *workload.Queue
 	occurrence *workload.Occurrence
 	step       int
-	// turn groups the steps of a queue; density is what the job earns for the
-	// processor time that it still takes.
-	turn    turn
+	// urgency groups the steps of a queue; density is the job's value per unit of
+	// processor time that it still needs.
+	urgency urgency
 	density float64
 }
 
-// turn says how soon a step comes.
-type turn uint8
+// urgency is the rank of a step within its queue, the most urgent first.
+type urgency uint8
 
 const (
-	// turnRescue: it is late, and lost to its caller unless it starts now.
-	turnRescue turn = iota
-	// turnTimely: it can be in time.
-	turnTimely
-	// turnLate: it can't be in time any more.
-	turnLate
-	// turnLost: it is too late to be of use.
-	turnLost
+	// urgencyLastChance means that the job is late, and of no use to its caller
+	// unless the step starts now.
+	urgencyLastChance urgency = iota
+	// urgencyOnTime means that the job can be on time.
+	urgencyOnTime
+	// urgencyLate means that the job can't be on time any more.
+	urgencyLate
+	// urgencyExpired means that the job is too late to be of use.
+	urgencyExpired
 )
 
 func (w *waitingStep) spec() *workload.StepSpec { return &w.job.Spec.Steps[w.step] }
 
-// waiting lists the steps whose turn has come, the most urgent first: lasting
-// tasks serve users of their own and come before those that end.
+// waiting lists the steps that are ready, the most urgent first. Long-running tasks
+// serve their own users and come before all others.
 func (p *planner) waiting() []waitingStep {
 	var all []waitingStep
 	for id, jobs := range p.Tables.Live {
@@ -199,7 +203,7 @@
 		return cmp.Or(
 			order.Bools(b.spec().Lasting, a.spec().Lasting),
 			cmp.Compare(a.queue.Priority, b.queue.Priority),
-			cmp.Compare(a.turn, b.turn),
+			cmp.Compare(a.urgency, b.urgency),
 			cmp.Compare(b.density, a.density),
 			cmp.Compare(a.job.Order, b.job.Order),
 			cmp.Compare(a.job.ID, b.job.ID),
@@ -210,21 +214,21 @@
 	return all
 }
 
-// baseWorth is the part of a job's worth that does not grow with its size.
-const baseWorth = 0.3
+// baseValueShare is the part of a job's value that does not grow with its size.
+const baseValueShare = 0.3
 
 const (
-	// rescueMS before a late job is lost to its caller it comes first.
-	rescueMS = 1500
-	// rescueShare of a pool at most is used by late jobs that come first: in a
-	// long overload all jobs would otherwise be late.
-	rescueShare = 0.25
+	// lastChanceMS is how long before it expires a late job comes first.
+	lastChanceMS = 1500
+	// lastChanceShare is the largest share of a pool for late jobs that come first.
+	// In a long overload all jobs would be late otherwise.
+	lastChanceShare = 0.25
 )
 
-// rank judges the steps of one queue. What can't be in time any more comes
-// last; the others by what they earn for the processor time that they still
-// take. Without it a peak makes every job late: in the order of their arrival
-// each waits for those that are lost already.
+// rank sets the urgency and the density of the steps of one queue. Jobs that can't
+// be on time any more come last, the others in order of their value per processor
+// time that they still need. In the order of their arrival every job of a peak would
+// be late, as each waits for jobs that can't be on time any more.
 func (p *planner) rank(steps []waitingStep, jobs []*workload.Job) {
 	var total int64
 	for _, job := range jobs {
@@ -233,42 +237,44 @@
 	mean := float64(total) / float64(max(len(jobs), 1))
 	for i := range steps {
 		w := &steps[i]
-		w.turn = p.turnOf(w)
-		worth := baseWorth*mean + (1-baseWorth)*float64(w.job.Work())
-		w.density = worth / float64(max(w.job.LeftWork(w.occurrence), 1))
+		w.urgency = p.urgencyOf(w)
+		value := baseValueShare*mean + (1-baseValueShare)*float64(w.job.Work())
+		w.density = value / float64(max(w.job.LeftWork(w.occurrence), 1))
 	}
 }
 
-func (p *planner) turnOf(w *waitingStep) turn {
+func (p *planner) urgencyOf(w *waitingStep) urgency {
 	if w.job.SlackMS(w.queue, w.occurrence, p.NowMS, 1) >= 0 {
-		return turnTimely
+		return urgencyOnTime
 	}
 	left := w.job.SlackMS(w.queue, w.occurrence, p.NowMS, workload.LateFactor)
 	switch {
 	case left < 0:
-		return turnLost
-	case left < rescueMS && p.mayRescue(w):
-		return turnRescue
+		return urgencyExpired
+	case left < lastChanceMS && p.mayExpedite(w):
+		return urgencyLastChance
 	default:
-		return turnLate
+		return urgencyLate
 	}
 }
 
-// mayRescue says whether late jobs that come first use little of the pool.
-func (p *planner) mayRescue(w *waitingStep) bool {
+// mayExpedite reports whether a late step fits into the share of the pool for late
+// jobs that come first, and adds it to their use.
+func (p *planner) mayExpedite(w *waitingStep) bool {
 	pool := w.queue.Pool
-	if p.rescued == nil {
-		p.rescued = map[string]int64{}
+	if p.lastChanceCPU == nil {
+		p.lastChanceCPU = map[string]int64{}
 	}
-	asks := int64(len(w.occurrence.Steps[w.step].Tasks)) * w.spec().Charge().CPU
-	if float64(p.rescued[pool]+asks) > rescueShare*float64(p.capacity(pool)) {
+	need := int64(len(w.occurrence.Steps[w.step].Tasks)) * w.spec().Charge().CPU
+	if float64(p.lastChanceCPU[pool]+need) > lastChanceShare*float64(p.capacity(pool)) {
 		return false
 	}
-	p.rescued[pool] += asks
+	p.lastChanceCPU[pool] += need
 	return true
 }
 
-// capacity is the processor time of the workers of a pool that take work.
+// capacity returns the processor capacity of the workers of a pool that accept new
+// tasks.
 func (p *planner) capacity(pool string) int64 {
 	var all int64
 	for _, c := range p.pools[pool] {
@@ -281,7 +287,7 @@
 	for _, o := range job.Occurrences {
 		for i := range o.Steps {
 			step := &o.Steps[i]
-			// A gang starts again as a whole, once all of its last attempt ended.
+			// A gang restarts as a whole, after all runs of its last attempt have ended.
 			if job.Spec.Steps[i].Gang && step.Active > 0 {
 				continue
 			}
--- a/internal/schedule/suspects.go
+++ b/internal/schedule/suspects.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// reservedShare of a busy pool is kept for suspects at most, idleReservedShare
-	// of one with room. A worker is free for one within the time in which what
-	// runs there proves itself.
+	// reservedShare is the largest share of a busy pool that is reserved for
+	// suspects, idleReservedShare that of any other pool. A reserved worker becomes
+	// available once the runs there have lasted long enough to be cleared.
 	reservedShare     = 0.125
 	idleReservedShare = 0.5
 )
 
-// doubt is what the lost workers say of a task.
-type doubt struct {
-	// lost is the number of workers that were lost under it.
-	lost int
-	// isolated: it is to be started alone.
+// suspicion is how a task is to be placed because of the workers lost under it.
+type suspicion struct {
+	// lostWorkers is the number of workers that were lost under it.
+	lostWorkers int
+	// isolated is set when the task is to be started in isolation.
 	isolated bool
 }
 
-// allows says whether a candidate may take the task.
-func (d doubt) allows(c *candidate) bool {
-	if d.isolated {
-		return c.unproven == 0
+// allows reports whether a candidate may run the task.
+func (s suspicion) allows(c *candidate) bool {
+	if s.isolated {
+		return c.recentRuns == 0
 	}
 	return !c.reserved
 }
 
-// company ranks a candidate by whom the task would put in doubt there.
-func (d doubt) company(c *candidate) int {
+// isolationRank ranks a candidate by the runs among which the cause of a crash would
+// be unclear, fewer being better.
+func (s suspicion) isolationRank(c *candidate) int {
 	switch {
-	case d.isolated:
+	case s.isolated:
 		return -c.runs
-	case d.lost > 0:
-		return -c.unproven
+	case s.lostWorkers > 0:
+		return -c.recentRuns
 	default:
-		return -min(c.suspects, 1)
+		return -min(c.recentSuspects, 1)
 	}
 }
 
-// doubtOf says how a task is to be started after the workers that it lost: from
-// IsolateFrom on alone, so that a crash shows whether it is the cause.
-func (p *planner) doubtOf(ref workload.TaskRef) doubt {
+// suspicionOf returns the suspicion of a task. From IsolateFrom lost workers on it is
+// started in isolation, so that a crash shows whether the task is the cause.
+func (p *planner) suspicionOf(ref workload.TaskRef) suspicion {
 	lost := p.Tables.Suspicion(ref)
-	return doubt{lost: lost, isolated: lost >= workload.IsolateFrom && !p.Overdue[ref]}
+	return suspicion{lostWorkers: lost, isolated: lost >= workload.IsolateFrom && !p.Overdue[ref]}
 }
 
-// placeSuspects starts the suspects that find a worker of their own, and keeps
-// the others from filling the workers that are soonest free for the rest.
+// placeSuspects starts the suspects that fit on a worker without recent runs. For
+// the others, and for those in gangs, it reserves the workers that will be available
+// first.
 func (p *planner) placeSuspects(waiting []waitingStep) {
 	p.reserved = map[string]int{}
 	for _, w := range waiting {
@@ -65,9 +67,9 @@
 			continue
 		}
 		for _, index := range suspects {
-			if c := p.best(w.spec(), fit, tasksOn(w), p.doubtOf(w.ref(index))); c != nil {
-				p.take(w, c)
-				p.commit(w, []placement{{index: index, candidate: c}})
+			if c := p.best(w.spec(), fit, tasksOn(w), p.suspicionOf(w.ref(index))); c != nil {
+				p.assign(w, c)
+				p.addStarts(w, []placement{{index: index, candidate: c}})
 				c.reserved = true
 				continue
 			}
@@ -76,24 +78,24 @@
 	}
 }
 
-// suspectsOf lists the tasks of a step that wait and are to be isolated.
+// suspectsOf returns the waiting tasks of a step that are to be isolated.
 func (p *planner) suspectsOf(w waitingStep) []int {
 	var all []int
 	tasks := w.occurrence.Steps[w.step].Tasks
 	for i := range tasks {
-		if !tasks[i].Done && len(tasks[i].Runs) == 0 && p.doubtOf(w.ref(i)).isolated {
+		if !tasks[i].Done && len(tasks[i].Runs) == 0 && p.suspicionOf(w.ref(i)).isolated {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-func (p *planner) hasRoom(spec *workload.StepSpec, c *candidate, here map[workload.WorkerID]int) bool {
-	return spec.Charge().Fits(c.free) && (spec.MaxPerWorker == 0 || here[c.worker.ID] < spec.MaxPerWorker)
+func (p *planner) fits(spec *workload.StepSpec, c *candidate, onWorker map[workload.WorkerID]int) bool {
+	return spec.Charge().Fits(c.free) && (spec.MaxPerWorker == 0 || onWorker[c.worker.ID] < spec.MaxPerWorker)
 }
 
-// reserveFor keeps the workers free that are soonest without a run that began
-// lately and whose whole room holds the step, as long as the pool can spare them.
+// reserveFor reserves workers whose capacity fits a task of the step, first those
+// with the fewest recent runs, up to the share of the pool that may be reserved.
 func (p *planner) reserveFor(w waitingStep, fit []*candidate, count int) {
 	pool := w.queue.Pool
 	share := idleReservedShare
@@ -108,7 +110,7 @@
 		}
 	}
 	slices.SortFunc(able, func(a, b *candidate) int {
-		return cmp.Or(cmp.Compare(a.unproven, b.unproven), cmp.Compare(a.runs, b.runs), cmp.Compare(a.worker.ID, b.worker.ID))
+		return cmp.Or(cmp.Compare(a.recentRuns, b.recentRuns), cmp.Compare(a.runs, b.runs), cmp.Compare(a.worker.ID, b.worker.ID))
 	})
 	for _, c := range able {
 		if count == 0 || p.reserved[pool] >= most {
@@ -120,15 +122,15 @@
 	}
 }
 
-// take charges a candidate with a run that is to start there.
-func (p *planner) take(w waitingStep, c *candidate) {
+// assign charges a candidate for a run that is to start there.
+func (p *planner) assign(w waitingStep, c *candidate) {
 	c.free = c.free.Minus(w.spec().Charge())
-	c.lasts = c.lasts || w.spec().Lasting
+	c.hasLongRunning = c.hasLongRunning || w.spec().Lasting
 	c.runs++
-	c.unproven++
+	c.recentRuns++
 }
 
-// ref names a task of the step.
+// ref returns the reference of a task of the step.
 func (w *waitingStep) ref(index int) workload.TaskRef {
 	return workload.TaskRef{Job: w.job.ID, Occurrence: w.occurrence.K, Step: w.step, Index: index}
 }
--- a/internal/schedule/suspects_test.go
+++ b/internal/schedule/suspects_test.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// lose has workers crash under the first task of a job.
-func (s *site) lose(id workload.JobID, crashes int) {
+// crashWorkers makes workers crash under the first task of a job.
+func (s *site) crashWorkers(id workload.JobID, crashes int) {
 	task := workload.TaskRef{Job: id}
 	for i := range crashes {
 		worker := workload.WorkerID("lost-" + string(rune('a'+i)))
@@ -22,7 +22,7 @@
 	}
 }
 
-// startsOf returns where a plan starts a job.
+// startsOf returns the workers on which a plan starts tasks of a job.
 func startsOf(p Plan, id workload.JobID) (at []workload.WorkerID) {
 	for _, s := range p.Starts {
 		if s.Run.Task.Job == id {
@@ -32,13 +32,12 @@
 	return at
 }
 
-// A task under which two workers crashed must not take sound tasks down with the
-// third.
-func TestASuspectStartsAlone(t *testing.T) {
+// When a third worker crashes under a task, other tasks must not be running on it.
+func TestSuspectStartsIsolated(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	s.submit("bad", tasks(1, 1000))
-	s.lose("bad", 2)
+	s.crashWorkers("bad", 2)
 	s.submit("sound", tasks(10, 1000))
 	plan := s.plan()
 	at := startsOf(plan, "bad")
@@ -49,12 +48,12 @@
 	s.apply(&workload.Command{Starts: plan.Starts})
 	s.workers[at[0]] = Worker{Usable: true, Unproven: 1, Trial: true}
 	s.submit("next", tasks(3, 1000))
-	is.Equal(counts(s.plan())[at[0]], 0) // nothing comes beside it
+	is.Equal(counts(s.plan())[at[0]], 0) // nothing is started beside it
 }
 
-// Where every worker has begun something lately, one is kept free for a suspect,
-// and no more of a busy pool.
-func TestAWorkerIsKeptForASuspect(t *testing.T) {
+// When every worker has recent runs, a busy pool reserves one worker for a suspect,
+// and no more.
+func TestWorkerIsReservedForSuspect(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	old := tasks(16, 1500)
@@ -66,7 +65,7 @@
 	}
 	s.workers["w2"] = Worker{Usable: true, Unproven: 1}
 	s.submit("bad", tasks(1, 1000))
-	s.lose("bad", 2)
+	s.crashWorkers("bad", 2)
 	s.submit("sound", tasks(20, 1000))
 	plan := s.plan()
 	is.Equal(len(startsOf(plan, "bad")), 0)
@@ -77,40 +76,40 @@
 	is.Equal(startsOf(s.plan(), "bad"), []workload.WorkerID{"w2"})
 }
 
-// A suspect that finds no worker of its own must not wait for ever: it may be sound.
-func TestASuspectWaitsForItsWorkerForAWhileOnly(t *testing.T) {
+// A suspect that can't be isolated must not wait for ever, as it may be healthy.
+func TestSuspectIsolationWaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	for id := range s.workers {
 		s.workers[id] = Worker{Usable: true, Unproven: 1}
 	}
 	s.submit("bad", tasks(1, 1000))
-	s.lose("bad", 2)
+	s.crashWorkers("bad", 2)
 	is.Equal(len(s.plan().Starts), 0)
 	s.overdue = map[workload.TaskRef]bool{{Job: "bad"}: true}
 	is.Equal(len(s.plan().Starts), 1)
 }
 
-// The task that crashed one worker is kept apart from others that may have, so that
-// the next crash tells which it was.
-func TestTasksThatLostOneWorkerAreKeptApart(t *testing.T) {
+// Tasks that have lost one worker each are placed on different workers, so that the
+// next crash shows which of them caused it.
+func TestTasksWithOneLostWorkerAreKeptApart(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	for _, id := range []workload.JobID{"one", "two", "three"} {
 		s.submit(string(id), tasks(1, 1000))
-		s.lose(id, 1)
+		s.crashWorkers(id, 1)
 	}
 	is.Equal(len(counts(s.plan())), 3)
 }
 
-// A member of a gang that is a suspect must not share its worker with another.
-func TestASuspectOfAGangStartsAlone(t *testing.T) {
+// A suspect that is a member of a gang must not share its worker with another task.
+func TestSuspectInGangStartsIsolated(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	gang := tasks(3, 1000)
 	gang.Gang = true
 	s.submit("bad", gang)
-	s.lose("bad", 2)
+	s.crashWorkers("bad", 2)
 	s.submit("sound", tasks(6, 1000))
 	plan := s.plan()
 	is.Equal(len(startsOf(plan, "bad")), 3)
