--- a/internal/estimate/estimator.go
+++ b/internal/estimate/estimator.go
@@ -10,50 +10,52 @@
 )
 
 const (
-	// MinRatio and MaxRatio bound what is learned: a liar can at most double
-	// or halve twice what others get.
+	// MinRatio and MaxRatio bound the learned ratio: wrong declarations change a
+	// size by at most a factor of four.
 	MinRatio = 0.25
 	MaxRatio = 4.0
-	// ratioSteps is how many steps a ratio of 1 has. Ratios are rounded up to
-	// a step, so that sizes, and the words that name them, do not change with
+	// ratioSteps is the number of steps in a ratio of 1. Ratios are rounded up to
+	// a step, so that sizes, and the messages that state them, don't change with
 	// each measurement.
 	ratioSteps = 16
-	// HalfLife is how long it takes until a measurement weighs half.
+	// HalfLife is the time after which a measurement has half its weight.
 	HalfLife = 24 * time.Hour
 	// cpuQuantile and memoryQuantile are the shares of tasks whose use the
-	// ratio covers. Memory is higher: it can't be throttled.
+	// ratio covers. That of memory is higher, as memory can't be throttled.
 	cpuQuantile    = 0.90
 	memoryQuantile = 0.95
-	// doubtDown and doubtUp are how many tasks' weight the declaration keeps
-	// against measurements below and above it. It takes more to believe that
-	// a job needs less than declared: the error then hurts others.
-	doubtDown = 4.0
-	doubtUp   = 0.5
-	// samplesKept bounds the tasks remembered for each class.
-	samplesKept = 48
-	// jobsKept bounds the jobs whose own use is remembered.
-	jobsKept = 4096
-	// classesKept bounds the classes; the one measured longest ago goes first.
-	classesKept = 4096
+	// priorWeightBelow and priorWeightAbove are the weight of the declaration, in
+	// tasks, against measurements below and above it. It takes more measurements to
+	// accept that a job needs less than declared, since an error in that direction
+	// hurts other tasks.
+	priorWeightBelow = 4.0
+	priorWeightAbove = 0.5
+	// maxSamples limits the tasks kept for each class.
+	maxSamples = 48
+	// maxJobs limits the jobs whose own use is kept.
+	maxJobs = 4096
+	// maxClasses limits the classes; the one measured longest ago is dropped first.
+	maxClasses = 4096
 )
 
-// class is what tasks are alike by: the jobs of a team of one kind lie alike.
-// The class with an empty kind stands for all jobs of the team.
+// class groups the jobs of one team and kind, whose declared sizes are wrong in a
+// similar way. The class with an empty kind covers all jobs of the team.
 type class struct {
 	team model.TeamID
 	kind string
 }
 
 // Estimator learns the ratio of used to declared size for each team and kind
-// of job. It is soft state of the leader: a new one trusts the declarations,
-// and what it sees of running tasks, until it has learned.
+// of job. It is soft state of the leader: a new leader relies on the declarations
+// and the measured use of running tasks until it has learned.
 type Estimator struct {
 	classes map[class]*samples
 	now     model.Instant
-	// seen is what single jobs were seen to use beyond their declared size,
-	// so that their next attempt gets it; order bounds it.
-	seen  map[model.JobID]model.Resources
-	order []model.JobID
+	// usedByJob is what single jobs were measured to use beyond their declared
+	// size, so that their next attempt gets it. jobOrder holds them oldest first,
+	// to limit their number.
+	usedByJob map[model.JobID]model.Resources
+	jobOrder  []model.JobID
 }
 
 // Ratio is the learned ratio of used to declared size.
@@ -63,14 +65,15 @@
 	Tasks int
 }
 
-// samples are the peaks of a class's latest tasks.
+// samples holds the peaks of the latest tasks of a class. ratio caches the result
+// and is nil after a change.
 type samples struct {
 	peaks []peak
 	last  model.Instant
 	ratio *Ratio
 }
 
-// peak is the largest ratio that one task was seen with.
+// peak is the largest ratio measured for one task.
 type peak struct {
 	task        model.TaskID
 	cpu, memory float64
@@ -79,95 +82,96 @@
 
 // NewEstimator returns an estimator that has learned nothing.
 func NewEstimator() *Estimator {
-	return &Estimator{classes: make(map[class]*samples), seen: make(map[model.JobID]model.Resources)}
+	return &Estimator{classes: make(map[class]*samples), usedByJob: make(map[model.JobID]model.Resources)}
 }
 
-// Observe learns from one measurement of a job's task. During the warm-up
-// only use above the declared size teaches anything.
-func (e *Estimator) Observe(spec *model.JobSpec, t *model.Task, seen Seen) {
+// Observe learns from one measurement of a job's task. During the warm-up only
+// use above the declared size is taken into account.
+func (e *Estimator) Observe(spec *model.JobSpec, t *model.Task, measured Seen) {
 	p := peak{
 		task:   t.ID,
-		cpu:    ratioOf(seen.Used.MilliCPU, spec.Declared.MilliCPU),
-		memory: ratioOf(seen.Used.MemoryMB, spec.Declared.MemoryMB),
-		at:     seen.At,
+		cpu:    ratioOf(measured.Used.MilliCPU, spec.Declared.MilliCPU),
+		memory: ratioOf(measured.Used.MemoryMB, spec.Declared.MemoryMB),
+		at:     measured.At,
 	}
 	if t.Throttled {
-		// A throttled task shows what it was left, not what it needs.
+		// The processor use of a throttled task is limited, so it doesn't show the need.
 		p.cpu = 0
 	}
-	warm := seen.At >= t.Started.Add(Warmup)
+	warm := measured.At >= t.Started.Add(Warmup)
 	if !warm && p.cpu <= 1 && p.memory <= 1 {
 		return
 	}
-	e.now = max(e.now, seen.At)
-	e.remember(spec, seen.Used)
+	e.now = max(e.now, measured.At)
+	e.recordJobUse(spec, measured.Used)
 	e.learn(class{spec.Team, spec.Kind}, p)
 	if spec.Kind != "" {
 		e.learn(class{spec.Team, ""}, p)
 	}
 }
 
-// remember keeps what one job was seen to use beyond its declared size. A job
-// that lies worse than its kind would otherwise be started too small, stopped
-// when the VM nears its limit, and started too small again, without end.
-func (e *Estimator) remember(spec *model.JobSpec, used model.Resources) {
-	known, ok := e.seen[spec.ID]
+// recordJobUse keeps what one job was measured to use beyond its declared size. A
+// job whose declaration is further off than that of its kind would otherwise be
+// started too small, stopped when the VM nears its limit, and started too small
+// again, without end.
+func (e *Estimator) recordJobUse(spec *model.JobSpec, used model.Resources) {
+	known, ok := e.usedByJob[spec.ID]
 	if !ok && used.Fits(spec.Declared) {
 		return
 	}
 	if !ok {
-		e.order = append(e.order, spec.ID)
+		e.jobOrder = append(e.jobOrder, spec.ID)
 	}
-	e.seen[spec.ID] = known.Max(used)
-	if len(e.order) > jobsKept {
-		delete(e.seen, e.order[0])
-		e.order = slices.Delete(e.order, 0, 1)
+	e.usedByJob[spec.ID] = known.Max(used)
+	if len(e.jobOrder) > maxJobs {
+		delete(e.usedByJob, e.jobOrder[0])
+		e.jobOrder = slices.Delete(e.jobOrder, 0, 1)
 	}
 }
 
-// Size returns what a job is taken to need: its declared size times the ratio
-// of its team and kind, or what it was seen to use in an earlier attempt.
-// Accelerators are whole devices and stay as declared.
+// Size returns what a job is assumed to need: its declared size times the ratio
+// of its team and kind, or what an earlier attempt was measured to use if that is
+// more. Accelerators are whole devices and stay as declared.
 func (e *Estimator) Size(spec *model.JobSpec) model.Resources {
 	r := e.Ratio(spec.Team, spec.Kind)
-	seen := e.seen[spec.ID]
+	measured := e.usedByJob[spec.ID]
 	return model.Resources{
-		MilliCPU:     max(spec.Declared.Scale(r.CPU).MilliCPU, seen.MilliCPU),
-		MemoryMB:     max(spec.Declared.Scale(r.Memory).MemoryMB, seen.MemoryMB),
+		MilliCPU:     max(spec.Declared.Scale(r.CPU).MilliCPU, measured.MilliCPU),
+		MemoryMB:     max(spec.Declared.Scale(r.Memory).MemoryMB, measured.MemoryMB),
 		Accelerators: spec.Declared.Accelerators,
 	}
 }
 
-// Ratio returns the ratio for a team and kind. While the kind is unknown it
-// lies halfway between that of the team and 1: kinds of one team may differ.
+// Ratio returns the ratio for a team and kind. For an unknown kind it is halfway
+// between that of the team and 1, since kinds of one team may differ.
 func (e *Estimator) Ratio(team model.TeamID, kind string) Ratio {
 	if s := e.classes[class{team, kind}]; s != nil {
 		return s.current(e.now)
 	}
 	if s := e.classes[class{team, ""}]; s != nil {
 		r := s.current(e.now)
-		return Ratio{CPU: stepUp((r.CPU + 1) / 2), Memory: stepUp((r.Memory + 1) / 2)}
+		return Ratio{CPU: roundUpToStep((r.CPU + 1) / 2), Memory: roundUpToStep((r.Memory + 1) / 2)}
 	}
 	return Ratio{CPU: 1, Memory: 1}
 }
 
-// stepUp rounds a ratio up to a step.
-func stepUp(r float64) float64 { return math.Ceil(r*ratioSteps) / ratioSteps }
+// roundUpToStep rounds a ratio up to a multiple of 1/ratioSteps.
+func roundUpToStep(r float64) float64 { return math.Ceil(r*ratioSteps) / ratioSteps }
 
 func (e *Estimator) learn(c class, p peak) {
 	s := e.classes[c]
 	if s == nil {
-		e.makeRoom()
+		e.dropOldestClass()
 		s = &samples{}
 		e.classes[c] = s
 	}
 	s.add(p)
 }
 
-// makeRoom drops the class that was measured longest ago when there are too
-// many: kinds are named by callers and may be without end.
-func (e *Estimator) makeRoom() {
-	if len(e.classes) < classesKept {
+// dropOldestClass drops the class that was measured longest ago when there are too
+// many. Callers choose the names of kinds, so their number is not bounded.
+func (e *Estimator) dropOldestClass() {
+	if len(e.classes) < maxClasses {
 		return
 	}
 	var oldest class
@@ -184,7 +188,8 @@
 	return cmp.Or(cmp.Compare(a.team, b.team), cmp.Compare(a.kind, b.kind)) < 0
 }
 
-// add keeps one peak for each task, so that a long one does not outweigh many.
+// add keeps one peak for each task, so that a task with many measurements doesn't
+// outweigh the others.
 func (s *samples) add(p peak) {
 	s.last = max(s.last, p.at)
 	s.ratio = nil
@@ -196,7 +201,7 @@
 			return
 		}
 	}
-	if len(s.peaks) == samplesKept {
+	if len(s.peaks) == maxSamples {
 		s.peaks = slices.Delete(s.peaks, 0, 1)
 	}
 	s.peaks = append(s.peaks, p)
@@ -213,11 +218,12 @@
 	return *s.ratio
 }
 
-// weighted is a ratio with the weight that its age leaves it.
+// weighted is a ratio with a weight that decreases with its age.
 type weighted struct{ ratio, weight float64 }
 
-// learned returns the weighted quantile, drawn towards the declaration by the
-// doubt, bounded and rounded up to a step. Ratios of 0 were not measured.
+// learned returns the weighted quantile of the peaks, shrunk towards a ratio of 1
+// by the prior weight, bounded and rounded up to a step. Ratios of 0 were not
+// measured.
 func (s *samples) learned(now model.Instant, quantile float64, of func(peak) float64) float64 {
 	var points []weighted
 	total := 0.0
@@ -234,16 +240,16 @@
 		return 1
 	}
 	q := quantileOf(points, quantile*total)
-	doubt := doubtDown
+	prior := priorWeightBelow
 	if q > 1 {
-		doubt = doubtUp
+		prior = priorWeightAbove
 	}
-	drawn := (q*total + doubt) / (total + doubt)
-	return stepUp(min(max(drawn, MinRatio), MaxRatio))
+	shrunk := (q*total + prior) / (total + prior)
+	return roundUpToStep(min(max(shrunk, MinRatio), MaxRatio))
 }
 
-// quantileOf returns the least ratio at which the weight of those up to it
-// reaches the target.
+// quantileOf returns the smallest ratio at which the total weight of all ratios up
+// to it reaches the target.
 func quantileOf(points []weighted, target float64) float64 {
 	slices.SortFunc(points, func(a, b weighted) int { return cmp.Compare(a.ratio, b.ratio) })
 	sum := 0.0
--- a/internal/estimate/estimator_test.go
+++ b/internal/estimate/estimator_test.go
@@ -22,38 +22,38 @@
 	}
 }
 
-// Symptom: VMs were over-committed, or stood half empty. Sequence: jobs of a
-// kind use far more, or far less, than they declare. Cause: the declared size
-// was trusted.
-func TestRatioFollowsLies(t *testing.T) {
+// Jobs of a kind use far more, or far less, than they declare. Trusting the declared
+// size over-commits VMs or leaves them half empty.
+func TestRatioFollowsMeasuredUse(t *testing.T) {
 	is := is.New(t)
 	e := NewEstimator()
 	spec := func(kind string) *model.JobSpec {
 		return &model.JobSpec{ID: "new", Team: "t", Kind: kind, Declared: declared}
 	}
-	is.Equal(e.Size(spec("low")), declared) // nothing learned: the declaration
+	is.Equal(e.Size(spec("low")), declared) // nothing is learned yet
 	observe(e, "low", 1, 3, 1)
-	is.True(e.Size(spec("low")).MemoryMB > 9000) // one task above it is believed soon
+	is.True(e.Size(spec("low")).MemoryMB > 9000) // one task above the declaration has a large effect
 	observe(e, "high", 1, 0.1, 1)
-	is.True(e.Size(spec("high")).MemoryMB > 3200) // one task below it is not
+	is.True(e.Size(spec("high")).MemoryMB > 3200) // one task below it has little effect
 	observe(e, "high", 40, 0.1, 2)
-	is.True(e.Size(spec("high")).MemoryMB <= 1250)                     // many are
+	is.True(e.Size(spec("high")).MemoryMB <= 1250)                     // many tasks have a large one
 	is.Equal(e.Size(spec("high")).Accelerators, declared.Accelerators) // whole devices stay
 	observe(e, "huge", 40, 50, 2)
 	is.Equal(e.Size(spec("huge")).MilliCPU, int64(4000)) // bounded
 	observe(e, "low", 40, 0.5, model.InstantOf(time.UnixMilli(0).Add(20*24*time.Hour)))
-	is.True(e.Size(spec("low")).MemoryMB < 4000) // old peaks lose their weight
+	is.True(e.Size(spec("low")).MemoryMB < 4000) // old peaks lose weight
 }
 
-// Symptom: one job was stopped for memory and started too small again, without
-// end. Sequence: a job lies worse than its kind. Cause: only kinds were learned.
-func TestJobKeepsWhatItWasSeenToUse(t *testing.T) {
+// A job's declaration may be further off than that of its kind. If only the ratio of
+// the kind were used, the job would be stopped for memory and started too small
+// again, without end.
+func TestJobKeepsItsMeasuredUse(t *testing.T) {
 	is := is.New(t)
 	e := NewEstimator()
 	observe(e, "k", 40, 1, 1)
-	liar := &model.JobSpec{ID: "liar", Team: "t", Kind: "k", Declared: declared}
-	e.Observe(liar, &model.Task{ID: "x", Started: 1}, Seen{Used: model.Resources{MemoryMB: 30_000}, At: 2})
-	is.Equal(e.Size(liar).MemoryMB, int64(30_000))
+	underdeclared := &model.JobSpec{ID: "liar", Team: "t", Kind: "k", Declared: declared}
+	e.Observe(underdeclared, &model.Task{ID: "x", Started: 1}, Seen{Used: model.Resources{MemoryMB: 30_000}, At: 2})
+	is.Equal(e.Size(underdeclared).MemoryMB, int64(30_000))
 	is.True(e.Size(&model.JobSpec{ID: "other", Team: "t", Kind: "k", Declared: declared}).MemoryMB < 6000)
 }
 
@@ -62,23 +62,23 @@
 	task := &model.Task{Size: declared, Started: 0}
 	low := model.Resources{MilliCPU: 100, MemoryMB: 400}
 	later := model.Instant(0).Add(time.Hour)
-	is.Equal(Charge(task, Seen{}, later), declared)                                                                  // never seen
-	is.Equal(Charge(task, Seen{low, later.Add(-10 * time.Minute)}, later), declared)                                 // seen too long ago
-	is.Equal(Charge(task, Seen{low, 1000}, 1000), declared)                                                          // in its warm-up
-	is.Equal(Charge(task, Seen{low, later}, later), model.Resources{MilliCPU: 500, MemoryMB: 2000, Accelerators: 1}) // half stays charged
-	is.Equal(Charge(task, Seen{model.Resources{MemoryMB: 9000}, 1}, later).MemoryMB, int64(9000))                    // more than declared counts at once
+	is.Equal(Charge(task, Seen{}, later), declared)                                                                  // never measured
+	is.Equal(Charge(task, Seen{low, later.Add(-10 * time.Minute)}, later), declared)                                 // measured too long ago
+	is.Equal(Charge(task, Seen{low, 1000}, 1000), declared)                                                          // during the warm-up
+	is.Equal(Charge(task, Seen{low, later}, later), model.Resources{MilliCPU: 500, MemoryMB: 2000, Accelerators: 1}) // reclaimFloor stays charged
+	is.Equal(Charge(task, Seen{model.Resources{MemoryMB: 9000}, 1}, later).MemoryMB, int64(9000))                    // use above the declared size counts at once
 	task.Throttled = true
 	is.Equal(Charge(task, Seen{}, later).MilliCPU, int64(250))
 }
 
-// Symptom: the leader's memory grew without end. Sequence: a caller names each
-// kind of job anew. Cause: classes were never dropped.
+// A caller may use a new kind for each job. Unless classes are dropped, the leader's
+// memory grows without bound.
 func TestClassesAreBounded(t *testing.T) {
 	is := is.New(t)
 	e := NewEstimator()
-	for i := range classesKept + 50 {
+	for i := range maxClasses + 50 {
 		observe(e, fmt.Sprint("kind", i), 1, 1.5, model.Instant(i+1))
 	}
-	is.True(len(e.classes) <= classesKept)
-	is.True(len(e.seen) <= jobsKept)
+	is.True(len(e.classes) <= maxClasses)
+	is.True(len(e.usedByJob) <= maxJobs)
 }
