--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,7 +1,7 @@
-// Package order compares what the standard library does not.
+// Package order provides comparison functions that the standard library lacks.
 package order
 
-// Bools puts false before true, in the manner of cmp.Compare.
+// Bools compares booleans in the manner of cmp.Compare; false comes before true.
 func Bools(a, b bool) int {
 	switch {
 	case a == b:
