--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -115,7 +115,7 @@
 	is := is.New(t)
 	s := newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 10_000}
-	s.runOn("i-a-0", workload.StepSpec{Need: workload.Resources{CPU: 10_000}, Lasting: true})
+	s.runOn("i-a-0", workload.StepSpec{Need: workload.Resources{CPU: 10_000}, LongRunning: true})
 	s.in.Closing["a-0"] = Closing{Machine: "a-0", Order: Order{Kind: Maintain, Machine: "a-0", Wave: 1}, Since: s.in.Now}
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
@@ -127,7 +127,7 @@
 	is := is.New(t)
 	s := newTestSite(map[string]int{"a": 4})
 	s.in.Need = map[string]int64{"a": 4 * cores32}
-	wave := &workload.Wave{ID: 7, Most: 2, ForMS: 60_000}
+	wave := &workload.Wave{ID: 7, MaxUnavailable: 2, WindowMS: 60_000}
 	for i := range 4 {
 		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: workload.MachineID(fmt.Sprintf("a-%d", i))})
 	}
@@ -197,7 +197,7 @@
 func TestTaskIsUnplaceableAfterDelay(t *testing.T) {
 	is := is.New(t)
 	s := newTestSite(map[string]int{"a": 1})
-	step := workload.StepSpec{Count: 1, Lasting: true, Need: workload.Resources{CPU: 1}}
+	step := workload.StepSpec{Count: 1, LongRunning: true, Need: workload.Resources{CPU: 1}}
 	s.apply(&workload.Command{Submit: []workload.Submit{{ID: "j", Queue: workload.QueueID{Host: "h", Prefix: "/a/"},
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{step}}}}})
 	s.machine.Read(func(tables *workload.Tables) {
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -256,7 +256,7 @@
 			if left == 0 || !o.Ready(&job.Spec, i) {
 				continue
 			}
-			if spec.Lasting {
+			if spec.LongRunning {
 				longRunning[pool] += left * d.cpuShare(spec.Charge())
 				continue
 			}
@@ -345,7 +345,7 @@
 	for _, o := range job.Occurrences {
 		for i := range o.Steps {
 			step := &o.Steps[i]
-			if job.Spec.Steps[i].Lasting && step.Active < len(step.Tasks) && o.Ready(&job.Spec, i) {
+			if job.Spec.Steps[i].LongRunning && step.Active < len(step.Tasks) && o.Ready(&job.Spec, i) {
 				return true
 			}
 		}
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -103,7 +103,7 @@
 // planWave begins the maintenance of empty VMs, and closes as many others as
 // may be under maintenance at once, the least used first.
 func (p *planner) planWave(w *workload.Wave) {
-	remaining := w.Most - p.underMaintenance(w)
+	remaining := w.MaxUnavailable - p.underMaintenance(w)
 	var all []candidate
 	for i := range w.Machines {
 		m := &w.Machines[i]
@@ -153,5 +153,5 @@
 }
 
 func (p *planner) candidateOf(vm *VM) candidate {
-	return candidate{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), longRunning: p.Tables.Kinds[vm.Worker].Lasting}
+	return candidate{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), longRunning: p.Tables.Kinds[vm.Worker].LongRunning}
 }
--- a/internal/control/hello.go
+++ b/internal/control/hello.go
@@ -109,7 +109,7 @@
 	g.version = reply.ConfigVersion
 	g.limits = workload.Limits{
 		HeaderBytes: reply.HeaderBytes, BodyBytes: reply.BodyBytes,
-		HeaderTimeoutMS: reply.HeaderTimeoutMs, IdleTimeout: reply.IdleTimeoutMs,
+		HeaderTimeoutMS: reply.HeaderTimeoutMs, IdleTimeoutMS: reply.IdleTimeoutMs,
 	}
 }
 
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -75,7 +75,7 @@
 	}
 	reply.ConfigVersion = c.Version
 	reply.HeaderBytes, reply.BodyBytes = c.Limits.HeaderBytes, c.Limits.BodyBytes
-	reply.HeaderTimeoutMs, reply.IdleTimeoutMs = c.Limits.HeaderTimeoutMS, c.Limits.IdleTimeout
+	reply.HeaderTimeoutMs, reply.IdleTimeoutMs = c.Limits.HeaderTimeoutMS, c.Limits.IdleTimeoutMS
 }
 
 // Ask answers a request if this VM leads, and names the leader otherwise.
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -45,7 +45,7 @@
 		queuedJobs: gauge("jobs.queued"), runningJobs: gauge("jobs.running"), oldestQueued: gauge("jobs.oldest_ms"),
 		knownWorkers: gauge("workers.known"), usableWorkers: gauge("workers.usable"), unresponsiveWorkers: gauge("workers.silent"), closedWorkers: gauge("workers.closed"),
 	}
-	for kind := workload.EndDone; kind <= workload.EndAlone; kind++ {
+	for kind := workload.EndDone; kind <= workload.EndGangIncomplete; kind++ {
 		c.end(kind).Inc(0)
 	}
 	for refusal := workers.RefusedFence; refusal <= workers.RefusedIncarnation; refusal++ {
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -108,10 +108,10 @@
 	sim.machine.Read(func(t *workload.Tables) {
 		for _, run := range f.worker.Running() {
 			job := t.Jobs[run.Task.Job]
-			longRunning := job.Spec.Steps != nil && job.Spec.Steps[run.Task.Step].Lasting
+			longRunning := job.Spec.Steps != nil && job.Spec.Steps[run.Task.Step].LongRunning
 			switch age, complete := f.worker.Age(run, sim.now), sim.isComplete(job, run); {
 			case !complete && age >= gangTimeout:
-				f.worker.End(run, workload.EndAlone)
+				f.worker.End(run, workload.EndGangIncomplete)
 			case complete && !longRunning && age >= taskDuration:
 				f.worker.End(run, workload.EndDone)
 			}
@@ -149,7 +149,7 @@
 	for _, f := range sim.workers {
 		for _, r := range f.worker.Running() {
 			if r.Task.Job == run.Task.Job {
-				f.worker.End(r, workload.EndBroken)
+				f.worker.End(r, workload.EndGangBroken)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 func TestTaskThatCrashesItsWorkersFailsItsJob(t *testing.T) {
 	for name, step := range map[string]workload.StepSpec{
 		"ends":    {Count: 2, Need: workload.Resources{CPU: 300}},
-		"lasts":   {Count: 1, Need: workload.Resources{CPU: 300}, Lasting: true},
+		"lasts":   {Count: 1, Need: workload.Resources{CPU: 300}, LongRunning: true},
 		"gang":    {Count: 2, Need: workload.Resources{CPU: 300}, Gang: true, MaxPerWorker: 1},
 		"ordered": {Count: 3, Need: workload.Resources{CPU: 300}, MaxPerWorker: 1},
 	} {
@@ -215,7 +215,7 @@
 		sim := newSimulation(seed)
 		sim.faultPercent = 0
 		sim.run(time.Second)
-		sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true})
+		sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, LongRunning: true})
 		for i := range 24 {
 			sim.submitJob(workload.JobID(fmt.Sprintf("sound-%d", i)), workload.StepSpec{Count: 3, Need: workload.Resources{CPU: 400}})
 			if i%6 == 5 { // most of the site, as when racks lose power
@@ -271,7 +271,7 @@
 	sim.faultPercent = 0
 	sim.run(time.Second)
 	sim.crashers["lasts"] = &crasher{}
-	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, Lasting: true, MaxUnavailable: 1})
+	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 300}, LongRunning: true, MaxUnavailable: 1})
 	sim.run(25 * time.Second)
 	is.Equal(sim.stateOf("lasts"), workload.JobFailed)
 	running := func() (n int) {
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -77,7 +77,7 @@
 		spec := &job.Spec.Steps[run.Task.Step]
 		pool := t.Queues[job.Queue].Pool
 		switch {
-		case !spec.Lasting:
+		case !spec.LongRunning:
 			if shortTasks {
 				l.evictRun(run)
 			}
@@ -123,7 +123,7 @@
 	pool, now := t.Queues[job.Queue].Pool, d.now()
 	for id, w := range t.Workers {
 		l := d.links[id]
-		if l == nil || id == except || w.Pool != pool || w.Draining || w.Closed || !w.Has(spec.Label) {
+		if l == nil || id == except || w.Pool != pool || w.Draining || w.Closed || !w.HasLabel(spec.Label) {
 			continue
 		}
 		if spec.MaxPerWorker > 0 && tasksOn[id] >= spec.MaxPerWorker || !spec.Charge().Fits(w.Capacity.Minus(t.Used[id])) {
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -158,7 +158,7 @@
 // all VMs of a busy site would be blocked for a whole lease at each change of
 // leader, as each of them was ordered in the last seconds.
 func latestOrderTime(t *workload.Tables, machine workload.MachineID, began time.Duration) time.Duration {
-	learnt, known := t.Learnt[machine]
+	learnt, known := t.OrderAppliedAt[machine]
 	if !known {
 		return began
 	}
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -171,18 +171,18 @@
 	switch {
 	case fl.Worker == "":
 	case answer == FleetDone:
-		c.Gone = append(c.Gone, fl.Worker)
+		c.EndedWorkers = append(c.EndedWorkers, fl.Worker)
 	default:
 		c.Open = append(c.Open, fl.Worker)
 	}
-	if len(c.Begun)+len(c.Gone)+len(c.Open) == 0 {
+	if len(c.Begun)+len(c.EndedWorkers)+len(c.Open) == 0 {
 		return
 	}
 	if err := d.propose(ctx, c); err != nil {
 		d.logFleetError("what the platform did is not committed; it is asked for again", err)
 		return
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.EndedWorkers {
 		d.logRemoved(term, id, removalReason{why: removedOrdered})
 	}
 }
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -32,7 +32,7 @@
 	for _, r := range c.Releases {
 		d.runLine(c.Term, r.Run, r.Worker, "").WithField("why", why.released[r.Run]).Info("run released")
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.EndedWorkers {
 		d.logRemoved(c.Term, id, why.removed[id])
 	}
 	for _, id := range c.Crashed {
@@ -58,8 +58,8 @@
 		line.Warn("job given up: workers crashed under its task")
 		return
 	}
-	if s := t.Suspects[task]; s != nil && s.Crashes >= workload.IsolateFrom {
-		line.WithField("crashes", s.Crashes).WithField("alone", s.Alone).WithField("later", s.Later).Info("task is started alone from now on: workers crashed under it")
+	if s := t.Suspects[task]; s != nil && s.Crashes >= workload.IsolationThreshold {
+		line.WithField("crashes", s.Crashes).WithField("alone", s.IsolatedCrashes).WithField("later", s.Retries).Info("task is started alone from now on: workers crashed under it")
 	}
 }
 
--- a/internal/dispatch/loss.go
+++ b/internal/dispatch/loss.go
@@ -105,7 +105,7 @@
 	losses := make([]workload.Loss, len(lost))
 	for i := range lost {
 		losses[i] = workload.Loss{
-			Worker: worker, Run: lost[i].run, AgeMS: max(lost[i].minAge.Milliseconds(), 0), Alone: !together && isSoleSuspect(lost, i),
+			Worker: worker, Run: lost[i].run, AgeMS: max(lost[i].minAge.Milliseconds(), 0), Isolated: !together && isSoleSuspect(lost, i),
 		}
 	}
 	return losses
@@ -113,7 +113,7 @@
 
 // trialPeriod is for how long after its start a run may be the cause of a crash
 // of its worker.
-const trialPeriod = workload.TrialMS * time.Millisecond
+const trialPeriod = workload.IsolationMS * time.Millisecond
 
 // isSoleSuspect reports whether a worker was lost soon after the start of a
 // run, when all other runs there had outlasted their trial period.
--- a/internal/dispatch/pace_test.go
+++ b/internal/dispatch/pace_test.go
@@ -15,8 +15,8 @@
 func TestBestEffortTaskIsSlowedBesideATaskNearItsTarget(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(1)
-	serve := workload.StepSpec{Count: 1, Need: workload.Resources{CPU: 100}, Lasting: true, TargetMS: 100}
-	fill := workload.StepSpec{Count: 1, Need: workload.Resources{CPU: 1900}, Fills: true}
+	serve := workload.StepSpec{Count: 1, Need: workload.Resources{CPU: 100}, LongRunning: true, TargetMS: 100}
+	fill := workload.StepSpec{Count: 1, Need: workload.Resources{CPU: 1900}, BestEffort: true}
 	worker := sim.workers[0].worker.ID
 	sim.report(sim.workers[0])
 	for id, step := range map[workload.JobID]workload.StepSpec{"serve": serve, "fill": fill} {
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -135,7 +135,7 @@
 	if !known {
 		return nil
 	}
-	if err := d.config.Log.Propose(ctx, &workload.Command{Gone: []workload.WorkerID{id}}); err != nil {
+	if err := d.config.Log.Propose(ctx, &workload.Command{EndedWorkers: []workload.WorkerID{id}}); err != nil {
 		return err
 	}
 	d.logRemoved(0, id, removalReason{why: removedLeft})
--- a/internal/dispatch/round.go
+++ b/internal/dispatch/round.go
@@ -44,7 +44,7 @@
 }
 
 func isEmpty(c *workload.Command) bool {
-	return len(c.Ends)+len(c.Releases)+len(c.Gone)+len(c.Due)+len(c.Starts)+len(c.Returned)+len(c.Proven) == 0 && c.ForgetBeforeMS == 0
+	return len(c.Ends)+len(c.Releases)+len(c.EndedWorkers)+len(c.Due)+len(c.Starts)+len(c.Returned)+len(c.Cleared) == 0 && c.ForgetBeforeMS == 0
 }
 
 const (
@@ -119,10 +119,10 @@
 	l.dropAckedEnds(worker.Acked)
 	if l.replaced {
 		lost := l.lostRuns(runs)
-		c.Gone = append(c.Gone, worker.ID)
+		c.EndedWorkers = append(c.EndedWorkers, worker.ID)
 		c.Lost = append(c.Lost, newLosses(worker.ID, lost, d.lostTogether(t, worker.Pool, l.lastContact))...)
 		c.Crashed = append(c.Crashed, worker.ID)
-		c.Void = append(c.Void, l.neverStartedRuns(runs)...)
+		c.NeverStarted = append(c.NeverStarted, l.neverStartedRuns(runs)...)
 		why.removed[worker.ID] = removalReason{why: removedReplaced, lost: lost, tasks: unfinishedTasks(t, worker.ID, lost)}
 		return
 	}
@@ -140,7 +140,7 @@
 			why.released[run] = reason
 			expired = expired || reason == releasedLeaseExpired
 			if impliesNeverStarted(reason) {
-				c.Void = append(c.Void, run)
+				c.NeverStarted = append(c.NeverStarted, run)
 			}
 			c.Releases = append(c.Releases, workload.Release{Worker: worker.ID, Run: run})
 		}
@@ -160,7 +160,7 @@
 	l.setWanted(len(runs) > 0 || hasLosses && now-l.lastReport < maxContactAge)
 	l.updateIdle(len(runs) == 0 && len(l.running) == 0, now)
 	if len(runs) == 0 && now-l.lastContact > forgetWorkerAfter && l.lastContact > 0 {
-		c.Gone = append(c.Gone, worker.ID)
+		c.EndedWorkers = append(c.EndedWorkers, worker.ID)
 		why.removed[worker.ID] = removalReason{why: removedUnresponsive}
 	}
 }
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -12,8 +12,8 @@
 		return
 	}
 	for run := range l.running {
-		if t.Suspects[run.Task] != nil && l.minAge(run).Milliseconds() >= workload.ProvenMS {
-			c.Proven = append(c.Proven, run.Task)
+		if t.Suspects[run.Task] != nil && l.minAge(run).Milliseconds() >= workload.ClearAfterMS {
+			c.Cleared = append(c.Cleared, run.Task)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	byWorker := map[workload.WorkerID]workerSuspects{}
 	previous := d.waitingSuspects
 	d.waitingSuspects = map[workload.TaskRef]time.Duration{}
-	t.EachSuspicion(func(ref workload.TaskRef, lost int) {
+	t.EachSuspect(func(ref workload.TaskRef, lost int) {
 		_, _, task := t.Task(ref)
 		if task == nil || task.Done {
 			return
@@ -50,7 +50,7 @@
 			}
 			at := byWorker[run.Worker]
 			at.count++
-			at.isolated = at.isolated || lost >= workload.IsolateFrom
+			at.isolated = at.isolated || lost >= workload.IsolationThreshold
 			byWorker[run.Worker] = at
 		}
 	})
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -21,14 +21,14 @@
 func TestLatestOrderTimeIsNotBeforeTheOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
-	tables := &workload.Tables{Learnt: map[workload.MachineID]time.Duration{}}
+	tables := &workload.Tables{OrderAppliedAt: map[workload.MachineID]time.Duration{}}
 	for range 100_000 {
 		committed := time.Hour
 		began := committed + upTo(10*time.Second)
 		sent := min(committed+upTo(fleetTimeout), began)
-		tables.Learnt["m"] = committed + upTo(5*time.Second) // also after the next leader began
+		tables.OrderAppliedAt["m"] = committed + upTo(5*time.Second) // also after the next leader began
 		if last := latestOrderTime(tables, "m", began); last < sent {
-			t.Fatalf("sent at %v, term began at %v, learnt at %v: latest order time %v", sent, began, tables.Learnt["m"], last)
+			t.Fatalf("sent at %v, term began at %v, learnt at %v: latest order time %v", sent, began, tables.OrderAppliedAt["m"], last)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	other := workload.NewMachine()
 	other.SetClock(func() time.Duration { return sim.now })
 	is.NoErr(other.Restore(image))
-	other.Read(func(t *workload.Tables) { is.Equal(t.Learnt["old"], sim.now) })
+	other.Read(func(t *workload.Tables) { is.Equal(t.OrderAppliedAt["old"], sim.now) })
 }
 
 // deadlineFleet is a platform that records how much time an order has left
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -72,7 +72,7 @@
 	sim.leader.skipBudget = skip
 	b := &budgetMonitor{sim: sim, availableAt: make([]time.Duration, 4), stopped: make([]bool, 4), maxUnavailable: 1}
 	sim.run(300 * time.Millisecond)
-	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 900}, Lasting: true, MaxUnavailable: 1})
+	sim.submitJob("lasts", workload.StepSpec{Count: 4, Need: workload.Resources{CPU: 900}, LongRunning: true, MaxUnavailable: 1})
 	sim.run(3 * time.Second)
 	b.observe()
 	sim.onStop = b.recordStop
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -38,10 +38,10 @@
 			continue
 		}
 		spec := &job.Spec.Steps[run.Task.Step]
-		if spec.Gang || spec.Fills || spec.Lasting && seen.Percent >= availablePercent {
+		if spec.Gang || spec.BestEffort || spec.LongRunning && seen.Percent >= availablePercent {
 			continue
 		}
-		if spec.Lasting {
+		if spec.LongRunning {
 			l.d.stalled = append(l.d.stalled, stalledRun{link: l, run: run, seen: seen})
 			continue
 		}
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -17,7 +17,7 @@
 	sim.faultPercent = 0
 	sim.workers = sim.workers[:2]
 	sim.run(200 * time.Millisecond)
-	sim.submitJob("lasts", workload.StepSpec{Count: 2, Need: workload.Resources{CPU: 1500}, Lasting: true, MaxUnavailable: 1})
+	sim.submitJob("lasts", workload.StepSpec{Count: 2, Need: workload.Resources{CPU: 1500}, LongRunning: true, MaxUnavailable: 1})
 	return sim
 }
 
--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -11,7 +11,7 @@
 const waveID = 1
 
 func (w *world) startWave() {
-	wave := &workload.Wave{ID: waveID, ForMS: w.pattern.WaveFor.Milliseconds(), AskedMS: w.nowMS(), Most: w.pattern.WaveMost}
+	wave := &workload.Wave{ID: waveID, WindowMS: w.pattern.WaveFor.Milliseconds(), AcceptedMS: w.nowMS(), MaxUnavailable: w.pattern.WaveMost}
 	for _, vm := range w.vms[:w.pattern.Wave] {
 		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: vm.Machine})
 	}
@@ -91,7 +91,7 @@
 		}
 		vm.flight, vm.flying = capacity.InFlightOrder{Order: o, Sent: w.now, Worker: vm.Worker}, true
 		if vm.Worker != "" {
-			w.apply(&workload.Command{Gone: []workload.WorkerID{vm.Worker}})
+			w.apply(&workload.Command{EndedWorkers: []workload.WorkerID{vm.Worker}})
 			vm.Worker = ""
 		}
 		w.leave(vm, o)
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -75,7 +75,7 @@
 	}
 	var fit []*candidate
 	for _, c := range p.pools[w.queue.Pool] {
-		if c.worker.Has(spec.Label) && allowed(c.worker.ID) {
+		if c.worker.HasLabel(spec.Label) && allowed(c.worker.ID) {
 			fit = append(fit, c)
 		}
 	}
@@ -273,16 +273,16 @@
 	if spec.DataRack != "" && c.worker.Rack == spec.DataRack {
 		s.dataLocal = 1
 	}
-	if (spec.Fills && c.hasLatencyTarget) || (spec.TargetMS > 0 && c.hasBestEffort) {
+	if (spec.BestEffort && c.hasLatencyTarget) || (spec.TargetMS > 0 && c.hasBestEffort) {
 		s.undisturbed = -1
 	}
-	if spec.Lasting && c.state.Doomed {
+	if spec.LongRunning && c.state.Doomed {
 		s.stability = -1
 	}
-	if spec.Lasting && c.hasLongRunning {
+	if spec.LongRunning && c.hasLongRunning {
 		s.consolidation = 1
 	}
-	if spec.Lasting {
+	if spec.LongRunning {
 		s.spread = -max(onWorker-longRunningPerWorker+1, 0)
 	}
 	return s
@@ -326,6 +326,6 @@
 			Worker: pl.candidate.worker.ID, Run: workload.RunRef{Task: ref, Attempt: attempt},
 		})
 		pl.candidate.hasLatencyTarget = pl.candidate.hasLatencyTarget || w.spec().TargetMS > 0
-		pl.candidate.hasBestEffort = pl.candidate.hasBestEffort || w.spec().Fills
+		pl.candidate.hasBestEffort = pl.candidate.hasBestEffort || w.spec().BestEffort
 	}
 }
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -64,7 +64,7 @@
 // Plan is what to commit next. Due lists the occurrences that are due.
 type Plan struct {
 	Starts []workload.Start
-	Due    []workload.Occurring
+	Due    []workload.DueOccurrence
 	// Ask lists the steps for which the advisor must be asked.
 	Ask []StepRef
 }
@@ -107,7 +107,7 @@
 	p.collectDue()
 	p.collectCandidates()
 	waiting := p.waiting()
-	if in.Tables.HasSuspicions() {
+	if in.Tables.HasSuspects() {
 		p.placeSuspects(waiting)
 	}
 	for _, w := range waiting {
@@ -125,11 +125,11 @@
 		for _, job := range jobs {
 			r := job.Spec.Repeat
 			if r != nil && job.Next < r.Times && r.Due(job.Next) <= p.NowMS {
-				p.plan.Due = append(p.plan.Due, workload.Occurring{Job: job.ID, K: job.Next})
+				p.plan.Due = append(p.plan.Due, workload.DueOccurrence{Job: job.ID, K: job.Next})
 			}
 		}
 	}
-	slices.SortFunc(p.plan.Due, func(a, b workload.Occurring) int { return cmp.Compare(a.Job, b.Job) })
+	slices.SortFunc(p.plan.Due, func(a, b workload.DueOccurrence) int { return cmp.Compare(a.Job, b.Job) })
 }
 
 func (p *planner) collectCandidates() {
@@ -155,7 +155,7 @@
 
 func (p *planner) setRunKinds(c *candidate) {
 	kinds := p.Tables.Kinds[c.worker.ID]
-	c.hasLatencyTarget, c.hasBestEffort, c.hasLongRunning = kinds.Serving > 0, kinds.Filling > 0, kinds.Lasting > 0
+	c.hasLatencyTarget, c.hasBestEffort, c.hasLongRunning = kinds.LatencySensitive > 0, kinds.BestEffort > 0, kinds.LongRunning > 0
 }
 
 // waitingStep is a step with tasks to start.
@@ -201,7 +201,7 @@
 	}
 	slices.SortFunc(all, func(a, b waitingStep) int {
 		return cmp.Or(
-			order.Bools(b.spec().Lasting, a.spec().Lasting),
+			order.Bools(b.spec().LongRunning, a.spec().LongRunning),
 			cmp.Compare(a.queue.Priority, b.queue.Priority),
 			cmp.Compare(a.urgency, b.urgency),
 			cmp.Compare(b.density, a.density),
@@ -239,7 +239,7 @@
 		w := &steps[i]
 		w.urgency = p.urgencyOf(w)
 		value := baseValueShare*mean + (1-baseValueShare)*float64(w.job.Work())
-		w.density = value / float64(max(w.job.LeftWork(w.occurrence), 1))
+		w.density = value / float64(max(w.job.RemainingWork(w.occurrence), 1))
 	}
 }
 
--- a/internal/schedule/suspects.go
+++ b/internal/schedule/suspects.go
@@ -47,8 +47,8 @@
 // suspicionOf returns the suspicion of a task. From IsolateFrom lost workers on it is
 // started in isolation, so that a crash shows whether the task is the cause.
 func (p *planner) suspicionOf(ref workload.TaskRef) suspicion {
-	lost := p.Tables.Suspicion(ref)
-	return suspicion{lostWorkers: lost, isolated: lost >= workload.IsolateFrom && !p.Overdue[ref]}
+	lost := p.Tables.LostWorkers(ref)
+	return suspicion{lostWorkers: lost, isolated: lost >= workload.IsolationThreshold && !p.Overdue[ref]}
 }
 
 // placeSuspects starts the suspects that fit on a worker without recent runs. For
@@ -125,7 +125,7 @@
 // assign charges a candidate for a run that is to start there.
 func (p *planner) assign(w waitingStep, c *candidate) {
 	c.free = c.free.Minus(w.spec().Charge())
-	c.hasLongRunning = c.hasLongRunning || w.spec().Lasting
+	c.hasLongRunning = c.hasLongRunning || w.spec().LongRunning
 	c.runs++
 	c.recentRuns++
 }
--- a/internal/schedule/suspects_test.go
+++ b/internal/schedule/suspects_test.go
@@ -17,7 +17,7 @@
 		s.apply(&workload.Command{Workers: []workload.Worker{{ID: worker, Pool: "other", Capacity: workload.Resources{CPU: coresEach, MemoryMB: memoryEach}}}})
 		s.apply(&workload.Command{Starts: []workload.Start{{Worker: worker, Run: run}}})
 		s.apply(&workload.Command{
-			Lost: []workload.Loss{{Worker: worker, Run: run}}, Crashed: []workload.WorkerID{worker}, Gone: []workload.WorkerID{worker},
+			Lost: []workload.Loss{{Worker: worker, Run: run}}, Crashed: []workload.WorkerID{worker}, EndedWorkers: []workload.WorkerID{worker},
 		})
 	}
 }
--- a/internal/workload/apply.go
+++ b/internal/workload/apply.go
@@ -49,7 +49,7 @@
 	for _, r := range c.Releases {
 		t.release(r.Worker, r.Run, c.AtMS)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.EndedWorkers {
 		t.removeWorker(id, c.AtMS)
 	}
 	for _, id := range c.Close {
@@ -70,10 +70,10 @@
 	for _, id := range c.Returned {
 		t.dropLosses(id)
 	}
-	for _, run := range c.Void {
+	for _, run := range c.NeverStarted {
 		t.uncountSuspectStart(run)
 	}
-	for _, task := range c.Proven {
+	for _, task := range c.Cleared {
 		delete(t.Suspects, task)
 	}
 }
@@ -133,7 +133,7 @@
 
 // beginOccurrence begins the next occurrence of a job; a repeated command has no
 // effect.
-func (t *Tables) beginOccurrence(d Occurring) {
+func (t *Tables) beginOccurrence(d DueOccurrence) {
 	job := t.Jobs[d.Job]
 	if job == nil || job.State.Final() || job.Spec.Repeat == nil {
 		return
@@ -192,9 +192,9 @@
 		return
 	}
 	switch {
-	case e.Kind == EndDone && !spec.Lasting:
+	case e.Kind == EndDone && !spec.LongRunning:
 		t.taskDone(job, spec, step, e.Run.Task)
-	case e.Kind == EndFailed && !spec.Lasting:
+	case e.Kind == EndFailed && !spec.LongRunning:
 		t.taskFailed(job, spec, step, task, nowMS)
 	}
 	if e.Kind == EndDone || e.Kind == EndFailed {
@@ -321,7 +321,7 @@
 
 func (t *Tables) applyWaves(c *Command) {
 	if c.Wave != nil && t.Waves[c.Wave.ID] == nil {
-		c.Wave.AskedMS = c.AtMS
+		c.Wave.AcceptedMS = c.AtMS
 		t.Waves[c.Wave.ID] = c.Wave
 	}
 	for _, b := range c.Begun {
--- a/internal/workload/command.go
+++ b/internal/workload/command.go
@@ -22,12 +22,12 @@
 	Workers   []Worker  `cbor:"7,keyasint,omitempty"`
 	Ends      []End     `cbor:"8,keyasint,omitempty"`
 	Releases  []Release `cbor:"9,keyasint,omitempty"`
-	// Gone lists the incarnations of workers that have certainly ended.
-	Gone   []WorkerID  `cbor:"10,keyasint,omitempty"`
-	Due    []Occurring `cbor:"11,keyasint,omitempty"`
-	Starts []Start     `cbor:"12,keyasint,omitempty"`
-	Wave   *Wave       `cbor:"13,keyasint,omitempty"`
-	Begun  []WaveBegun `cbor:"14,keyasint,omitempty"`
+	// EndedWorkers lists the incarnations of workers that have certainly ended.
+	EndedWorkers []WorkerID      `cbor:"10,keyasint,omitempty"`
+	Due          []DueOccurrence `cbor:"11,keyasint,omitempty"`
+	Starts       []Start         `cbor:"12,keyasint,omitempty"`
+	Wave         *Wave           `cbor:"13,keyasint,omitempty"`
+	Begun        []WaveBegun     `cbor:"14,keyasint,omitempty"`
 	// Ordered lists the VMs for which the leader is about to send an order to the
 	// platform.
 	Ordered []MachineID `cbor:"16,keyasint,omitempty"`
@@ -44,10 +44,10 @@
 	// Sequences holds the numbers of the reports behind Workers, in the same order;
 	// it is empty when Workers doesn't come from reports.
 	Sequences []uint64 `cbor:"23,keyasint,omitempty"`
-	// Void lists the runs in Releases that certainly never began.
-	Void []RunRef `cbor:"24,keyasint,omitempty"`
-	// Proven lists the suspects that have run for so long that they are cleared.
-	Proven []TaskRef `cbor:"22,keyasint,omitempty"`
+	// NeverStarted lists the runs in Releases that certainly never began.
+	NeverStarted []RunRef `cbor:"24,keyasint,omitempty"`
+	// Cleared lists the suspects that have run for long enough to be no suspects.
+	Cleared []TaskRef `cbor:"22,keyasint,omitempty"`
 	// ForgetBeforeMS removes the jobs that ended before this time, in Unix
 	// milliseconds; 0 removes none.
 	ForgetBeforeMS int64 `cbor:"15,keyasint,omitempty"`
@@ -74,10 +74,10 @@
 	EndStopped
 	// EndLapsed means that the lease of the run expired.
 	EndLapsed
-	// EndBroken means that another member of the gang ended.
-	EndBroken
-	// EndAlone means that the other members of the gang did not join.
-	EndAlone
+	// EndGangBroken means that another member of the gang ended.
+	EndGangBroken
+	// EndGangIncomplete means that the other members of the gang did not join.
+	EndGangIncomplete
 )
 
 // String returns the name of the kind for log lines.
@@ -107,8 +107,8 @@
 	Run    RunRef
 }
 
-// Occurring begins the next occurrence of a repeated job.
-type Occurring struct {
+// DueOccurrence begins the next occurrence of a repeated job.
+type DueOccurrence struct {
 	_   struct{} `cbor:",toarray"`
 	Job JobID
 	K   int
--- a/internal/workload/config.go
+++ b/internal/workload/config.go
@@ -52,18 +52,18 @@
 type Pool struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// Checks is set when the workers refuse tasks that don't satisfy the pool's
-	// constraints.
-	Checks bool
+	// ChecksConstraints is set when the workers refuse tasks that don't satisfy
+	// the pool's constraints.
+	ChecksConstraints bool
 	// Standby is set when the VMs of the pool are off and cost nothing.
 	Standby bool
 }
 
-// Limits are the limits of callers' requests. IdleTimeout is in milliseconds.
+// Limits are the limits of callers' requests.
 type Limits struct {
-	_                            struct{} `cbor:",toarray"`
-	HeaderBytes, BodyBytes       int64
-	HeaderTimeoutMS, IdleTimeout int64
+	_                              struct{} `cbor:",toarray"`
+	HeaderBytes, BodyBytes         int64
+	HeaderTimeoutMS, IdleTimeoutMS int64
 }
 
 // Route returns the queue of the host with the longest prefix of the path, nil
--- a/internal/workload/crash.go
+++ b/internal/workload/crash.go
@@ -14,9 +14,9 @@
 	// AgeMS is how long the run had been seen running when the worker last
 	// answered; 0 when nothing shows that it began.
 	AgeMS int64
-	// Alone is set when the worker was lost soon after the start of this run and of
-	// no other run.
-	Alone bool
+	// Isolated is set when the worker was lost soon after the start of this run
+	// and of no other run.
+	Isolated bool
 }
 
 // Suspect is a task under which workers crashed in a row, with the counts that
@@ -24,47 +24,47 @@
 type Suspect struct {
 	_    struct{} `cbor:",toarray"`
 	Task TaskRef
-	// Crashes counts all these crashes, Alone those soon after a start of the task
-	// and of no other.
-	Crashes, Alone int
-	// Later counts the starts after lossThreshold workers were lost, including
-	// workers that may still come back.
-	Later int
+	// Crashes counts all these crashes, IsolatedCrashes those soon after a start
+	// of the task and of no other.
+	Crashes, IsolatedCrashes int
+	// Retries counts the starts after lossThreshold workers were lost,
+	// including workers that may still come back.
+	Retries int
 }
 
 const (
 	// isolatedCrashesToConfirm is the number of crashes with the task alone that
 	// confirm it as the cause. One also happens to healthy tasks.
 	isolatedCrashesToConfirm = 2
-	// A task gets maxExtraStarts more starts after lossThreshold workers
-	// were lost under it, if at least minCrashes of them are known to have
+	// After lossThreshold workers were lost under a task, it gets maxRetries more
+	// starts. The limit applies once at least minCrashes workers are known to have
 	// crashed.
-	lossThreshold  = 3
-	maxExtraStarts = 2
-	minCrashes     = 2
-	// IsolateFrom is the number of lost workers from which on a task is started in
-	// isolation.
-	IsolateFrom = 2
-	// ProvenMS is how long a run must last, in milliseconds, for its task to be
+	lossThreshold = 3
+	maxRetries    = 2
+	minCrashes    = 2
+	// IsolationThreshold is the number of lost workers from which on a task is
+	// started in isolation.
+	IsolationThreshold = 2
+	// ClearAfterMS is how long a run must last, in milliseconds, for its task to be
 	// cleared of earlier crashes. A task that runs for weeks outlives many workers.
-	ProvenMS = 20_000
-	// TrialMS is how long after its start a run may be the cause of a crash of its
-	// worker, in milliseconds. Nothing else is started beside an isolated suspect
-	// for that time.
-	TrialMS = 500
+	ClearAfterMS = 20_000
+	// IsolationMS is how long after its start a run may be the cause of a crash
+	// of its worker, in milliseconds. Nothing else is started beside an isolated
+	// suspect for that time.
+	IsolationMS = 500
 )
 
 // isConfirmedCause reports whether the crashes show that the task is their cause.
-func (s *Suspect) isConfirmedCause() bool { return s.Alone >= isolatedCrashesToConfirm }
+func (s *Suspect) isConfirmedCause() bool { return s.IsolatedCrashes >= isolatedCrashesToConfirm }
 
-// startsExhausted reports whether the task may not be started again. Crashes may be
+// retriesExhausted reports whether the task may not be started again. Crashes may be
 // lower than lossThreshold, as one of the lost workers may not be known to have
 // ended yet.
-func (s *Suspect) startsExhausted() bool { return s.Crashes >= minCrashes && s.Later >= maxExtraStarts }
+func (s *Suspect) retriesExhausted() bool { return s.Crashes >= minCrashes && s.Retries >= maxRetries }
 
-// Suspicion returns how many workers were lost under a task in a row, including
+// LostWorkers returns how many workers were lost under a task in a row, including
 // workers that may still come back.
-func (t *Tables) Suspicion(ref TaskRef) int {
+func (t *Tables) LostWorkers(ref TaskRef) int {
 	lost := t.unconfirmedLosses[ref]
 	if s := t.Suspects[ref]; s != nil {
 		lost += s.Crashes
@@ -72,12 +72,12 @@
 	return lost
 }
 
-// HasSuspicions reports whether a worker was lost under any task of a live job.
-func (t *Tables) HasSuspicions() bool { return len(t.Suspects)+len(t.unconfirmedLosses) > 0 }
+// HasSuspects reports whether a worker was lost under any task of a live job.
+func (t *Tables) HasSuspects() bool { return len(t.Suspects)+len(t.unconfirmedLosses) > 0 }
 
-// EachSuspicion calls f for every task under which workers were lost, in no
+// EachSuspect calls f for every task under which workers were lost, in no
 // particular order.
-func (t *Tables) EachSuspicion(f func(ref TaskRef, lost int)) {
+func (t *Tables) EachSuspect(f func(ref TaskRef, lost int)) {
 	for ref, s := range t.Suspects {
 		f(ref, s.Crashes+t.unconfirmedLosses[ref])
 	}
@@ -132,7 +132,7 @@
 	if task == nil || task.Done || job.State.Final() {
 		return
 	}
-	if loss.AgeMS >= ProvenMS {
+	if loss.AgeMS >= ClearAfterMS {
 		delete(t.Suspects, ref)
 		return
 	}
@@ -142,8 +142,8 @@
 		t.Suspects[ref] = s
 	}
 	s.Crashes++
-	if loss.Alone {
-		s.Alone++
+	if loss.Isolated {
+		s.IsolatedCrashes++
 	}
 	if s.isConfirmedCause() {
 		t.finish(job, JobFailed, nowMS)
@@ -152,13 +152,13 @@
 
 // countSuspectStart counts a start against the limit of a suspect.
 func (t *Tables) countSuspectStart(ref TaskRef) {
-	if t.Suspicion(ref) < lossThreshold {
+	if t.LostWorkers(ref) < lossThreshold {
 		return
 	}
 	if t.Suspects[ref] == nil {
 		t.Suspects[ref] = &Suspect{Task: ref}
 	}
-	t.Suspects[ref].Later++
+	t.Suspects[ref].Retries++
 }
 
 // uncountSuspectStart reverts countSuspectStart for a run that never began. When a
@@ -168,8 +168,8 @@
 	if task == nil || !slices.ContainsFunc(task.Runs, func(r Run) bool { return r.Attempt == run.Attempt }) {
 		return
 	}
-	if s := t.Suspects[run.Task]; s != nil && s.Later > 0 {
-		s.Later--
+	if s := t.Suspects[run.Task]; s != nil && s.Retries > 0 {
+		s.Retries--
 	}
 }
 
@@ -177,7 +177,7 @@
 // and was not cleared.
 func (t *Tables) failIfExhausted(job *Job, ref TaskRef, task *Task, nowMS int64) {
 	s := t.Suspects[ref]
-	if s != nil && s.startsExhausted() && len(task.Runs) == 0 && !task.Done && !job.State.Final() {
+	if s != nil && s.retriesExhausted() && len(task.Runs) == 0 && !task.Done && !job.State.Final() {
 		t.finish(job, JobFailed, nowMS)
 	}
 }
--- a/internal/workload/crash_test.go
+++ b/internal/workload/crash_test.go
@@ -24,16 +24,16 @@
 }
 
 func lossOn(id WorkerID, attempt int, ageMS int64, alone bool) []Loss {
-	return []Loss{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}, AgeMS: ageMS, Alone: alone}}
+	return []Loss{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}, AgeMS: ageMS, Isolated: alone}}
 }
 
 // crash commits that a worker crashed under its run.
 func (l *log) crash(id WorkerID, attempt int, ageMS int64, alone bool) {
-	l.do(&Command{AtMS: 2000, Lost: lossOn(id, attempt, ageMS, alone), Crashed: []WorkerID{id}, Gone: []WorkerID{id}})
+	l.do(&Command{AtMS: 2000, Lost: lossOn(id, attempt, ageMS, alone), Crashed: []WorkerID{id}, EndedWorkers: []WorkerID{id}})
 }
 
 func (l *log) lostWorkers() (lost int) {
-	l.Read(func(t *Tables) { lost = t.Suspicion(suspectTask) })
+	l.Read(func(t *Tables) { lost = t.LostWorkers(suspectTask) })
 	return lost
 }
 
@@ -65,7 +65,8 @@
 	is.Equal(l.job("j").State, JobRunning)
 }
 
-// A worker that was draining, or closed for an order to the platform, did not crash.
+// A worker that was draining, or closed for an order to the platform, did not
+// crash.
 func TestDrainingOrClosedWorkerDidNotCrash(t *testing.T) {
 	is := is.New(t)
 	l := crashLog()
@@ -107,7 +108,7 @@
 		l.startOn(id, starts+1)
 		l.crash(id, starts+1, 0, false)
 	}
-	is.Equal(starts, lossThreshold+maxExtraStarts)
+	is.Equal(starts, lossThreshold+maxRetries)
 }
 
 // A run that ends while its worker lives, or that lasts long enough, clears its
@@ -117,9 +118,9 @@
 		"failed": func(l *log) {
 			l.do(&Command{Ends: []End{{Worker: "b", Number: 1, Run: RunRef{Task: suspectTask, Attempt: 2}, Kind: EndFailed}}})
 		},
-		"proven": func(l *log) { l.do(&Command{Proven: []TaskRef{suspectTask}}) },
+		"proven": func(l *log) { l.do(&Command{Cleared: []TaskRef{suspectTask}}) },
 		"lost after long": func(l *log) {
-			l.crash("b", 2, ProvenMS, false)
+			l.crash("b", 2, ClearAfterMS, false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -148,7 +149,7 @@
 	restored := NewMachine()
 	is.NoErr(restored.Restore(data))
 	restored.Read(func(tables *Tables) {
-		is.Equal(tables.Suspicion(suspectTask), 2)
+		is.Equal(tables.LostWorkers(suspectTask), 2)
 	})
 	again, err := restored.Snapshot()
 	is.NoErr(err)
@@ -166,13 +167,13 @@
 	m.Read(func(tables *Tables) { is.Equal(tables.Jobs["j"].Order, uint64(1)) })
 }
 
-// After a restart the remaining tasks of a failed long-running job keep running, and
-// still end when the caller cancels the job.
+// After a restart the remaining tasks of a failed long-running job keep running,
+// and still end when the caller cancels the job.
 func TestRestartKeepsRestOfLongRunningStep(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	longRunning := step(2)
-	longRunning.Lasting, longRunning.MaxUnavailable = true, 1
+	longRunning.LongRunning, longRunning.MaxUnavailable = true, 1
 	l.submit("j", longRunning)
 	other := TaskRef{Job: "j", Index: 1}
 	l.start(other, 1)
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -73,7 +73,8 @@
 	// DataRack is the rack that holds the data. On other racks tasks take several
 	// times as long.
 	DataRack string
-	// MaxPerWorker limits the tasks of one occurrence on one worker; 0 for no limit.
+	// MaxPerWorker limits the tasks of one occurrence on one worker; 0 for no
+	// limit.
 	MaxPerWorker int
 	// TargetMS is the latency that a long-running task must stay below; 0 for none.
 	TargetMS int64
@@ -84,21 +85,22 @@
 	Checkpoints bool
 	// Gang is set when the tasks work only while all of them run, and end together.
 	Gang bool
-	// SameRack is set when the tasks are several times slower on more than one rack.
+	// SameRack is set when the tasks are several times slower on more than one
+	// rack.
 	SameRack bool
 	// Speculative is set when two copies of a task may run; the first end counts.
 	Speculative bool
-	// Lasting is set for long-running tasks: they run until the job is cancelled.
-	Lasting bool
-	// Fills is set for best-effort tasks: they use the processor time that other
-	// tasks leave, and it isn't counted against the worker's capacity.
-	Fills bool
+	// LongRunning is set when the tasks run until the job is cancelled.
+	LongRunning bool
+	// BestEffort is set when the tasks use the processor time that other tasks
+	// leave; it isn't counted against the worker's capacity.
+	BestEffort bool
 }
 
 // Charge returns the resources that a task takes from a worker's capacity.
 func (s *StepSpec) Charge() Resources {
 	need := s.Need
-	if s.Fills {
+	if s.BestEffort {
 		need.CPU = 0
 	}
 	return need
@@ -188,7 +190,7 @@
 func (s *JobSpec) work() int64 {
 	var work int64
 	for i := range s.Steps {
-		if !s.Steps[i].Lasting {
+		if !s.Steps[i].LongRunning {
 			work += int64(s.Steps[i].Count) * s.Steps[i].Charge().CPU * s.Steps[i].RunMS()
 		}
 	}
--- a/internal/workload/machine.go
+++ b/internal/workload/machine.go
@@ -14,8 +14,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// ErrStepBack is returned for a snapshot that is older than the applied state.
-var ErrStepBack = errors.New("workload: snapshot is older than the applied state")
+// ErrStaleSnapshot is returned for a snapshot that is older than the applied state.
+var ErrStaleSnapshot = errors.New("workload: snapshot is older than the applied state")
 
 // Machine is the replicated state machine. It guards the tables: one goroutine
 // applies commands, any number read.
@@ -64,7 +64,7 @@
 	}
 	now := m.clock()
 	for _, machine := range ordered {
-		m.tables.Learnt[machine] = now
+		m.tables.OrderAppliedAt[machine] = now
 	}
 }
 
@@ -190,13 +190,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if snap.Index < m.index {
-		return ErrStepBack
+		return ErrStaleSnapshot
 	}
 	previous := m.tables
 	m.index, m.tables = snap.Index, restored
 	for machine, atMS := range restored.Ordered {
-		if appliedAt, known := previous.Learnt[machine]; known && previous.Ordered[machine] == atMS {
-			restored.Learnt[machine] = appliedAt
+		if appliedAt, known := previous.OrderAppliedAt[machine]; known && previous.Ordered[machine] == atMS {
+			restored.OrderAppliedAt[machine] = appliedAt
 			continue
 		}
 		m.recordOrderTimes([]MachineID{machine})
--- a/internal/workload/machine_test.go
+++ b/internal/workload/machine_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// A worker reports an end again when the acknowledgement was lost. Counting it twice
-// would fail the job after fewer attempts than the queue allows.
+// A worker reports an end again when the acknowledgement was lost. Counting it
+// twice would fail the job after fewer attempts than the queue allows.
 func TestRepeatedEndCountsOnce(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
@@ -113,7 +113,7 @@
 	l.submit("j", gang)
 	l.start(TaskRef{Job: "j"}, 1)
 	l.start(TaskRef{Job: "j", Index: 1}, 1)
-	l.end(1, TaskRef{Job: "j"}, 1, EndBroken)
+	l.end(1, TaskRef{Job: "j"}, 1, EndGangBroken)
 	is.Equal(l.job("j").Occurrences[0].Steps[0].Tasks[1].Checkpoint, "c")
 	l.end(2, TaskRef{Job: "j", Index: 1}, 1, EndDone)
 	is.Equal(l.job("j").State, JobCompleted)
@@ -126,7 +126,7 @@
 	l.do(&Command{Submit: []Submit{{ID: "j", Queue: QueueID{Host: "h", Prefix: "/q/"}, Spec: spec}}})
 	is.Equal(l.job("j").State, JobQueued)
 	for _, k := range []int{0, 0, 1, 2} {
-		l.do(&Command{Due: []Occurring{{Job: "j", K: k}}})
+		l.do(&Command{Due: []DueOccurrence{{Job: "j", K: k}}})
 	}
 	is.Equal(len(l.job("j").Occurrences), 2)
 	for k := range 2 {
@@ -172,7 +172,7 @@
 	l.start(TaskRef{Job: "done"}, 1)
 	l.end(1, TaskRef{Job: "done"}, 1, EndDone)
 	l.start(TaskRef{Job: "open"}, 1)
-	l.do(&Command{Wave: &Wave{ID: 1, Most: 1, Machines: []WaveMachine{{Machine: "m"}}}, Ordered: []MachineID{"m"}, AtMS: 5})
+	l.do(&Command{Wave: &Wave{ID: 1, MaxUnavailable: 1, Machines: []WaveMachine{{Machine: "m"}}}, Ordered: []MachineID{"m"}, AtMS: 5})
 	data, err := l.Snapshot()
 	is.NoErr(err)
 	other := NewMachine()
@@ -188,7 +188,7 @@
 	})
 	l.submit("more", step(1))
 	older := l.Machine
-	is.True(errors.Is(older.Restore(data), ErrStepBack))
+	is.True(errors.Is(older.Restore(data), ErrStaleSnapshot))
 }
 
 func TestRouteMatchesLongestPrefix(t *testing.T) {
--- a/internal/workload/objective.go
+++ b/internal/workload/objective.go
@@ -1,14 +1,15 @@
 package workload
 
 // Objective returns how long an occurrence of a job may take to be on time, in
-// milliseconds from the job's acceptance or the time at which the occurrence is due.
+// milliseconds from the job's acceptance or the time at which the occurrence is
+// due.
 func (j *Job) Objective(q *Queue) int64 {
 	return int64(q.TargetFactor*float64(j.Spec.criticalPathMS(nil))) + q.TargetLatencyMS
 }
 
-// LeftMS estimates how much longer an occurrence takes if every task starts as soon
-// as its step is ready: the critical path of the steps that are not done.
-func (j *Job) LeftMS(o *Occurrence) int64 { return j.Spec.criticalPathMS(o) }
+// RemainingMS estimates how much longer an occurrence takes if every task starts
+// as soon as its step is ready: the critical path of the steps that are not done.
+func (j *Job) RemainingMS(o *Occurrence) int64 { return j.Spec.criticalPathMS(o) }
 
 // LateFactor is how many times its objective a job may take before it is of no use
 // to its caller.
@@ -21,7 +22,7 @@
 	if j.Spec.Repeat != nil {
 		began = j.Spec.Repeat.Due(o.K)
 	}
-	return began + times*j.Objective(q) - nowMS - j.LeftMS(o)
+	return began + times*j.Objective(q) - nowMS - j.RemainingMS(o)
 }
 
 // IsLate reports whether no occurrence of a job can be on time any more.
@@ -34,8 +35,8 @@
 	return len(j.Occurrences) > 0
 }
 
-// criticalPathMS returns the run time of the longest chain of dependent steps. Steps
-// that are done in the occurrence o count as 0; o may be nil.
+// criticalPathMS returns the run time of the longest chain of dependent steps.
+// Steps that are done in the occurrence o count as 0; o may be nil.
 func (s *JobSpec) criticalPathMS(o *Occurrence) int64 {
 	var ends [maxSteps]int64
 	var longest int64
@@ -46,7 +47,7 @@
 			begin = max(begin, ends[dependency])
 		}
 		ends[i] = begin
-		if !step.Lasting && (o == nil || o.Steps[i].Done < step.Count) {
+		if !step.LongRunning && (o == nil || o.Steps[i].Done < step.Count) {
 			ends[i] += step.RunMS()
 		}
 		longest = max(longest, ends[i])
@@ -54,13 +55,13 @@
 	return longest
 }
 
-// LeftWork estimates the processor time that an occurrence still needs, in
+// RemainingWork estimates the processor time that an occurrence still needs, in
 // thousandths of a core times milliseconds.
-func (j *Job) LeftWork(o *Occurrence) int64 {
+func (j *Job) RemainingWork(o *Occurrence) int64 {
 	var work int64
 	for i := range o.Steps {
 		spec := &j.Spec.Steps[i]
-		if !spec.Lasting {
+		if !spec.LongRunning {
 			work += int64(len(o.Steps[i].Tasks)-o.Steps[i].Done) * spec.Charge().CPU * spec.RunMS()
 		}
 	}
--- a/internal/workload/tables.go
+++ b/internal/workload/tables.go
@@ -21,9 +21,9 @@
 	// Ordered holds when an order for a VM was last given to the platform, by the
 	// leader's time of day in Unix milliseconds.
 	Ordered map[MachineID]int64
-	// Learnt holds when this process applied the last of these orders, by its own
-	// monotonic clock. It isn't replicated, and is empty without a clock.
-	Learnt map[MachineID]time.Duration
+	// OrderAppliedAt holds when this process applied the last of these orders, by
+	// its own monotonic clock. It isn't replicated, and is empty without a clock.
+	OrderAppliedAt map[MachineID]time.Duration
 
 	// Sequences holds the number of the last report that updated each worker, 0 if
 	// unknown.
@@ -56,20 +56,21 @@
 
 // Kinds counts the runs on a worker by how they affect other runs there.
 type Kinds struct {
-	// Lasting counts long-running runs, Serving those with a latency target,
-	// Filling best-effort ones.
-	Lasting, Serving, Filling int
+	// LongRunning counts runs that last until the job is cancelled,
+	// LatencySensitive those with a latency target, BestEffort those that use
+	// what others leave.
+	LongRunning, LatencySensitive, BestEffort int
 }
 
 func (k *Kinds) add(s *StepSpec, n int) {
-	if s.Lasting {
-		k.Lasting += n
+	if s.LongRunning {
+		k.LongRunning += n
 	}
 	if s.TargetMS > 0 {
-		k.Serving += n
+		k.LatencySensitive += n
 	}
-	if s.Fills {
-		k.Filling += n
+	if s.BestEffort {
+		k.BestEffort += n
 	}
 }
 
@@ -84,7 +85,7 @@
 func newTables() *Tables {
 	return &Tables{
 		Queues: map[QueueID]*Queue{}, Jobs: map[JobID]*Job{},
-		Workers: map[WorkerID]*Worker{}, Waves: map[int64]*Wave{}, Ordered: map[MachineID]int64{}, Learnt: map[MachineID]time.Duration{},
+		Workers: map[WorkerID]*Worker{}, Waves: map[int64]*Wave{}, Ordered: map[MachineID]int64{}, OrderAppliedAt: map[MachineID]time.Duration{},
 		Sequences: map[WorkerID]uint64{},
 		Losses:    map[WorkerID][]Loss{}, Suspects: map[TaskRef]*Suspect{}, unconfirmedLosses: map[TaskRef]int{},
 		Live: map[QueueID][]*Job{}, Runs: map[WorkerID]map[RunRef]bool{},
@@ -92,8 +93,9 @@
 	}
 }
 
-// Task returns the task of a reference with its job and step. Task and step are nil
-// if the task is unknown or its occurrence is done, all three if the job is unknown.
+// Task returns the task of a reference with its job and step. Task and step are
+// nil if the task is unknown or its occurrence is done, all three if the job is
+// unknown.
 func (t *Tables) Task(ref TaskRef) (*Job, *Step, *Task) {
 	job := t.Jobs[ref.Job]
 	if job == nil {
@@ -217,7 +219,7 @@
 // failed task may already use up the limit. Only cancelling the job stops them.
 func (j *Job) keepsRunning(ref TaskRef) bool {
 	spec := &j.Spec.Steps[ref.Step]
-	return j.State == JobFailed && spec.Lasting && spec.MaxUnavailable > 0
+	return j.State == JobFailed && spec.LongRunning && spec.MaxUnavailable > 0
 }
 
 // MayCancel reports whether cancelling a job still has an effect.
@@ -225,8 +227,8 @@
 	return !j.State.Final() || j.State == JobFailed && j.IsActive()
 }
 
-// compactJob drops the spec and the occurrences of a final job without runs, as only
-// its state is still needed.
+// compactJob drops the spec and the occurrences of a final job without runs, as
+// only its state is still needed.
 func (t *Tables) compactJob(job *Job) {
 	if job.State.Final() && !job.IsActive() {
 		job.Spec = JobSpec{}
--- a/internal/workload/worker.go
+++ b/internal/workload/worker.go
@@ -14,15 +14,16 @@
 	// Draining is set when the worker announced that it will leave; nothing is
 	// started on it.
 	Draining bool
-	// Closed is set when an order for its VM is about to be sent; nothing is started
-	// on it.
+	// Closed is set when an order for its VM is about to be sent; nothing is
+	// started on it.
 	Closed bool
 	// Acked is the number of the last committed end.
 	Acked uint64
 }
 
-// Has reports whether the worker has a label; every worker has the empty label.
-func (w *Worker) Has(label string) bool {
+// HasLabel reports whether the worker has a label; every worker has the empty
+// label.
+func (w *Worker) HasLabel(label string) bool {
 	return label == "" || label == w.Kind || label == w.Rack
 }
 
@@ -30,13 +31,14 @@
 type Wave struct {
 	_  struct{} `cbor:",toarray"`
 	ID int64
-	// ForMS is the time within which the maintenance of all VMs should have begun,
-	// in milliseconds from AskedMS. AskedMS is the leader's time of day when the
-	// wave was accepted, in Unix milliseconds.
-	ForMS, AskedMS int64
-	// Most is the number of VMs that may be unavailable for the wave at once.
-	Most     int
-	Machines []WaveMachine
+	// WindowMS is the time within which the maintenance of all VMs should have
+	// begun, in milliseconds from AcceptedMS. AcceptedMS is the leader's time of
+	// day when the wave was accepted, in Unix milliseconds.
+	WindowMS, AcceptedMS int64
+	// MaxUnavailable is the number of VMs that may be unavailable for the wave at
+	// once.
+	MaxUnavailable int
+	Machines       []WaveMachine
 }
 
 // WaveMachine is one VM of a wave.
@@ -48,7 +50,8 @@
 	Begun bool
 }
 
-// Completed reports whether the maintenance of every VM that still exists has begun.
+// Completed reports whether the maintenance of every VM that still exists has
+// begun.
 func (w *Wave) Completed() bool {
 	for i := range w.Machines {
 		if !w.Machines[i].Begun {
