--- a/internal/dispatch/round.go
+++ b/internal/dispatch/round.go
@@ -236,15 +236,15 @@
 			unresponsive++
 		}
 		w := schedule.Worker{
-			Usable:    l.usable(now) && !l.listsUnplanned,
-			Closing:   l.closing,
-			Doomed:    l.maintenanceAhead,
-			Suspicion: l.suspicion.level(now),
-			Suspects:  suspects[id].count,
-			Trial:     suspects[id].isolated,
+			Usable:          l.usable(now) && !l.listsUnplanned,
+			Closing:         l.closing,
+			MaintenanceSoon: l.maintenanceAhead,
+			RecentFailures:  l.suspicion.level(now),
+			RecentSuspects:  suspects[id].count,
+			Isolating:       suspects[id].isolated,
 		}
 		if len(d.waitingSuspects) > 0 {
-			w.Unproven = l.countOnTrial(t.Runs[id])
+			w.RecentRuns = l.countOnTrial(t.Runs[id])
 		}
 		workers[id] = w
 		l.mu.Unlock()
@@ -256,7 +256,7 @@
 	})
 	d.counters.recordFirstStarts(t, plan.Starts, nowMS)
 	c.Starts, c.Due = plan.Starts, plan.Due
-	d.advice.request(plan.Ask)
+	d.advice.request(plan.AdviceNeeded)
 }
 
 // hasUnplannedRun reports whether the worker lists a run that is not committed
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -68,7 +68,7 @@
 		ref := StepRef{Job: w.job.ID, Occurrence: w.occurrence.K, Step: w.step}
 		advice := p.Advice(ref)
 		if advice == nil {
-			p.plan.Ask = append(p.plan.Ask, ref)
+			p.plan.AdviceNeeded = append(p.plan.AdviceNeeded, ref)
 			return nil
 		}
 		allowed = func(id workload.WorkerID) bool { return advice.Tickets[id] != "" }
@@ -269,14 +269,14 @@
 const longRunningPerWorker = 2
 
 func scoreOf(spec *workload.StepSpec, c *candidate, onWorker int, susp suspicion) score {
-	s := score{reliability: -c.state.Suspicion, isolation: susp.isolationRank(c), packing: spec.Need.CPU - c.free.CPU}
+	s := score{reliability: -c.state.RecentFailures, isolation: susp.isolationRank(c), packing: spec.Need.CPU - c.free.CPU}
 	if spec.DataRack != "" && c.worker.Rack == spec.DataRack {
 		s.dataLocal = 1
 	}
 	if (spec.BestEffort && c.hasLatencyTarget) || (spec.TargetMS > 0 && c.hasBestEffort) {
 		s.undisturbed = -1
 	}
-	if spec.LongRunning && c.state.Doomed {
+	if spec.LongRunning && c.state.MaintenanceSoon {
 		s.stability = -1
 	}
 	if spec.LongRunning && c.hasLongRunning {
--- a/internal/schedule/place_test.go
+++ b/internal/schedule/place_test.go
@@ -107,7 +107,7 @@
 		"unusable, closing, suspicious": {func(_ *workload.StepSpec, s *site) {
 			s.workers["w0"] = Worker{}
 			s.workers["w1"] = Worker{Usable: true, Closing: true}
-			s.workers["w2"] = Worker{Usable: true, Suspicion: 3}
+			s.workers["w2"] = Worker{Usable: true, RecentFailures: 3}
 		}, map[workload.WorkerID]int{"w3": 3}},
 		"data rack": {func(step *workload.StepSpec, _ *site) { step.DataRack = "r1" }, map[workload.WorkerID]int{"w2": 3}},
 	} {
@@ -155,9 +155,9 @@
 	is.Equal(len(racks), 1)
 }
 
-// At a peak more jobs arrive than the pool can run. In the order of arrival each job
-// waits for earlier ones that are late already, and hardly any is on time although
-// half of them could be.
+// At a peak more jobs arrive than the pool can run. In the order of arrival each
+// job waits for earlier ones that are late already, and hardly any is on time
+// although half of them could be.
 func TestJobsThatCanBeOnTimeComeFirst(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
@@ -169,8 +169,9 @@
 	}
 }
 
-// If late jobs always came last, some of them would take more than three times their
-// objective even on a quiet day, as a job that can be on time always comes first.
+// If late jobs always came last, some of them would take more than three times
+// their objective even on a quiet day, as a job that can be on time always comes
+// first.
 func TestLateJobComesFirstInItsLastChance(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
@@ -191,7 +192,7 @@
 	s.submit("j", tasks(2, 1000))
 	plan := s.plan()
 	is.Equal(len(plan.Starts), 0)
-	is.Equal(plan.Ask, []StepRef{{Job: "j"}})
+	is.Equal(plan.AdviceNeeded, []StepRef{{Job: "j"}})
 	s.machine.Read(func(tables *workload.Tables) {
 		plan = Make(Input{Tables: tables, Workers: s.workers, NowMS: s.nowMS, MaxStarts: 100,
 			Advice: func(StepRef) *Advice { return &Advice{Tickets: map[workload.WorkerID]string{"w2": "t"}} }})
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -16,18 +16,19 @@
 	// Closing is set when the worker is about to leave or to be maintained; nothing
 	// is started on it.
 	Closing bool
-	// Doomed is set when the VM will be maintained soon; long-running tasks should
-	// preferably start elsewhere.
-	Doomed bool
-	// Suspicion counts recent failures of different tasks on the worker. Workers
-	// with fewer are preferred.
-	Suspicion int
-	// Unproven counts the runs on the worker that began so recently that they may
-	// still crash it, Suspects those of them whose task has lost a worker before.
-	Unproven, Suspects int
-	// Trial is set when a task that has lost several workers was started there in
-	// isolation; nothing else is started until it has run for a while.
-	Trial bool
+	// MaintenanceSoon is set when the VM will be maintained soon; long-running
+	// tasks should preferably start elsewhere.
+	MaintenanceSoon bool
+	// RecentFailures counts recent failures of different tasks on the worker.
+	// Workers with fewer are preferred.
+	RecentFailures int
+	// RecentRuns counts the runs on the worker that began so recently that they
+	// may still crash it, RecentSuspects those of them whose task has lost a
+	// worker before.
+	RecentRuns, RecentSuspects int
+	// Isolating is set when a task that has lost several workers was started
+	// there in isolation; nothing else is started until it has run for a while.
+	Isolating bool
 }
 
 // Advice is the answer of a queue's advisor for one step.
@@ -65,8 +66,8 @@
 type Plan struct {
 	Starts []workload.Start
 	Due    []workload.DueOccurrence
-	// Ask lists the steps for which the advisor must be asked.
-	Ask []StepRef
+	// AdviceNeeded lists the steps for which the advisor must be asked.
+	AdviceNeeded []StepRef
 }
 
 // planner holds the remaining capacity while a plan is made.
@@ -141,12 +142,12 @@
 	for _, id := range ids {
 		w := p.Tables.Workers[id]
 		state := p.Workers[id]
-		if w.Draining || w.Closed || state.Closing || !state.Usable || state.Trial {
+		if w.Draining || w.Closed || state.Closing || !state.Usable || state.Isolating {
 			continue
 		}
 		c := &candidate{
 			worker: w, state: state, free: w.Capacity.Minus(p.Tables.Used[id]).Plus(p.Freed[id]),
-			runs: len(p.Tables.Runs[id]), recentRuns: state.Unproven, recentSuspects: state.Suspects,
+			runs: len(p.Tables.Runs[id]), recentRuns: state.RecentRuns, recentSuspects: state.RecentSuspects,
 		}
 		p.setRunKinds(c)
 		p.pools[w.Pool] = append(p.pools[w.Pool], c)
@@ -225,10 +226,10 @@
 	lastChanceShare = 0.25
 )
 
-// rank sets the urgency and the density of the steps of one queue. Jobs that can't
-// be on time any more come last, the others in order of their value per processor
-// time that they still need. In the order of their arrival every job of a peak would
-// be late, as each waits for jobs that can't be on time any more.
+// rank sets the urgency and the density of the steps of one queue. Jobs that
+// can't be on time any more come last, the others in order of their value per
+// processor time that they still need. In the order of their arrival every job of
+// a peak would be late, as each waits for jobs that can't be on time any more.
 func (p *planner) rank(steps []waitingStep, jobs []*workload.Job) {
 	var total int64
 	for _, job := range jobs {
@@ -287,7 +288,8 @@
 	for _, o := range job.Occurrences {
 		for i := range o.Steps {
 			step := &o.Steps[i]
-			// A gang restarts as a whole, after all runs of its last attempt have ended.
+			// A gang restarts as a whole, after all runs of its last attempt have
+			// ended.
 			if job.Spec.Steps[i].Gang && step.Active > 0 {
 				continue
 			}
--- a/internal/schedule/suspects.go
+++ b/internal/schedule/suspects.go
@@ -31,8 +31,8 @@
 	return !c.reserved
 }
 
-// isolationRank ranks a candidate by the runs among which the cause of a crash would
-// be unclear, fewer being better.
+// isolationRank ranks a candidate by the runs among which the cause of a crash
+// would be unclear, fewer being better.
 func (s suspicion) isolationRank(c *candidate) int {
 	switch {
 	case s.isolated:
@@ -44,16 +44,16 @@
 	}
 }
 
-// suspicionOf returns the suspicion of a task. From IsolateFrom lost workers on it is
-// started in isolation, so that a crash shows whether the task is the cause.
+// suspicionOf returns the suspicion of a task. From IsolationThreshold lost workers
+// on it is started in isolation, so that a crash shows whether it is the cause.
 func (p *planner) suspicionOf(ref workload.TaskRef) suspicion {
 	lost := p.Tables.LostWorkers(ref)
 	return suspicion{lostWorkers: lost, isolated: lost >= workload.IsolationThreshold && !p.Overdue[ref]}
 }
 
 // placeSuspects starts the suspects that fit on a worker without recent runs. For
-// the others, and for those in gangs, it reserves the workers that will be available
-// first.
+// the others, and for those in gangs, it reserves the workers that will be
+// available first.
 func (p *planner) placeSuspects(waiting []waitingStep) {
 	p.reserved = map[string]int{}
 	for _, w := range waiting {
--- a/internal/schedule/suspects_test.go
+++ b/internal/schedule/suspects_test.go
@@ -46,7 +46,7 @@
 	is.Equal(len(startsOf(plan, "sound")), 10)
 
 	s.apply(&workload.Command{Starts: plan.Starts})
-	s.workers[at[0]] = Worker{Usable: true, Unproven: 1, Trial: true}
+	s.workers[at[0]] = Worker{Usable: true, RecentRuns: 1, Isolating: true}
 	s.submit("next", tasks(3, 1000))
 	is.Equal(counts(s.plan())[at[0]], 0) // nothing is started beside it
 }
@@ -61,9 +61,9 @@
 	s.submit("old", old)
 	s.apply(&workload.Command{Starts: s.plan().Starts})
 	for id := range s.workers {
-		s.workers[id] = Worker{Usable: true, Unproven: 4}
+		s.workers[id] = Worker{Usable: true, RecentRuns: 4}
 	}
-	s.workers["w2"] = Worker{Usable: true, Unproven: 1}
+	s.workers["w2"] = Worker{Usable: true, RecentRuns: 1}
 	s.submit("bad", tasks(1, 1000))
 	s.crashWorkers("bad", 2)
 	s.submit("sound", tasks(20, 1000))
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	s := newSite()
 	for id := range s.workers {
-		s.workers[id] = Worker{Usable: true, Unproven: 1}
+		s.workers[id] = Worker{Usable: true, RecentRuns: 1}
 	}
 	s.submit("bad", tasks(1, 1000))
 	s.crashWorkers("bad", 2)
