--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -174,7 +174,7 @@
 // Charge is what a task is taken to need of its worker now.
 func (ix *Index) Charge(t *model.Task) model.Resources {
 	u := ix.Snap.Usage[t.ID]
-	return estimate.Charge(t, estimate.Seen{Used: u.Used, At: u.At}, ix.Snap.Now)
+	return estimate.Charge(t, estimate.Measurement{Used: u.Used, At: u.At}, ix.Snap.Now)
 }
 
 func (ix *Index) addSite() {
