--- a/internal/workload/tables.go
+++ b/internal/workload/tables.go
@@ -205,7 +205,7 @@
 	t.compactJob(job)
 }
 
-// stopFinal marks the runs of a final job as no longer needed.
+// stopFinalRuns marks the runs of a final job as no longer needed.
 func (t *Tables) stopFinalRuns(job *Job) {
 	job.eachTask(func(ref TaskRef, _ *Step, task *Task) {
 		if !job.keepsRunning(ref) {
