--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring is a bounded first-in first-out queue that joins two duties.
-// A full ring pushes back on the sender or refuses, so that no duty can grow
-// the memory of the process without bound.
+// Package ring provides a bounded first-in first-out queue between goroutines.
+// A full ring makes the sender wait or refuses the item, so that no background
+// task can grow the memory of the process without bound.
 package ring
 
 import (
@@ -9,17 +9,17 @@
 	"sync"
 )
 
-// ErrFull says that the ring holds as many items as it may.
+// ErrFull is returned if the ring holds as many items as it may.
 var ErrFull = errors.New("ring: full")
 
-// ErrClosed says that the ring takes no more items.
+// ErrClosed is returned if the ring is closed.
 var ErrClosed = errors.New("ring: closed")
 
-// Ring is a bounded queue of T, safe for many senders and receivers.
+// Ring is a bounded queue of T, safe for concurrent senders and receivers.
 type Ring[T any] struct {
-	items  chan T
-	closed chan struct{}
-	once   sync.Once
+	items     chan T
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // New returns a ring that holds at most size items; size below 1 counts as 1.
@@ -27,7 +27,7 @@
 	return &Ring[T]{items: make(chan T, max(size, 1)), closed: make(chan struct{})}
 }
 
-// TryPut adds an item or returns ErrFull or ErrClosed without waiting.
+// TryPut adds an item, or returns ErrFull or ErrClosed, without waiting.
 func (r *Ring[T]) TryPut(item T) error {
 	if r.isClosed() {
 		return ErrClosed
@@ -40,7 +40,8 @@
 	}
 }
 
-// Put adds an item, waiting for room until ctx ends or the ring closes.
+// Put adds an item, waiting while the ring is full until ctx ends or the ring
+// closes.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	if r.isClosed() {
 		return ErrClosed
@@ -55,8 +56,8 @@
 	}
 }
 
-// Get takes the oldest item, waiting until ctx ends. After Close it still
-// yields what was put before, then ErrClosed.
+// Get removes and returns the oldest item, waiting until ctx ends. After Close
+// it still returns the items put before, then ErrClosed.
 func (r *Ring[T]) Get(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
@@ -74,7 +75,7 @@
 	}
 }
 
-// TryGet takes the oldest item if there is one.
+// TryGet removes and returns the oldest item if there is one.
 func (r *Ring[T]) TryGet() (T, bool) {
 	select {
 	case item := <-r.items:
@@ -85,11 +86,11 @@
 	}
 }
 
-// Len is the number of items waiting.
+// Len returns the number of waiting items.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Close refuses further items; it may be called twice.
-func (r *Ring[T]) Close() { r.once.Do(func() { close(r.closed) }) }
+// Close makes the ring refuse further items; it may be called more than once.
+func (r *Ring[T]) Close() { r.closeOnce.Do(func() { close(r.closed) }) }
 
 func (r *Ring[T]) isClosed() bool {
 	select {
