--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -10,61 +10,64 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// answer is an upstream's answer: whole in memory, or begun and to be streamed.
-type answer struct {
+// response is an upstream's response: buffered whole, or partly read with the
+// rest to be streamed.
+type response struct {
 	status int
 	header http.Header
-	// body is the whole body, or its beginning when stream is set.
+	// body is the whole body, or its beginning if stream is set.
 	body []byte
-	// stream yields the rest; nil when body is whole.
+	// stream yields the rest; nil if body is whole.
 	stream io.ReadCloser
-	// length is the length of the whole, -1 when the upstream did not say.
-	length  int64
-	trailer http.Header
-	// readToEnd has a streamed answer read to its end even when the caller is
-	// gone, so that its outcome is known.
+	// contentLength is the length of the whole body; -1 if the upstream did not
+	// declare it.
+	contentLength int64
+	trailer       http.Header
+	// readToEnd makes streamResponse read to the end even if the caller has
+	// disconnected, so that the outcome of the request is known.
 	readToEnd bool
-	// done is called once, when the answer came to its end; whole says that
-	// the upstream gave all of it.
-	done func(whole bool)
+	// onEnd is called once, when the response ends; whole reports whether the
+	// upstream sent all of it.
+	onEnd func(whole bool)
 }
 
-// readAnswer reads up to limit bytes of the answer's body. A body that ends
-// within the limit is whole; a cut one is an error.
-func readAnswer(resp *http.Response, limit int64) (*answer, error) {
-	a := &answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, done: func(bool) {}}
-	if resp.Body == http.NoBody {
-		return a, nil
+// readResponse reads up to limit bytes of the response's body. A body that ends
+// within the limit is whole; a truncated one is an error.
+func readResponse(httpResp *http.Response, limit int64) (*response, error) {
+	resp := &response{status: httpResp.StatusCode, header: httpResp.Header, contentLength: httpResp.ContentLength, onEnd: func(bool) {}}
+	if httpResp.Body == http.NoBody {
+		return resp, nil
 	}
 	size := limit
-	if resp.ContentLength >= 0 && resp.ContentLength < limit {
-		size = resp.ContentLength
+	if httpResp.ContentLength >= 0 && httpResp.ContentLength < limit {
+		size = httpResp.ContentLength
 	}
-	buffer := make([]byte, 0, initialBuffer(resp.ContentLength, size))
-	buffer, err := readUpTo(buffer, resp.Body, size)
+	buffer := make([]byte, 0, initialBufferBytes(httpResp.ContentLength, size))
+	buffer, err := readUpTo(buffer, httpResp.Body, size)
 	if err == io.EOF {
-		_ = resp.Body.Close()
-		a.body, a.trailer = buffer, resp.Trailer
-		return a, nil
+		_ = httpResp.Body.Close()
+		resp.body, resp.trailer = buffer, httpResp.Trailer
+		return resp, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	a.body, a.stream = buffer, resp.Body
-	return a, nil
+	resp.body, resp.stream = buffer, httpResp.Body
+	return resp, nil
 }
 
-const smallBuffer = 512
+const minBufferBytes = 512
 
-func initialBuffer(length, size int64) int64 {
+func initialBufferBytes(length, size int64) int64 {
 	if length >= 0 {
 		return size + 1
 	}
-	return min(smallBuffer, size+1)
+	return min(minBufferBytes, size+1)
 }
 
 // readUpTo fills b until it holds more than size bytes, or until an error.
-// The byte beyond size is what tells a body that ends there from a longer one.
+// Reading one byte beyond size distinguishes a body of that size from a longer
+// one.
 func readUpTo(b []byte, from io.Reader, size int64) ([]byte, error) {
 	for int64(len(b)) <= size {
 		if len(b) == cap(b) {
@@ -79,54 +82,56 @@
 	return b, nil
 }
 
-// writeAnswer passes an answer on. A streamed answer that breaks off ends the
-// caller's connection, so that what arrived can't be taken for the whole.
-func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, id string, a *answer) {
-	if a.stream == nil {
-		defer a.done(true)
+// writeResponse passes a response on to the caller. If a streamed response
+// breaks off, the caller's connection is closed, so that the caller can't take
+// the part that arrived for the whole.
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, id string, resp *response) {
+	if resp.stream == nil {
+		defer resp.onEnd(true)
 	}
-	if a.stream != nil && a.length < 0 && !r.ProtoAtLeast(1, 1) {
-		_ = a.stream.Close()
-		a.done(false)
+	if resp.stream != nil && resp.contentLength < 0 && !r.ProtoAtLeast(1, 1) {
+		_ = resp.stream.Close()
+		resp.onEnd(false)
 		s.writeFailure(w, id, &failure{status: http.StatusBadGateway, verdict: model.Ran,
 			message: "the answer has no length, and HTTP/1.0 could not show whether it is whole"})
 		return
 	}
 	h := w.Header()
-	copyAnswerHeader(h, a.header)
-	s.stamp(h, id, model.Ran)
+	copyResponseHeader(h, resp.header)
+	s.setStandardHeaders(h, id, model.Ran)
 	s.counters.verdicts[model.Ran].Inc(1)
-	setLength(h, r, a)
-	s.writeBy(w)
-	w.WriteHeader(a.status)
-	_, err := w.Write(a.body)
-	if a.stream != nil {
-		s.stream(w, a, err == nil)
+	setContentLength(h, r, resp)
+	s.extendWriteDeadline(w)
+	w.WriteHeader(resp.status)
+	_, err := w.Write(resp.body)
+	if resp.stream != nil {
+		s.streamResponse(w, resp, err == nil)
 	}
-	writeTrailer(h, a.trailer)
+	writeTrailer(h, resp.trailer)
 }
 
-func copyAnswerHeader(to, from http.Header) {
-	for name, values := range forwarded(from) {
-		if !isOurs(name) {
+func copyResponseHeader(to, from http.Header) {
+	for name, values := range endToEndHeaders(from) {
+		if !isReservedHeader(name) {
 			to[name] = values
 		}
 	}
 }
 
-// isOurs reports a header that only we may set towards callers.
-func isOurs(name string) bool {
+// isReservedHeader reports whether only comfreyloom may set the header towards
+// callers.
+func isReservedHeader(name string) bool {
 	return name == model.VerdictHeader || name == upstream.RequestIDHeader || name == headerKept
 }
 
-func setLength(h http.Header, r *http.Request, a *answer) {
+func setContentLength(h http.Header, r *http.Request, resp *response) {
 	switch {
-	case len(a.trailer) > 0 || !bodyAllowed(a.status):
+	case len(resp.trailer) > 0 || !bodyAllowed(resp.status):
 		return
-	case a.stream == nil && r.Method != http.MethodHead:
-		h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	case a.length >= 0:
-		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
+	case resp.stream == nil && r.Method != http.MethodHead:
+		h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	case resp.contentLength >= 0:
+		h.Set("Content-Length", strconv.FormatInt(resp.contentLength, 10))
 	}
 }
 
@@ -140,19 +145,19 @@
 	}
 }
 
-const streamBuffer = 16 * kilobyte
+const streamBufferBytes = 16 * kilobyte
 
-// stream passes on the rest of an answer and ends the caller's connection
-// when the answer breaks off or the caller does not take it.
-func (s *Server) stream(w http.ResponseWriter, a *answer, taken bool) {
-	part := make([]byte, streamBuffer)
-	for taken || a.readToEnd {
-		n, err := a.stream.Read(part)
-		taken = taken && s.pass(w, part[:n])
+// streamResponse passes on the rest of a response. It closes the caller's
+// connection if the response breaks off or the caller does not receive it.
+func (s *Server) streamResponse(w http.ResponseWriter, resp *response, delivered bool) {
+	chunk := make([]byte, streamBufferBytes)
+	for delivered || resp.readToEnd {
+		n, err := resp.stream.Read(chunk)
+		delivered = delivered && s.writeAndFlush(w, chunk[:n])
 		if err == io.EOF {
-			_ = a.stream.Close()
-			a.done(true)
-			if !taken {
+			_ = resp.stream.Close()
+			resp.onEnd(true)
+			if !delivered {
 				panic(http.ErrAbortHandler)
 			}
 			return
@@ -161,25 +166,26 @@
 			break
 		}
 	}
-	_ = a.stream.Close()
-	a.done(false)
-	s.counters.aborted.Inc(1)
+	_ = resp.stream.Close()
+	resp.onEnd(false)
+	s.counters.responsesAborted.Inc(1)
 	panic(http.ErrAbortHandler)
 }
 
-// pass writes one part through to the caller and reports whether it was taken.
-func (s *Server) pass(w http.ResponseWriter, part []byte) bool {
-	if len(part) == 0 {
+// writeAndFlush writes one chunk to the caller and reports whether that worked.
+func (s *Server) writeAndFlush(w http.ResponseWriter, chunk []byte) bool {
+	if len(chunk) == 0 {
 		return true
 	}
-	s.writeBy(w)
-	if _, err := w.Write(part); err != nil {
+	s.extendWriteDeadline(w)
+	if _, err := w.Write(chunk); err != nil {
 		return false
 	}
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// writeBy bounds how long a caller may take to receive what is written next.
-func (s *Server) writeBy(w http.ResponseWriter) {
+// extendWriteDeadline bounds how long a caller may take to receive the next
+// write.
+func (s *Server) extendWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
 }
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -12,49 +12,49 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// maxBusyWait bounds what an upstream may ask callers to wait.
-const maxBusyWait = time.Minute
+// maxBusyRetryAfter bounds the Retry-After of an upstream's busy response.
+const maxBusyRetryAfter = time.Minute
 
-// attempt sends the request to one instance and reads its answer.
-func (s *Server) attempt(ctx context.Context, q *request, t *tryHistory, grant *slots.Grant) (*answer, *failure) {
+// sendAttempt sends the request to one instance and reads its response.
+func (s *Server) sendAttempt(ctx context.Context, q *request, t *attemptHistory, grant *slots.Grant) (*response, *failure) {
 	began := s.Now()
-	resp, sent, err := s.Sender.Send(ctx, grant.Upstream, s.outgoing(q, t))
+	httpResp, sent, err := s.Sender.Send(ctx, grant.Upstream, s.upstreamRequest(q, t))
 	if err != nil {
-		grant.Release(outcomeOf(err))
-		t.silent = t.silent || errors.Is(err, upstream.ErrSilent)
-		return nil, failureOf(err, sent)
+		grant.Release(outcomeOfError(err))
+		t.unresponsive = t.unresponsive || errors.Is(err, upstream.ErrSilent)
+		return nil, attemptFailure(err, sent)
 	}
-	if f := busy(resp); f != nil {
+	if f := busyFailure(httpResp); f != nil {
 		s.counters.busy.Inc(1)
 		grant.Release(slots.Busy)
 		return nil, f
 	}
-	a, f := s.receive(q, resp)
+	resp, f := s.receiveResponse(q, httpResp)
 	if f != nil {
 		grant.Release(slots.Failed)
 		return nil, f
 	}
-	s.latency.of(q.service.ID).add(s.Now().Sub(began))
-	s.releaseWith(a, grant)
-	return a, nil
+	s.latency.forService(q.service.ID).add(s.Now().Sub(began))
+	s.releaseSlotOnEnd(resp, grant)
+	return resp, nil
 }
 
-// releaseWith gives the slot back as soon as the upstream is done: a caller
-// that is slow to take a whole answer holds no slot.
-func (s *Server) releaseWith(a *answer, grant *slots.Grant) {
-	if a.stream == nil {
-		grant.Release(outcomeOfAnswer(a, true))
+// releaseSlotOnEnd releases the slot as soon as the upstream is done: a caller
+// that receives a buffered response slowly holds no slot.
+func (s *Server) releaseSlotOnEnd(resp *response, grant *slots.Grant) {
+	if resp.stream == nil {
+		grant.Release(outcomeOfResponse(resp, true))
 		return
 	}
-	release := a.done
-	a.done = func(whole bool) {
+	release := resp.onEnd
+	resp.onEnd = func(whole bool) {
 		release(whole)
-		grant.Release(outcomeOfAnswer(a, whole))
+		grant.Release(outcomeOfResponse(resp, whole))
 	}
 }
 
-func (s *Server) outgoing(q *request, t *tryHistory) *upstream.Request {
-	l := s.latency.of(q.service.ID)
+func (s *Server) upstreamRequest(q *request, t *attemptHistory) *upstream.Request {
+	l := s.latency.forService(q.service.ID)
 	out := &upstream.Request{
 		ID:           q.id,
 		Method:       q.method,
@@ -62,72 +62,73 @@
 		Host:         q.host,
 		Header:       q.header,
 		Length:       q.body.length,
-		SuspectAfter: l.suspect(),
+		SuspectAfter: l.suspectTime(),
 	}
 	if q.body.length != 0 {
 		out.Body = q.body.reader
 	}
-	out.Fresh = t.silent
-	if q.idempotent && q.body.whole() && t.tries < s.limits.Attempts {
+	out.Fresh = t.unresponsive
+	if q.idempotent && q.body.fullyBuffered() && t.attempts < s.limits.Attempts {
 		half := q.deadline.Sub(s.Now()) / 2
 		out.GiveUpAfter = half
-		out.GiveUpReused = l.giveUp(half)
-		out.GiveUp = func() bool { return s.giveUpSilent(q) }
+		out.GiveUpReused = l.abandonTime(half)
+		out.GiveUp = func() bool { return s.abandonUnresponsive(q) }
 	}
 	return out
 }
 
-// giveUpSilent ends a silent try only when the next one is paid for and the
-// answer has not begun to pass on to the caller.
-func (s *Server) giveUpSilent(q *request) bool {
+// abandonUnresponsive ends an unresponsive attempt only if the budget pays for
+// a retry and the response is not yet being streamed to the caller.
+func (s *Server) abandonUnresponsive(q *request) bool {
 	if q.streaming.Load() || !s.chargeRetry(q) {
 		return false
 	}
-	s.counters.silent.Inc(1)
-	q.prepaid.Store(true)
+	s.counters.unresponsive.Inc(1)
+	q.retryPrepaid.Store(true)
 	return true
 }
 
-// busy recognises an upstream that refused for lack of capacity and promises
-// that it did not run the request.
-func busy(resp *http.Response) *failure {
-	if resp.StatusCode != http.StatusServiceUnavailable {
+// busyFailure recognises an upstream that refused for lack of capacity and
+// guarantees that it did not run the request; it returns nil otherwise.
+func busyFailure(httpResp *http.Response) *failure {
+	if httpResp.StatusCode != http.StatusServiceUnavailable {
 		return nil
 	}
-	v, ok := model.ParseVerdict(resp.Header.Get(model.VerdictHeader))
+	v, ok := model.ParseVerdict(httpResp.Header.Get(model.VerdictHeader))
 	if !ok || v != model.NotRun {
 		return nil
 	}
-	seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	_, _ = readUpTo(make([]byte, 0, smallBuffer), resp.Body, smallBuffer-1)
-	_ = resp.Body.Close()
-	return overloaded("the instance is busy", min(time.Duration(seconds)*time.Second, maxBusyWait))
+	seconds, _ := strconv.Atoi(httpResp.Header.Get("Retry-After"))
+	_, _ = readUpTo(make([]byte, 0, minBufferBytes), httpResp.Body, minBufferBytes-1)
+	_ = httpResp.Body.Close()
+	return overloaded("the instance is busy", min(time.Duration(seconds)*time.Second, maxBusyRetryAfter))
 }
 
-// receive reads the beginning of an answer, or all of it. Without room for
-// it, the answer is streamed: it has run, and refusing it would lose it.
-func (s *Server) receive(q *request, resp *http.Response) (*answer, *failure) {
-	limit := q.answerLimit
-	if resp.ContentLength >= 0 {
-		limit = min(limit, resp.ContentLength)
+// receiveResponse reads the beginning of a response, or all of it. If the
+// buffers are exhausted, the response is streamed: the request has run, and
+// refusing its response would lose it.
+func (s *Server) receiveResponse(q *request, httpResp *http.Response) (*response, *failure) {
+	limit := q.responseLimit
+	if httpResp.ContentLength >= 0 {
+		limit = min(limit, httpResp.ContentLength)
 	}
 	held := limit
-	if !s.buffers.take(held) {
+	if !s.buffers.reserve(held) {
 		limit, held = 0, 0
 	}
-	a, err := readAnswer(resp, limit)
+	resp, err := readResponse(httpResp, limit)
 	if err != nil {
-		s.buffers.give(held)
-		_ = resp.Body.Close()
-		return nil, failureOf(err, upstream.MaybeSent)
+		s.buffers.release(held)
+		_ = httpResp.Body.Close()
+		return nil, attemptFailure(err, upstream.MaybeSent)
 	}
-	q.streaming.Store(a.stream != nil)
-	a.done = func(bool) { s.buffers.give(held) }
-	return a, nil
+	q.streaming.Store(resp.stream != nil)
+	resp.onEnd = func(bool) { s.buffers.release(held) }
+	return resp, nil
 }
 
-// failureOf turns the error of a try into a verdict.
-func failureOf(err error, sent upstream.SentState) *failure {
+// attemptFailure turns the error of an attempt into a failure with a verdict.
+func attemptFailure(err error, sent upstream.SentState) *failure {
 	f := &failure{status: http.StatusBadGateway, verdict: model.MayHaveRun, message: "no whole answer came from the instance"}
 	if sent == upstream.NotSent {
 		f = overloaded("the instance can't be reached", time.Second)
@@ -137,21 +138,21 @@
 		f.status = http.StatusGatewayTimeout
 		f.message = "no answer came in time"
 	case errors.Is(err, context.Canceled):
-		f.gone = true
+		f.callerGone = true
 	}
 	return f
 }
 
-func outcomeOf(err error) slots.Outcome {
+func outcomeOfError(err error) slots.Outcome {
 	if errors.Is(err, context.Canceled) {
 		return slots.Abandoned
 	}
 	return slots.Failed
 }
 
-func outcomeOfAnswer(a *answer, whole bool) slots.Outcome {
+func outcomeOfResponse(resp *response, whole bool) slots.Outcome {
 	switch {
-	case a.status >= http.StatusInternalServerError:
+	case resp.status >= http.StatusInternalServerError:
 		return slots.Failed
 	case !whole:
 		return slots.Abandoned
--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -26,28 +26,28 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream/standin"
 )
 
-// quick is a client that writes fixed requests and reads answers with a length,
-// so that the figures are not those of a client library.
-type quick struct {
+// rawClient writes fixed requests and reads responses that declare a length, so
+// that the overhead of a client library is not measured.
+type rawClient struct {
 	c  net.Conn
 	in *bufio.Reader
 }
 
-func dialQuick(b testing.TB, address string) *quick {
+func dialRaw(b testing.TB, address string) *rawClient {
 	c, err := net.Dial("tcp", address)
 	must(b, err)
 	b.Cleanup(func() { _ = c.Close() })
-	return &quick{c, bufio.NewReader(c)}
+	return &rawClient{c, bufio.NewReader(c)}
 }
 
-func (q *quick) do(text string) error {
+func (q *rawClient) do(text string) error {
 	if _, err := io.WriteString(q.c, text); err != nil {
 		return err
 	}
 	return q.read()
 }
 
-func (q *quick) read() error {
+func (q *rawClient) read() error {
 	resp, err := http.ReadResponse(q.in, nil)
 	if err != nil {
 		return err
@@ -62,11 +62,11 @@
 const (
 	directText = "GET /visit HTTP/1.1\r\nHost: x\r\n\r\n"
 	pathText   = "GET /s/drafts/visit HTTP/1.1\r\nHost: x\r\n\r\n"
-	onceText   = "POST /s/drafts/plan HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\ngrain"
+	postText   = "POST /s/drafts/plan HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\ngrain"
 )
 
-// plainProxy is the least that could stand in our place: no verdicts, no
-// claims, no slots, no checks. It is the baseline, not an alternative.
+// plainProxy is a minimal proxy without verdicts, claims, slots or checks. It is
+// the baseline of the comparison, not an alternative.
 func plainProxy(b testing.TB, target string) string {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -90,11 +90,11 @@
 	return l.Addr().String()
 }
 
-func benchWorld(b testing.TB) (upstreamAddress, entryAddress, proxyAddress string) {
+func newBenchCluster(b testing.TB) (upstreamAddress, entryAddress, proxyAddress string) {
 	log.SetHandler(discard.New())
-	w := newWorld(b, 1, 1, Limits{})
-	u := w.instances[0].Address()
-	return u, strings.TrimPrefix(w.entries[0].url, "http://"), plainProxy(b, u)
+	cl := newCluster(b, 1, 1, Limits{})
+	u := cl.instances[0].Address()
+	return u, strings.TrimPrefix(cl.entries[0].url, "http://"), plainProxy(b, u)
 }
 
 func cpuTime() time.Duration {
@@ -103,12 +103,13 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// load runs b.N requests over so many connections and reports requests a
-// second, and processor time and allocations a request of the whole process.
-func load(b *testing.B, address string, connections int, text func(i int64) string) {
-	clients := make([]*quick, connections)
+// runLoad runs b.N requests over the given number of connections and reports the
+// requests per second, and the processor time and allocations per request of the
+// whole process.
+func runLoad(b *testing.B, address string, connections int, text func(i int64) string) {
+	clients := make([]*rawClient, connections)
 	for i := range clients {
-		clients[i] = dialQuick(b, address)
+		clients[i] = dialRaw(b, address)
 		must(b, clients[i].do(text(-int64(i)-1)))
 	}
 	var next atomic.Int64
@@ -132,45 +133,45 @@
 	b.ReportMetric(float64((cpuTime()-cpu).Nanoseconds())/float64(b.N), "cpu-ns/req")
 }
 
-// BenchmarkLoad compares calls straight to the upstream, through a plain
-// proxy, and through the request path: idempotent, not, and claimed.
+// BenchmarkLoad compares calls directly to the upstream, through a plain proxy,
+// and through the request path, idempotent and non-idempotent.
 func BenchmarkLoad(b *testing.B) {
-	u, e, proxy := benchWorld(b)
+	u, e, proxy := newBenchCluster(b)
 	const connections = 32
 	fixed := func(text string) func(int64) string { return func(int64) string { return text } }
-	b.Run("direct", func(b *testing.B) { load(b, u, connections, fixed(directText)) })
-	b.Run("proxy", func(b *testing.B) { load(b, proxy, connections, fixed(directText)) })
-	b.Run("path", func(b *testing.B) { load(b, e, connections, fixed(pathText)) })
-	b.Run("once", func(b *testing.B) { load(b, e, connections, fixed(onceText)) })
+	b.Run("direct", func(b *testing.B) { runLoad(b, u, connections, fixed(directText)) })
+	b.Run("proxy", func(b *testing.B) { runLoad(b, proxy, connections, fixed(directText)) })
+	b.Run("path", func(b *testing.B) { runLoad(b, e, connections, fixed(pathText)) })
+	b.Run("once", func(b *testing.B) { runLoad(b, e, connections, fixed(postText)) })
 }
 
-// BenchmarkClaim has the cost of the claim in this package: two commands and
-// their apply, with a control log that commits at once. What the quorum adds
-// is measured with it.
+// BenchmarkClaim measures the cost of a claim in this package: two commands and
+// their application, with a control log that commits at once. The cost of
+// the quorum is measured in the package quorum.
 func BenchmarkClaim(b *testing.B) {
 	log.SetHandler(discard.New())
-	w := newWorld(b, 1, 1, Limits{})
-	load(b, strings.TrimPrefix(w.entries[0].url, "http://"), 32, func(i int64) string {
+	cl := newCluster(b, 1, 1, Limits{})
+	runLoad(b, strings.TrimPrefix(cl.entries[0].url, "http://"), 32, func(i int64) string {
 		if i%1000 == 0 {
-			w.forgetClaims(b, i)
+			cl.forgetClaims(b, i)
 		}
 		return fmt.Sprintf("POST /s/drafts/plan HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k%d-%d\r\nContent-Length: 5\r\n\r\ngrain", b.N, i)
 	})
 }
 
 // forgetClaims keeps the table of claims within its bound.
-func (w *world) forgetClaims(b *testing.B, i int64) {
-	_, err := w.log.Propose(b.Context(), state.Command{
+func (cl *cluster) forgetClaims(b *testing.B, i int64) {
+	_, err := cl.log.Propose(b.Context(), state.Command{
 		ID:           model.CommandID(fmt.Sprintf("forget-%d-%d", b.N, i)),
 		ForgetClaims: &state.ForgetClaims{Before: model.InstantOf(time.Now().Add(time.Hour))},
 	})
 	must(b, err)
 }
 
-// BenchmarkLatency sends at a fixed rate, in turn straight to the upstream,
-// through the plain proxy and through the path, and reports quantiles in µs.
+// BenchmarkLatency sends at a fixed rate, alternating between the upstream, the
+// plain proxy and the request path, and reports quantiles in µs.
 func BenchmarkLatency(b *testing.B) {
-	u, e, proxy := benchWorld(b)
+	u, e, proxy := newBenchCluster(b)
 	kinds := []struct{ name, address, text string }{
 		{"direct", u, directText}, {"proxy", proxy, directText}, {"path", e, pathText},
 	}
@@ -180,9 +181,9 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for c := range connections {
-		clients := make([]*quick, len(kinds))
+		clients := make([]*rawClient, len(kinds))
 		for k := range kinds {
-			clients[k] = dialQuick(b, kinds[k].address)
+			clients[k] = dialRaw(b, kinds[k].address)
 		}
 		all.Go(func() {
 			mine := make([][]time.Duration, len(kinds))
@@ -218,14 +219,14 @@
 }
 
 // BenchmarkOpenRequests holds a thousand requests open and reports the memory
-// that each takes straight to the upstream, and what the path adds. Both hold
-// the memory of the client's and the upstream's ends.
+// that each takes directly to the upstream, and what the request path adds. Both
+// figures include the memory of the client's and the upstream's ends.
 func BenchmarkOpenRequests(b *testing.B) {
 	const open = 1000
 	for range b.N {
-		u, e, _ := benchWorld(b)
-		heap, stack := held(b, u, directText, open)
-		pathHeap, pathStack := held(b, e, pathText, open)
+		u, e, _ := newBenchCluster(b)
+		heap, stack := memoryGrowth(b, u, directText, open)
+		pathHeap, pathStack := memoryGrowth(b, e, pathText, open)
 		b.ReportMetric(float64(heap)/open, "direct-heap-B")
 		b.ReportMetric(float64(stack)/open, "direct-stack-B")
 		b.ReportMetric(float64(pathHeap-heap)/open, "path-heap-B")
@@ -233,30 +234,30 @@
 	}
 }
 
-// held is how much heap and stack grow with so many requests that hang.
-func held(b *testing.B, address, text string, open int) (heap, stack int64) {
-	heapBefore, stackBefore := inUse()
+// memoryGrowth returns how much heap and stack grow with open requests that hang.
+func memoryGrowth(b *testing.B, address, text string, open int) (heap, stack int64) {
+	heapBefore, stackBefore := memoryInUse()
 	for range open {
-		c := dialQuick(b, address)
+		c := dialRaw(b, address)
 		_, err := io.WriteString(c.c, strings.Replace(text, "/visit", "/visit?hang", 1))
 		must(b, err)
 	}
 	time.Sleep(500 * time.Millisecond)
-	heap, stack = inUse()
+	heap, stack = memoryInUse()
 	return heap - heapBefore, stack - stackBefore
 }
 
-func inUse() (heap, stack int64) {
+func memoryInUse() (heap, stack int64) {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc), int64(m.StackInuse)
 }
 
-// oneSite is the catalog of the test's site.
-type oneSite struct{ *model.Site }
+// siteCatalog is the catalog of the test's site.
+type siteCatalog struct{ *model.Site }
 
-func (s oneSite) Service(id model.ServiceID) (model.Service, bool) {
+func (s siteCatalog) Service(id model.ServiceID) (model.Service, bool) {
 	found := findService(s.Site, id)
 	if found == nil {
 		return model.Service{}, false
@@ -264,60 +265,60 @@
 	return *found, true
 }
 
-func (s oneSite) Team(id model.TeamID) (model.Team, bool) { return model.Team{ID: id}, id != "" }
+func (s siteCatalog) Team(id model.TeamID) (model.Team, bool) { return model.Team{ID: id}, id != "" }
 
-// overloadWorld has three instances with 8 slots each, whose requests take
-// 20 ms, behind one entry VM with the real broker: 1,200 requests a second.
-func overloadWorld(b *testing.B) *entry {
+// newOverloadedEntry starts three instances with 8 slots each, whose requests
+// take 20 ms, and one entry VM with the real broker: 1,200 requests a second.
+func newOverloadedEntry(b *testing.B) *entry {
 	log.SetHandler(discard.New())
-	w := newWorld(b, 0, 0, Limits{})
+	cl := newCluster(b, 0, 0, Limits{})
 	known := registry.New(registry.Options{})
 	for i := range 3 {
-		u := w.addInstance(b, standin.Options{Instance: fmt.Sprint("i", i), Slots: 8, Latency: 20 * time.Millisecond})
+		u := cl.addInstance(b, standin.Options{Instance: fmt.Sprint("i", i), Slots: 8, Latency: 20 * time.Millisecond})
 		_, err := known.Announce(model.Upstream{
 			Service: "drafts", Instance: model.InstanceID(fmt.Sprint("i", i)), Address: u.Address(), VM: "v",
 			Incarnation: 1, Sequence: 1, Slots: 8, Connections: 64,
 		}, slots.Clock()())
 		must(b, err)
 	}
-	dispatcher := slots.New(slots.Config{Self: "n1", Registry: known, Services: oneSite{testSite()}})
+	dispatcher := slots.New(slots.Config{Self: "n1", Registry: known, Services: siteCatalog{testSite()}})
 	ctx, cancel := context.WithCancel(b.Context())
 	b.Cleanup(cancel)
 	go func() { _ = dispatcher.Run(ctx) }()
-	return w.addEntry(b, Config{Broker: dispatcher})
+	return cl.addEntry(b, Config{Broker: dispatcher})
 }
 
-// tally is what the requests of one priority came to.
-type tally struct {
-	mu      sync.Mutex
-	took    []time.Duration
-	refused int
-	other   int
+// loadResult collects the results of the requests of one priority.
+type loadResult struct {
+	mu        sync.Mutex
+	latencies []time.Duration
+	refused   int
+	other     int
 }
 
-// offer sends requests of one priority at a fixed rate for a while, whether or
-// not earlier ones were answered.
-func (e *entry) offer(all *sync.WaitGroup, priority string, rate int, d time.Duration) *tally {
-	t := &tally{}
+// sendAtRate sends requests of one priority at a fixed rate for a duration,
+// whether or not earlier ones got a response.
+func (e *entry) sendAtRate(all *sync.WaitGroup, priority string, rate int, d time.Duration) *loadResult {
+	t := &loadResult{}
 	n := int(d.Seconds() * float64(rate))
 	all.Go(func() {
 		start := time.Now()
 		for i := range n {
 			time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(rate))))
-			all.Go(func() { t.one(e, priority) })
+			all.Go(func() { t.sendOne(e, priority) })
 		}
 	})
 	return t
 }
 
-func (t *tally) one(e *entry, priority string) {
+func (t *loadResult) sendOne(e *entry, priority string) {
 	began := time.Now()
 	got, err := e.call("GET", "/s/drafts/visit", "", "Comfreyloom-Priority: "+priority, "Comfreyloom-Timeout: 2s")
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case err == nil && got.status == http.StatusOK:
-		t.took = append(t.took, time.Since(began))
+		t.latencies = append(t.latencies, time.Since(began))
 	case err == nil && got.verdict == "not-run" && got.header.Get("Retry-After") != "":
 		t.refused++
 	default:
@@ -325,28 +326,29 @@
 	}
 }
 
-func (t *tally) quantile(q float64) float64 {
-	slices.Sort(t.took)
-	return float64(t.took[int(float64(len(t.took)-1)*q)].Microseconds()) / 1000
+func (t *loadResult) quantile(q float64) float64 {
+	slices.Sort(t.latencies)
+	return float64(t.latencies[int(float64(len(t.latencies)-1)*q)].Microseconds()) / 1000
 }
 
-// BenchmarkOverload offers twice what the instances can do, a tenth of it
-// urgent, and compares the urgent answers with those of the same rate alone.
-// Refused requests got not-run and a time to come back; others must be 0.
+// BenchmarkOverload sends twice the load that the instances can serve, a tenth
+// of it urgent, and compares the latency of the urgent requests with that at the
+// same rate without other load. Refused requests got not-run and a Retry-After;
+// the number of other results must be 0.
 func BenchmarkOverload(b *testing.B) {
 	const d = 2 * time.Second
 	for range b.N {
-		e := overloadWorld(b)
+		e := newOverloadedEntry(b)
 		var all sync.WaitGroup
-		alone := e.offer(&all, "urgent", 120, d)
+		alone := e.sendAtRate(&all, "urgent", 120, d)
 		all.Wait()
-		urgent := e.offer(&all, "urgent", 120, d)
-		batch := e.offer(&all, "batch", 2280, d)
+		urgent := e.sendAtRate(&all, "urgent", 120, d)
+		batch := e.sendAtRate(&all, "batch", 2280, d)
 		all.Wait()
 		b.ReportMetric(alone.quantile(0.99), "alone-p99-ms")
 		b.ReportMetric(urgent.quantile(0.99), "urgent-p99-ms")
 		b.ReportMetric(float64(urgent.refused), "urgent-refused")
-		b.ReportMetric(float64(len(batch.took)), "batch-answered")
+		b.ReportMetric(float64(len(batch.latencies)), "batch-answered")
 		b.ReportMetric(float64(batch.refused), "batch-refused")
 		b.ReportMetric(float64(alone.other+urgent.other+batch.other), "without-verdict")
 	}
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -10,44 +10,45 @@
 	"time"
 )
 
-// body is a request's body: kept whole for a resend, or streamed and sent once.
+// body is a request's body: buffered whole for retries, or streamed and sent
+// once.
 type body struct {
-	kept []byte
-	// rest is nil when kept is whole.
+	buffered []byte
+	// rest is nil if buffered is whole.
 	rest io.Reader
-	// length is -1 when it is unknown.
+	// length is -1 if it is unknown.
 	length int64
-	// taken is set once a byte of rest was read.
-	taken atomic.Bool
+	// restRead is set once rest has been read from.
+	restRead atomic.Bool
 }
 
-// whole reports whether the body can be sent again from memory.
-func (b *body) whole() bool { return b.rest == nil }
+// fullyBuffered reports whether the body can be sent again from memory.
+func (b *body) fullyBuffered() bool { return b.rest == nil }
 
-// resendable reports whether a try that sent no byte can be repeated.
-func (b *body) resendable() bool { return b.whole() || !b.taken.Load() }
+// resendable reports whether an attempt that sent no byte can be repeated.
+func (b *body) resendable() bool { return b.fullyBuffered() || !b.restRead.Load() }
 
 // reader returns the body from its start.
 func (b *body) reader() io.Reader {
-	if b.whole() {
-		return bytes.NewReader(b.kept)
+	if b.fullyBuffered() {
+		return bytes.NewReader(b.buffered)
 	}
-	return io.MultiReader(bytes.NewReader(b.kept), &restReader{b})
+	return io.MultiReader(bytes.NewReader(b.buffered), &restReader{b})
 }
 
-// restReader reads the part of a body that was not kept.
+// restReader reads the part of a body that was not buffered.
 type restReader struct{ b *body }
 
-// Read notes that the rest was touched: the body can't be sent again then.
+// Read records that rest was read: the body can't be sent again after that.
 func (r *restReader) Read(p []byte) (int, error) {
-	r.b.taken.Store(true)
+	r.b.restRead.Store(true)
 	return r.b.rest.Read(p)
 }
 
-// readBody keeps a body of up to keep bytes and leaves the rest of a longer
-// one to be streamed. The bytes kept are reserved in the server's budget until
-// release is called.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, keep int64, until time.Time) (b *body, release func(), f *failure) {
+// readBody buffers a body of up to bufferLimit bytes and leaves the rest of a
+// longer one to be streamed. The buffered bytes are reserved in the server's
+// budget until release is called.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int64, until time.Time) (b *body, release func(), f *failure) {
 	release = func() {}
 	if r.ContentLength == 0 || r.Body == http.NoBody {
 		return &body{}, release, nil
@@ -56,43 +57,43 @@
 		return nil, release, tooLarge(s.limits.BodyBytes)
 	}
 	limited := http.MaxBytesReader(w, r.Body, s.limits.BodyBytes)
-	if r.ContentLength > keep {
+	if r.ContentLength > bufferLimit {
 		setReadDeadline(w, until)
 		return &body{rest: limited, length: r.ContentLength}, release, nil
 	}
-	size := keep
+	size := bufferLimit
 	if r.ContentLength > 0 {
 		size = r.ContentLength
 	}
-	if !s.buffers.take(size) {
+	if !s.buffers.reserve(size) {
 		return nil, release, overloaded("this entry VM holds too many bodies", 0)
 	}
-	release = func() { s.buffers.give(size) }
-	b, f = s.keepBody(w, limited, r.ContentLength, size, until)
+	release = func() { s.buffers.release(size) }
+	b, f = s.bufferBody(w, limited, r.ContentLength, size, until)
 	return b, release, f
 }
 
-// keepBody reads until the end or until size bytes. The deadline on the
-// connection ends a caller that sends its body a byte at a time.
-func (s *Server) keepBody(w http.ResponseWriter, from io.Reader, length, size int64, until time.Time) (*body, *failure) {
-	setReadDeadline(w, earlier(until, time.Now().Add(s.limits.BodyTimeout)))
-	var kept bytes.Buffer
+// bufferBody reads until the end or until size bytes. The read deadline on the
+// connection stops a caller that sends its body a byte at a time.
+func (s *Server) bufferBody(w http.ResponseWriter, from io.Reader, length, size int64, until time.Time) (*body, *failure) {
+	setReadDeadline(w, earlierTime(until, time.Now().Add(s.limits.BodyTimeout)))
+	var buffered bytes.Buffer
 	if length > 0 {
-		kept.Grow(int(length) + bytes.MinRead)
+		buffered.Grow(int(length) + bytes.MinRead)
 	}
-	n, err := io.CopyN(&kept, from, size)
+	n, err := io.CopyN(&buffered, from, size)
 	if err == nil && length < 0 {
 		setReadDeadline(w, until)
-		return &body{kept: kept.Bytes(), rest: from, length: -1}, nil
+		return &body{buffered: buffered.Bytes(), rest: from, length: -1}, nil
 	}
 	if err != nil && err != io.EOF {
-		return nil, badBody(err)
+		return nil, bodyFailure(err)
 	}
 	setReadDeadline(w, time.Time{})
-	return &body{kept: kept.Bytes(), length: n}, nil
+	return &body{buffered: buffered.Bytes(), length: n}, nil
 }
 
-func badBody(err error) *failure {
+func bodyFailure(err error) *failure {
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
@@ -101,18 +102,19 @@
 		return refuse(http.StatusRequestTimeout, "the body did not arrive in time")
 	default:
 		f := refuse(http.StatusBadRequest, "the body ended early")
-		f.gone = true
+		f.callerGone = true
 		return f
 	}
 }
 
-// setReadDeadline bounds the arrival of the body; zero lifts the bound, or
-// net/http would take its passing for the caller's going away.
+// setReadDeadline bounds the arrival of the body. The zero time removes the
+// bound: net/http would treat an expired deadline as a caller that
+// disconnected.
 func setReadDeadline(w http.ResponseWriter, t time.Time) {
 	_ = http.NewResponseController(w).SetReadDeadline(t)
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/internal/caller/breaker.go
+++ b/internal/caller/breaker.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// breakerProbe is how often one request may try whether claims work again.
-const breakerProbe = 250 * time.Millisecond
+// probeInterval is how often one request may test whether claims work again.
+const probeInterval = 250 * time.Millisecond
 
 // claimBreaker is a circuit breaker: it refuses requests that need a claim
-// while the control log takes none. Each of them would hold a slot until its
-// claim times out, and so keep from the upstreams the requests that need no
-// claim.
+// while the control log accepts none. Each of them would hold a slot until its
+// claim times out, and so keep requests that need no claim from the upstreams.
 type claimBreaker struct {
-	// open is set by a claim that failed; probeAt is when the next
-	// request may pass, in ns since the epoch.
-	open    atomic.Bool
-	probeAt atomic.Int64
+	// open is set when a claim fails; nextProbe is when the next request is
+	// allowed as a probe, in ns since the epoch.
+	open      atomic.Bool
+	nextProbe atomic.Int64
 }
 
-// pass reports whether a request may try to claim.
-func (b *claimBreaker) pass(now time.Time) bool {
+// allow reports whether a request may try to claim its key.
+func (b *claimBreaker) allow(now time.Time) bool {
 	if !b.open.Load() {
 		return true
 	}
-	due := b.probeAt.Load()
-	return now.UnixNano() >= due && b.probeAt.CompareAndSwap(due, now.Add(breakerProbe).UnixNano())
+	due := b.nextProbe.Load()
+	return now.UnixNano() >= due && b.nextProbe.CompareAndSwap(due, now.Add(probeInterval).UnixNano())
 }
 
-// note records how a claim went.
-func (b *claimBreaker) note(now time.Time, worked bool) {
+// record updates the breaker with the result of a claim.
+func (b *claimBreaker) record(now time.Time, worked bool) {
 	if worked {
 		b.open.Store(false)
 		return
 	}
-	b.probeAt.Store(now.Add(breakerProbe).UnixNano())
+	b.nextProbe.Store(now.Add(probeInterval).UnixNano())
 	b.open.Store(true)
 }
--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// cancelRing bounds the cancellations that wait.
-	cancelRing = 4096
-	// cancelBatch bounds the cancellations of one command.
-	cancelBatch = 1024
+	// cancelQueueSize bounds the cancellations that wait.
+	cancelQueueSize = 4096
+	// maxCancelBatch bounds the cancellations of one command.
+	maxCancelBatch = 1024
 	// cancelTimeout bounds one command.
 	cancelTimeout = 10 * time.Second
 )
 
-// cancellation is one job to be cancelled and where to say how it went.
+// cancellation is a job to be cancelled and the channel for the result.
 type cancellation struct {
 	job  model.JobID
 	done chan error
@@ -35,39 +35,39 @@
 		return
 	}
 	c := cancellation{job: job.Spec.ID, done: make(chan error, 1)}
-	if err := s.cancels.TryPut(c); err != nil {
+	if err := s.cancelQueue.TryPut(c); err != nil {
 		s.writeFailure(w, id, overloaded("too many cancellations wait", time.Second))
 		return
 	}
 	select {
 	case err := <-c.done:
-		s.answerCancelled(w, id, c.job, err)
+		s.writeCancelResult(w, id, c.job, err)
 	case <-r.Context().Done():
 	}
 }
 
-func (s *Server) answerCancelled(w http.ResponseWriter, id string, job model.JobID, err error) {
+func (s *Server) writeCancelResult(w http.ResponseWriter, id string, job model.JobID, err error) {
 	if err != nil {
-		s.writeFailure(w, id, notProposed(err, "cancelling again is safe"))
+		s.writeFailure(w, id, proposalFailure(err, "cancelling again is safe"))
 		return
 	}
-	now := s.Log.View().Jobs[job]
-	if now == nil {
+	current := s.Log.View().Jobs[job]
+	if current == nil {
 		s.writeFailure(w, id, refuse(http.StatusNotFound, "no such job"))
 		return
 	}
-	s.writeJSON(w, id, http.StatusOK, model.Ran, answerOfJob(now))
+	s.writeJSON(w, id, http.StatusOK, model.Ran, newJobResponse(current))
 }
 
-// runCancel cancels in batches: a wave of cancellations that piles up while
-// one command is committed goes into the next one together.
-func (s *Server) runCancel(ctx context.Context) {
+// runCancellations cancels in batches: cancellations that arrive while one
+// command is being committed are sent together in the next one.
+func (s *Server) runCancellations(ctx context.Context) {
 	for {
-		first, err := s.cancels.Get(ctx)
+		first, err := s.cancelQueue.Get(ctx)
 		if err != nil {
 			return
 		}
-		batch := s.gather(first)
+		batch := s.collectBatch(first)
 		err = s.proposeCancel(ctx, batch)
 		for _, c := range batch {
 			c.done <- err
@@ -75,10 +75,10 @@
 	}
 }
 
-func (s *Server) gather(first cancellation) []cancellation {
+func (s *Server) collectBatch(first cancellation) []cancellation {
 	batch := []cancellation{first}
-	for len(batch) < cancelBatch {
-		next, ok := s.cancels.TryGet()
+	for len(batch) < maxCancelBatch {
+		next, ok := s.cancelQueue.TryGet()
 		if !ok {
 			break
 		}
--- a/internal/caller/check.go
+++ b/internal/caller/check.go
@@ -6,54 +6,54 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The invariants that this package guards, checked while it runs:
+// The invariants of this package, checked at run time:
 //
-//   - InvariantSingle: a non-idempotent request is not handed to an upstream
-//     after a try that may have run;
-//   - InvariantVerdict: not-run is reported only if no try may have run;
-//   - InvariantHeld: what requests reserve is given back, and not twice.
+//   - InvariantSingle: a non-idempotent request is not sent to an upstream
+//     after an attempt that may have run;
+//   - InvariantVerdict: not-run is reported only if no attempt may have run;
+//   - InvariantHeld: what requests reserve is released exactly once.
 const (
 	InvariantSingle  = "non-idempotent request is sent at most once"
 	InvariantVerdict = "not-run is true"
 	InvariantHeld    = "reservations balance"
 )
 
-// maxBroken bounds the broken invariants remembered.
-const maxBroken = 64
+// maxViolations bounds the stored violations.
+const maxViolations = 64
 
-// Broken returns the invariants that were broken since the start, at most
-// maxBroken of them. It is empty unless the program has a fault.
+// Broken returns the violations of invariants since the start, at most
+// maxViolations of them. It is empty unless the program has a bug.
 func (s *Server) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	broken := append([]string(nil), s.broken...)
+	broken := append([]string(nil), s.violations...)
 	if s.buffers.used.Load() < 0 || s.active.Load() < 0 {
 		broken = append(broken, InvariantHeld)
 	}
 	return broken
 }
 
-// report counts and logs a broken invariant.
-func (s *Server) report(invariant string, q *request) {
-	s.counters.broken.Inc(1)
+// reportViolation counts, logs and stores a violated invariant.
+func (s *Server) reportViolation(invariant string, q *request) {
+	s.counters.violations.Inc(1)
 	s.Logger.Errorf("callers: invariant broken: %s: request %s", invariant, q.id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.broken) < maxBroken {
-		s.broken = append(s.broken, fmt.Sprintf("%s: request %s", invariant, q.id))
+	if len(s.violations) < maxViolations {
+		s.violations = append(s.violations, fmt.Sprintf("%s: request %s", invariant, q.id))
 	}
 }
 
-func (s *Server) checkSingle(q *request, t *tryHistory) {
+func (s *Server) checkSentOnce(q *request, t *attemptHistory) {
 	if !q.idempotent && t.verdict != model.NotRun {
-		s.report(InvariantSingle, q)
+		s.reportViolation(InvariantSingle, q)
 	}
 }
 
-// checkVerdict compares the failure with the tries: one that says not-run
-// after a try which may have run must have been widened by giveUp.
-func (s *Server) checkVerdict(q *request, t *tryHistory, f *failure) {
+// checkVerdict compares the failure with the attempts: finalResult must have
+// widened a not-run verdict if an earlier attempt may have run.
+func (s *Server) checkVerdict(q *request, t *attemptHistory, f *failure) {
 	if f.verdict == model.NotRun && t.verdict != model.NotRun && !q.idempotent {
-		s.report(InvariantVerdict, q)
+		s.reportViolation(InvariantVerdict, q)
 	}
 }
--- a/internal/caller/claim.go
+++ b/internal/caller/claim.go
@@ -17,38 +17,39 @@
 	"github.com/comfreyloom/comfreyloom/internal/steady"
 )
 
-// The order of a non-idempotent request with a key:
+// A non-idempotent request with a key is served in this order:
 //
-//  1. a claim of the key that is known here is answered from the claim;
+//  1. if the key's claim is known here, the response is built from the claim;
 //  2. a slot is acquired, so that overload never reaches the control log;
 //  3. the key is claimed in the control log; exactly one claim is granted;
-//  4. the request is sent, by the owner of the claim only;
-//  5. the caller is answered, and the outcome is recorded in the background.
+//  4. the owner of the claim, and no other process, sends the request;
+//  5. the caller gets the response, and the outcome is recorded in the
+//     background.
 //
-// A crash after 3 leaves a claim without an outcome. Nobody sends that request
-// again: the claim ends as unknown, and the caller is told that it may have run.
+// A crash after step 3 leaves a claim without an outcome. That request is not
+// sent again: the claim ends as unknown, and the caller gets may-have-run.
 
 // forwardKeyed serves a non-idempotent request with a key.
 func (s *Server) forwardKeyed(w http.ResponseWriter, r *http.Request, q *request) {
-	if !q.body.whole() {
+	if !q.body.fullyBuffered() {
 		w.Header().Set("Connection", "close")
 		s.writeFailure(w, q.id, tooLarge(s.limits.KeyedBytes))
 		return
 	}
 	digest := q.digest()
 	if known := s.Log.Claim(q.key); known != nil && !reclaimable(known) {
-		s.answerFromClaim(w, r, q.id, known, digest)
+		s.respondFromClaim(w, r, q.id, known, digest)
 		return
 	}
-	if !s.breaker.pass(s.Now()) {
-		s.writeFailure(w, q.id, overloaded(noClaims, time.Second))
+	if !s.breaker.allow(s.Now()) {
+		s.writeFailure(w, q.id, overloaded(messageNoClaims, time.Second))
 		return
 	}
-	c := &claiming{server: s, request: q, digest: digest, incarnation: rand.Uint64()}
-	q.beforeSend = c.claim
-	q.answerLimit = max(q.answerLimit, s.limits.KeptBytes)
-	// A claimed request goes on when its caller goes away: its answer is
-	// kept for the caller to ask again.
+	c := &claimedRequest{server: s, request: q, digest: digest, incarnation: rand.Uint64()}
+	q.beforeSend = c.acquireClaim
+	q.responseLimit = max(q.responseLimit, s.limits.KeptBytes)
+	// A claimed request continues when its caller disconnects: the response
+	// is stored for a later resend or look-up.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), q.deadline)
 	defer cancel()
 	stop := context.AfterFunc(r.Context(), func() {
@@ -57,64 +58,64 @@
 		}
 	})
 	defer stop()
-	a, f := s.run(ctx, q)
+	resp, f := s.run(ctx, q)
 	if c.existing != nil {
-		s.answerFromClaim(w, r, q.id, c.existing, digest)
+		s.respondFromClaim(w, r, q.id, c.existing, digest)
 		return
 	}
 	if c.granted.Load() {
-		s.settleWith(c, a, f)
+		s.recordOutcomeOnEnd(c, resp, f)
 	}
-	s.finish(w, r, q, a, f)
+	s.respond(w, r, q, resp, f)
 }
 
-// settleWith records the outcome: at once when it is known, else when the
-// answer came to its end.
-func (s *Server) settleWith(c *claiming, a *answer, f *failure) {
-	s.unsettled.Add(1)
-	if a == nil || a.stream == nil {
-		s.settle(c.settlement(a, f))
+// recordOutcomeOnEnd records the outcome: at once if it is known, otherwise
+// when the response ends.
+func (s *Server) recordOutcomeOnEnd(c *claimedRequest, resp *response, f *failure) {
+	s.unrecorded.Add(1)
+	if resp == nil || resp.stream == nil {
+		s.enqueueOutcome(c.outcome(resp, f))
 		return
 	}
-	a.readToEnd = true
-	release := a.done
-	a.done = func(whole bool) {
+	resp.readToEnd = true
+	release := resp.onEnd
+	resp.onEnd = func(whole bool) {
 		release(whole)
-		out := c.settlement(a, f)
+		out := c.outcome(resp, f)
 		if !whole {
-			out = settlement{key: out.key, incarnation: out.incarnation, state: model.ClaimUnknown, verdict: model.MayHaveRun}
+			out = claimOutcome{key: out.key, incarnation: out.incarnation, state: model.ClaimUnknown, verdict: model.MayHaveRun}
 		}
-		s.settle(out)
+		s.enqueueOutcome(out)
 	}
 }
 
-// digest identifies what a key stands for: service, method, path and body.
+// digest identifies what a key was used for: service, method, path and body.
 func (q *request) digest() []byte {
 	h := sha256.New()
 	for _, part := range []string{string(q.service.ID), q.method, q.url.RequestURI()} {
-		writePart(h, []byte(part))
+		writeLengthPrefixed(h, []byte(part))
 	}
-	writePart(h, q.body.kept)
+	writeLengthPrefixed(h, q.body.buffered)
 	return h.Sum(nil)
 }
 
-// writePart writes the length before the part, so that no two lists of parts
-// give the same bytes.
-func writePart(w io.Writer, part []byte) {
+// writeLengthPrefixed writes the length before the part, so that no two lists
+// of parts produce the same bytes.
+func writeLengthPrefixed(w io.Writer, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	_, _ = w.Write(length[:])
 	_, _ = w.Write(part)
 }
 
-// reclaimable reports a claim that is settled as not run: its key may be
-// claimed anew.
+// reclaimable reports whether a claim is settled as not run: its key may be
+// claimed again.
 func reclaimable(c *model.Claim) bool {
 	return c.State == model.ClaimSettled && c.Verdict == model.NotRun
 }
 
-// claimCommand builds the command; its ID makes a resend of it harmless.
-func (c *claiming) command() state.Command {
+// claimCommand builds the command; its ID makes proposing it again harmless.
+func (c *claimedRequest) claimCommand() state.Command {
 	q := c.request
 	return state.Command{
 		ID:    model.CommandID("claim/" + uuid.NewString()),
@@ -133,25 +134,25 @@
 	}
 }
 
-// claim claims the key before the first byte leaves. A retry of the same
-// request finds it granted.
-func (c *claiming) claim(ctx context.Context) *failure {
+// acquireClaim claims the key before the first byte is sent. For a retry of the
+// same request the claim is already granted.
+func (c *claimedRequest) acquireClaim(ctx context.Context) *failure {
 	if c.granted.Load() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.server.limits.ClaimTimeout)
 	defer cancel()
-	command := c.command()
+	command := c.claimCommand()
 	result, err := c.propose(ctx, command)
-	c.server.breaker.note(c.server.Now(), err == nil)
+	c.server.breaker.record(c.server.Now(), err == nil)
 	switch {
 	case errors.Is(err, state.ErrNotProposed):
-		return overloaded(noClaims, time.Second)
+		return overloaded(messageNoClaims, time.Second)
 	case err != nil:
-		// Nothing is sent, so not-run is true. The claim may still land; it
-		// is settled as not run then, or its key would stay blocked.
-		c.server.unsettled.Add(1)
-		c.server.settle(settlement{key: c.request.key, incarnation: c.incarnation, claim: &command, state: model.ClaimSettled, verdict: model.NotRun})
+		// Nothing is sent, so not-run is true. The claim may still be committed;
+		// it is then settled as not run, or its key would stay blocked.
+		c.server.unrecorded.Add(1)
+		c.server.enqueueOutcome(claimOutcome{key: c.request.key, incarnation: c.incarnation, claim: &command, state: model.ClaimSettled, verdict: model.NotRun})
 		return overloaded("the key could not be claimed in time", time.Second)
 	case result.Claim == nil:
 		return overloaded("the key can't be claimed: "+string(result.Refused), time.Second)
@@ -159,23 +160,23 @@
 		c.existing = result.Claim.Existing
 		return refuse(http.StatusConflict, "the key is claimed")
 	}
-	c.server.counters.claims.Inc(1)
+	c.server.counters.claimsGranted.Inc(1)
 	c.granted.Store(true)
 	return nil
 }
 
-// propose repeats the command, under the same ID, while its outcome is unknown.
-func (c *claiming) propose(ctx context.Context, command state.Command) (state.Result, error) {
+// propose repeats the command, with the same ID, while its outcome is unknown.
+func (c *claimedRequest) propose(ctx context.Context, command state.Command) (state.Result, error) {
 	for {
 		result, err := c.server.Log.Propose(ctx, command)
 		if err == nil || !errors.Is(err, state.ErrOutcomeUnknown) || ctx.Err() != nil {
 			return result, err
 		}
-		steady.Pause(ctx, proposePause)
+		steady.Pause(ctx, proposeRetryDelay)
 	}
 }
 
-const noClaims = "the control log takes no claims at present"
+const messageNoClaims = "the control log takes no claims at present"
 
-// proposePause is the wait between two proposals of one command.
-const proposePause = 20 * time.Millisecond
+// proposeRetryDelay is the delay between two proposals of one command.
+const proposeRetryDelay = 20 * time.Millisecond
--- a/internal/caller/doc.go
+++ b/internal/caller/doc.go
@@ -1,12 +1,12 @@
 // Package caller serves callers over HTTP: it forwards their requests to
-// upstreams, takes their jobs, and answers with a verdict that says whether a
-// request may have run.
+// upstreams, accepts their jobs, and responds with a verdict that reports
+// whether a request may have run.
 //
-// The rules that it keeps:
+// The package upholds these rules:
 //   - a request is reported as not run only if no byte of it can have reached
-//     an upstream, or if the upstream said so;
-//   - a non-idempotent request is handed to at most one upstream; with a key
+//     an upstream, or if the upstream reported so;
+//   - a non-idempotent request is sent to at most one upstream; with a key
 //     this holds across entry VMs, resends and crashes, because the key is
-//     claimed in the control log before the first byte leaves;
-//   - an answer is passed on whole, or the caller can see that it is not.
+//     claimed in the control log before the first byte is sent;
+//   - a response is passed on whole, or the caller can detect that it is not.
 package caller
--- a/internal/caller/failure.go
+++ b/internal/caller/failure.go
@@ -10,30 +10,31 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// failure is the verdict of a request that got no answer from an upstream. It
-// is the error type of the caller path.
+// failure is the verdict of a request that got no response from an upstream. It
+// is the error type of the request path.
 type failure struct {
-	// status is the HTTP status of the answer.
+	// status is the HTTP status of the response.
 	status int
-	// verdict says whether the request may have run.
+	// verdict reports whether the request may have run.
 	verdict model.Verdict
-	// message is for the caller, in words.
+	// message is the explanation for the caller.
 	message string
-	// header names the request header at fault; empty when none is.
+	// header names the invalid request header; empty if there is none.
 	header string
 	// allowed lists the values that would have been accepted.
 	allowed []string
-	// retryAfter says when to come back; 0 says nothing.
+	// retryAfter is when the caller should retry; 0 sets no header.
 	retryAfter time.Duration
-	// gone says that the caller went away, so that nobody reads the answer.
-	gone bool
-	// final says that another try would do no better.
+	// callerGone reports that the caller disconnected and reads no response.
+	callerGone bool
+	// final reports that a retry would not help.
 	final bool
-	// bySite says that a named job was refused for what the manifest lacks.
-	bySite bool
+	// byManifest reports that a job with an ID was refused because the
+	// manifest lacks its pool or team.
+	byManifest bool
 }
 
-// Error returns the message with the verdict.
+// Error returns the verdict and the message.
 func (f *failure) Error() string { return f.verdict.String() + ": " + f.message }
 
 func refuse(status int, message string) *failure {
@@ -50,7 +51,7 @@
 	}
 }
 
-// overloaded tells the caller at once when to come back.
+// overloaded returns a failure that asks the caller to retry later.
 func overloaded(message string, after time.Duration) *failure {
 	return &failure{
 		status:     http.StatusServiceUnavailable,
@@ -60,8 +61,8 @@
 	}
 }
 
-// errorAnswer is the body of every error.
-type errorAnswer struct {
+// errorBody is the body of every error response.
+type errorBody struct {
 	Error     string   `json:"error"`
 	Verdict   string   `json:"verdict"`
 	RequestID string   `json:"request_id"`
@@ -75,7 +76,7 @@
 		seconds := (f.retryAfter + time.Second - 1) / time.Second
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
-	s.writeJSON(w, id, f.status, f.verdict, errorAnswer{
+	s.writeJSON(w, id, f.status, f.verdict, errorBody{
 		Error:     f.message,
 		Verdict:   f.verdict.String(),
 		RequestID: id,
@@ -92,13 +93,13 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	s.stamp(h, id, v)
+	s.setStandardHeaders(h, id, v)
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
 }
 
-// stamp sets the headers that every response carries.
-func (s *Server) stamp(h http.Header, id string, v model.Verdict) {
+// setStandardHeaders sets the headers that every response carries.
+func (s *Server) setStandardHeaders(h http.Header, id string, v model.Verdict) {
 	h.Set(model.VerdictHeader, v.String())
 	h.Set(upstream.RequestIDHeader, id)
 	if s.draining.Load() {
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -13,7 +13,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// request is one request of a caller on its way to a service.
+// request is a caller's request that is being forwarded to a service.
 type request struct {
 	options
 	id         string
@@ -25,30 +25,32 @@
 	idempotent bool
 	deadline   time.Time
 	body       *body
-	// beforeSend is called once a slot is held and before the first byte
-	// leaves; a failure stops the request unsent. It may be nil.
+	// beforeSend is called after a slot was acquired and before the first byte
+	// is sent; if it fails, the request is not sent. It may be nil.
 	beforeSend func(context.Context) *failure
-	// answerLimit bounds the answer that is read whole.
-	answerLimit int64
-	// streaming says that the answer passes on to the caller while it comes.
+	// responseLimit bounds the size of a response that is buffered whole.
+	responseLimit int64
+	// streaming reports that the response is being streamed to the caller.
 	streaming atomic.Bool
-	// prepaid says that the retry after a silent try is charged already.
-	prepaid atomic.Bool
+	// retryPrepaid reports that the retry after an unresponsive attempt is
+	// already charged to the budget.
+	retryPrepaid atomic.Bool
 }
 
-// keyed reports whether the request must be claimed before it is sent. One that
-// is known from an earlier send stays so when the manifest changes its route.
-func (q *request) keyed() bool { return q.key != "" && (!q.idempotent || q.claimed) }
+// needsClaim reports whether the request must be claimed before it is sent. A
+// request that was claimed before still needs its claim after the manifest
+// changes its route.
+func (q *request) needsClaim() bool { return q.key != "" && (!q.idempotent || q.alreadyClaimed) }
 
 // forward serves /s/:service/*path.
 func (s *Server) forward(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string) {
-	q, f := s.parse(r, p, id)
+	q, f := s.parseRequest(r, p, id)
 	if f != nil {
 		s.writeFailure(w, id, f)
 		return
 	}
 	keep := s.limits.ResendBytes
-	if q.keyed() {
+	if q.needsClaim() {
 		keep = s.limits.KeyedBytes
 	}
 	body, release, f := s.readBody(w, r, keep, q.deadline)
@@ -59,27 +61,27 @@
 		return
 	}
 	q.body = body
-	if q.keyed() {
+	if q.needsClaim() {
 		s.forwardKeyed(w, r, q)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
-	a, f := s.run(ctx, q)
-	s.finish(w, r, q, a, f)
+	resp, f := s.run(ctx, q)
+	s.respond(w, r, q, resp, f)
 }
 
-// finish answers the caller.
-func (s *Server) finish(w http.ResponseWriter, r *http.Request, q *request, a *answer, f *failure) {
+// respond writes the response or the failure to the caller.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, q *request, resp *response, f *failure) {
 	if f != nil {
 		s.writeFailure(w, q.id, f)
 		return
 	}
-	s.writeAnswer(w, r, q.id, a)
+	s.writeResponse(w, r, q.id, resp)
 }
 
-// parse reads everything but the body. Its failures are all not-run.
-func (s *Server) parse(r *http.Request, p httprouter.Params, id string) (*request, *failure) {
+// parseRequest reads everything but the body. All its failures are not-run.
+func (s *Server) parseRequest(r *http.Request, p httprouter.Params, id string) (*request, *failure) {
 	name, target, f := splitPath(r.URL)
 	if f != nil {
 		return nil, f
@@ -91,7 +93,7 @@
 	if site == nil {
 		return nil, overloaded("no manifest is in force yet", time.Second)
 	}
-	service := s.serviceOf(site, name, r.Header)
+	service := s.resolveService(site, name, r.Header)
 	if service == nil {
 		return nil, refuse(http.StatusNotFound, "no such service in the manifest")
 	}
@@ -100,27 +102,27 @@
 		return nil, f
 	}
 	q := &request{
-		options:     o,
-		id:          id,
-		service:     service,
-		method:      r.Method,
-		url:         target,
-		host:        r.Host,
-		header:      upstreamHeader(r.Header, id),
-		idempotent:  idempotent(r.Method, target.Path, service.Routes, o.idempotent),
-		deadline:    s.Now().Add(o.timeout),
-		answerLimit: s.limits.AnswerBytes,
+		options:       o,
+		id:            id,
+		service:       service,
+		method:        r.Method,
+		url:           target,
+		host:          r.Host,
+		header:        upstreamHeader(r.Header, id),
+		idempotent:    isIdempotent(r.Method, target.Path, service.Routes, o.idempotent),
+		deadline:      s.Now().Add(o.timeout),
+		responseLimit: s.limits.AnswerBytes,
 	}
 	return q, nil
 }
 
-// serviceOf is the service of the manifest, or a stand-in for one that the
-// manifest dropped after a request of this key was claimed for it.
+// resolveService returns the service of the manifest, or a placeholder for one
+// that the manifest dropped after a request with this key was claimed for it.
 //
-// Told that there is no such service, and so that its request was not run, a
-// caller who sends again after a lost answer would give it to somebody else;
-// but it ran. The claim has the answer.
-func (s *Server) serviceOf(site *model.Site, name model.ServiceID, h http.Header) *model.Service {
+// Without the placeholder, a caller who resends after a lost response would be
+// told that the service does not exist and that the request was not run, and
+// would send it elsewhere, although it ran. The claim holds the response.
+func (s *Server) resolveService(site *model.Site, name model.ServiceID, h http.Header) *model.Service {
 	if service := findService(site, name); service != nil {
 		return service
 	}
@@ -131,8 +133,8 @@
 	return &model.Service{ID: name}
 }
 
-// claimedBefore reports whether a request of this key to the service may have
-// run, as far as is known here.
+// claimedBefore reports whether a request with this key to the service may have
+// run, as far as this VM has applied the control log.
 func (s *Server) claimedBefore(key model.RequestKey, service model.ServiceID) bool {
 	if key == "" {
 		return false
@@ -141,9 +143,9 @@
 	return c != nil && c.Service == service && !reclaimable(c)
 }
 
-// upstreamHeader is what the upstream gets: the caller's header and our id.
+// upstreamHeader returns the caller's end-to-end headers and the request ID.
 func upstreamHeader(h http.Header, id string) http.Header {
-	out := forwarded(h)
+	out := endToEndHeaders(h)
 	out[upstream.RequestIDHeader] = []string{id}
 	if _, ok := out["User-Agent"]; !ok {
 		out["User-Agent"] = nil
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -21,14 +21,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream/standin"
 )
 
-// sharedLog is a control log without a network: every entry VM of a test
-// applies to one machine. Its hooks lose proposals and answers.
+// sharedLog is a control log without a network: all entry VMs of a test apply to
+// one machine. Its hooks can lose proposals and results.
 type sharedLog struct {
 	mu      sync.Mutex
 	machine *state.Machine
 	index   uint64
-	// before and after, when set, see each command before it is applied and
-	// after; an error of before keeps it from being applied.
+	// before and after, if set, are called with each command before and after
+	// it is applied; an error of before keeps it from being applied.
 	before, after atomic.Pointer[func(state.Command) error]
 }
 
@@ -75,7 +75,7 @@
 func (l *sharedLog) WaitApplied(ctx context.Context, i uint64) error { return l.machine.Wait(ctx, i) }
 func (l *sharedLog) Leader() (model.NodeID, uint64)                  { return "n1", 1 }
 
-// listBroker hands out slots of a list of instances in turn.
+// listBroker grants slots of a list of instances in turn.
 type listBroker struct {
 	mu   sync.Mutex
 	list []model.Upstream
@@ -103,7 +103,8 @@
 	b.held--
 }
 
-// site is a small site: one service whose GET /plans is marked.
+// testSite returns a small site: one service whose route GET /plans is marked as
+// non-idempotent.
 func testSite() *model.Site {
 	return &model.Site{
 		Name:     "test",
@@ -121,14 +122,14 @@
 	}
 }
 
-// world is a site of stand-ins and entry VMs on loopback.
-type world struct {
+// cluster is a site of stand-in upstreams and entry VMs on loopback.
+type cluster struct {
 	log       *sharedLog
 	broker    *listBroker
 	instances []*standin.Upstream
 	entries   []*entry
-	// over ends what hangs for good in a process that was killed.
-	over chan struct{}
+	// shutdown releases what blocks forever in a killed process.
+	shutdown chan struct{}
 }
 
 func newTransport(t testing.TB) *upstream.Transport {
@@ -145,10 +146,10 @@
 	stopped chan struct{}
 }
 
-func newWorld(t testing.TB, instances, entries int, l Limits) *world {
-	w := &world{log: &sharedLog{machine: state.NewMachine(state.Options{})}, broker: &listBroker{}, over: make(chan struct{})}
+func newCluster(t testing.TB, instances, entries int, l Limits) *cluster {
+	cl := &cluster{log: &sharedLog{machine: state.NewMachine(state.Options{})}, broker: &listBroker{}, shutdown: make(chan struct{})}
 	digest := sha256.Sum256([]byte("t"))
-	result, err := w.log.Propose(context.Background(), state.Command{
+	result, err := cl.log.Propose(context.Background(), state.Command{
 		ID: "manifest", ApplyManifest: &state.ApplyManifest{Revision: 1, Digest: hex.EncodeToString(digest[:]), Text: []byte("t"), Site: testSite()},
 	})
 	must(t, err)
@@ -156,14 +157,14 @@
 		t.Fatal(result.Refused)
 	}
 	for i := range instances {
-		w.addInstance(t, standin.Options{Instance: string(rune('a' + i)), Slots: 1000})
+		cl.addInstance(t, standin.Options{Instance: string(rune('a' + i)), Slots: 1000})
 	}
 	for range entries {
-		w.addEntry(t, Config{Limits: l})
+		cl.addEntry(t, Config{Limits: l})
 	}
 	t.Cleanup(func() {
-		close(w.over)
-		for _, e := range w.entries {
+		close(cl.shutdown)
+		for _, e := range cl.entries {
 			_ = e.server.Close()
 			e.stop()
 			<-e.stopped
@@ -172,25 +173,25 @@
 			}
 		}
 	})
-	return w
+	return cl
 }
 
-func (w *world) addInstance(t testing.TB, o standin.Options) *standin.Upstream {
+func (cl *cluster) addInstance(t testing.TB, o standin.Options) *standin.Upstream {
 	u, err := standin.Start(o)
 	must(t, err)
 	t.Cleanup(u.Close)
-	w.instances = append(w.instances, u)
-	w.broker.list = append(w.broker.list, model.Upstream{
+	cl.instances = append(cl.instances, u)
+	cl.broker.list = append(cl.broker.list, model.Upstream{
 		Service: "drafts", Instance: model.InstanceID(o.Instance), Address: u.Address(), Slots: o.Slots, Connections: 1000,
 	})
 	return u
 }
 
-func (w *world) addEntry(t testing.TB, c Config) *entry {
-	c.Self = model.NodeID("n" + string(rune('1'+len(w.entries))))
-	c.Log, c.Metrics = w.log, metrics.NewRegistry()
+func (cl *cluster) addEntry(t testing.TB, c Config) *entry {
+	c.Self = model.NodeID("n" + string(rune('1'+len(cl.entries))))
+	c.Log, c.Metrics = cl.log, metrics.NewRegistry()
 	if c.Broker == nil {
-		c.Broker = w.broker
+		c.Broker = cl.broker
 	}
 	if c.Sender == nil {
 		c.Sender = newTransport(t)
@@ -206,55 +207,56 @@
 		e.server.Run(ctx)
 	}()
 	go func() { _ = e.server.Serve(l) }()
-	w.entries = append(w.entries, e)
+	cl.entries = append(cl.entries, e)
 	return e
 }
 
-// kill ends an entry VM in the middle of whatever the calling goroutine does:
-// its callers' connections break, and the goroutine goes no further.
-func (w *world) kill(e *entry) error {
+// kill stops an entry VM in the middle of whatever the calling goroutine does:
+// its callers' connections break, and the goroutine does not continue before the
+// end of the test.
+func (cl *cluster) kill(e *entry) error {
 	_ = e.server.Close()
 	e.stop()
-	<-w.over
+	<-cl.shutdown
 	return state.ErrNotProposed
 }
 
-func (w *world) runs(key string) int {
+func (cl *cluster) runs(key string) int {
 	n := 0
-	for _, u := range w.instances {
+	for _, u := range cl.instances {
 		n += u.Runs(key)
 	}
 	return n
 }
 
-// reply is a whole answer as a caller sees it.
-type reply struct {
+// callerResponse is a whole response as a caller receives it.
+type callerResponse struct {
 	status  int
 	verdict string
 	header  http.Header
 	body    string
 }
 
-// callers keeps as many connections as there are callers in a test.
-var callers = &http.Transport{MaxIdleConnsPerHost: 512}
+// callerTransport keeps as many connections as there are callers in a test.
+var callerTransport = &http.Transport{MaxIdleConnsPerHost: 512}
 
 // call sends one request; headers are "Name: value".
-func (e *entry) call(method, path, body string, headers ...string) (reply, error) {
+func (e *entry) call(method, path, body string, headers ...string) (callerResponse, error) {
 	r, err := http.NewRequest(method, e.url+path, strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	for _, h := range headers {
 		name, value, _ := strings.Cut(h, ": ")
 		r.Header.Add(name, value)
 	}
-	resp, err := callers.RoundTrip(r)
+	resp, err := callerTransport.RoundTrip(r)
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return reply{resp.StatusCode, resp.Header.Get(model.VerdictHeader), resp.Header, string(text)}, err
+	return callerResponse{resp.StatusCode, resp.Header.Get(model.VerdictHeader), resp.Header, string(text)}, err
 }
 
 func must(t testing.TB, err error) {
@@ -264,7 +266,7 @@
 	}
 }
 
-// eventually waits for what happens in the background.
+// eventually waits until a condition of the background work holds.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -273,5 +275,5 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -21,8 +21,8 @@
 	maxAllowedInError = 20
 )
 
-// callerHeaders are the request headers of ours that a caller may send.
-var callerHeaders = map[string]bool{
+// allowedHeaders are the comfreyloom headers that a caller may send.
+var allowedHeaders = map[string]bool{
 	headerIdempotent:         true,
 	headerPriority:           true,
 	headerTimeout:            true,
@@ -31,7 +31,7 @@
 }
 
 // hopByHop are the headers that belong to one connection and not to the
-// request, and those which net/http sets by itself.
+// request, and those that net/http sets itself.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Proxy-Connection":    true,
@@ -47,20 +47,20 @@
 	"Host":                true,
 }
 
-// options are what a caller asks for in headers.
+// options are the options that a caller sets in headers.
 type options struct {
 	key model.RequestKey
-	// idempotent is nil when the caller says nothing.
+	// idempotent is nil if the caller does not set it.
 	idempotent *bool
 	priority   model.Priority
 	timeout    time.Duration
 	team       model.TeamID
-	// claimed says that a request of this key was claimed before.
-	claimed bool
+	// alreadyClaimed reports that a request with this key was claimed before.
+	alreadyClaimed bool
 }
 
-// single returns the one value of a header, "" when it is absent.
-func single(h http.Header, name string) (string, *failure) {
+// singleValue returns the only value of a header, "" if it is absent.
+func singleValue(h http.Header, name string) (string, *failure) {
 	values := h[name]
 	if len(values) == 0 {
 		return "", nil
@@ -78,7 +78,7 @@
 		o.timeout = s.limits.DefaultTimeout
 	}
 	for name := range h {
-		if strings.HasPrefix(name, headerPrefix) && !callerHeaders[name] {
+		if strings.HasPrefix(name, headerPrefix) && !allowedHeaders[name] {
 			return o, refuseHeader(name, "is not a header of comfreyloom", headerIdempotent, headerPriority, headerTeam, headerTimeout)
 		}
 	}
@@ -87,15 +87,15 @@
 			return o, f
 		}
 	}
-	o.claimed = s.claimedBefore(o.key, service.ID)
-	if o.claimed {
+	o.alreadyClaimed = s.claimedBefore(o.key, service.ID)
+	if o.alreadyClaimed {
 		return o, nil // the manifest may have dropped its team
 	}
 	return o, parseTeam(h, site, &o)
 }
 
 func parseKey(h http.Header, o *options) *failure {
-	value, f := single(h, headerKey)
+	value, f := singleValue(h, headerKey)
 	if f != nil || len(h[headerKey]) == 0 {
 		return f
 	}
@@ -108,17 +108,18 @@
 }
 
 func validKey(value string) (model.RequestKey, bool) {
-	if value == "" || len(value) > maxKeyBytes || strings.ContainsFunc(value, notInKey) {
+	if value == "" || len(value) > maxKeyBytes || strings.ContainsFunc(value, invalidInKey) {
 		return "", false
 	}
 	return model.RequestKey(value), true
 }
 
-// notInKey excludes the slash, since the key is a segment of GET /requests/:key.
-func notInKey(c rune) bool { return c <= ' ' || c > '~' || c == '/' }
+// invalidInKey reports whether a character must not occur in a key. The slash
+// is excluded because the key is a path segment of GET /requests/:key.
+func invalidInKey(c rune) bool { return c <= ' ' || c > '~' || c == '/' }
 
 func parseIdempotent(h http.Header, o *options) *failure {
-	value, f := single(h, headerIdempotent)
+	value, f := singleValue(h, headerIdempotent)
 	if f != nil || len(h[headerIdempotent]) == 0 {
 		return f
 	}
@@ -131,7 +132,7 @@
 }
 
 func parsePriority(h http.Header, o *options) *failure {
-	value, f := single(h, headerPriority)
+	value, f := singleValue(h, headerPriority)
 	if f != nil || len(h[headerPriority]) == 0 {
 		return f
 	}
@@ -144,7 +145,7 @@
 }
 
 func (s *Server) parseTimeout(h http.Header, o *options) *failure {
-	value, f := single(h, headerTimeout)
+	value, f := singleValue(h, headerTimeout)
 	if f != nil || len(h[headerTimeout]) == 0 {
 		return f
 	}
@@ -158,7 +159,7 @@
 }
 
 func parseTeam(h http.Header, site *model.Site, o *options) *failure {
-	value, f := single(h, headerTeam)
+	value, f := singleValue(h, headerTeam)
 	if f != nil || len(h[headerTeam]) == 0 {
 		return f
 	}
@@ -189,8 +190,8 @@
 	return names
 }
 
-// forwarded copies the headers that go on to the other side.
-func forwarded(h http.Header) http.Header {
+// endToEndHeaders copies the headers that are passed on to the other side.
+func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h)+1)
 	for name, values := range h {
 		if !hopByHop[name] {
--- a/internal/caller/hostile_test.go
+++ b/internal/caller/hostile_test.go
@@ -18,14 +18,13 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Symptom: a planned stop cuts off a booking.
-// Sequence: an entry VM is stopped while callers keep it busy over kept
-// connections; they stop coming when it refuses connections.
-func TestStopUnderLoadCutsNothing(t *testing.T) {
+// A planned stop must not cut a request: an entry VM is drained while callers
+// keep it busy over open connections; they stop when it refuses connections.
+func TestDrainUnderLoadCutsNoRequest(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, 0, Limits{})
-	e := w.addEntry(t, Config{BalancerDelay: 100 * time.Millisecond, Linger: 50 * time.Millisecond})
-	for _, u := range w.instances {
+	cl := newCluster(t, 2, 0, Limits{})
+	e := cl.addEntry(t, Config{BalancerDelay: 100 * time.Millisecond, Linger: 50 * time.Millisecond})
+	for _, u := range cl.instances {
 		u.SetLatency(5 * time.Millisecond)
 	}
 	var answered, cut atomic.Int64
@@ -36,7 +35,7 @@
 				got, err := e.call("POST", "/s/drafts/book", fmt.Sprint(n, i))
 				switch {
 				case err != nil && strings.Contains(err.Error(), "refused"):
-					return // the listener is closed: the balancer goes elsewhere
+					return // the listener is closed: the balancer uses other VMs
 				case err != nil || got.status != 200:
 					cut.Add(1)
 					t.Logf("cut: %v %d", err, got.status)
@@ -50,12 +49,12 @@
 	ready, err := e.call("GET", "/readyz", "")
 	is.NoErr(err)
 	is.Equal(ready.status, 200)
-	slow, rest := io.Pipe() // one request ends after all else
+	slow, rest := io.Pipe() // one request ends after all others
 	callers.Go(func() {
 		resp, err := http.Post(e.url+"/s/drafts/book", "text/plain", slow)
 		if err != nil || resp.StatusCode != 200 {
 			cut.Add(1)
-			t.Logf("slow one cut: %v", err)
+			t.Logf("slow request cut: %v", err)
 		}
 	})
 	_, err = io.WriteString(rest, "grain")
@@ -63,7 +62,7 @@
 	time.AfterFunc(400*time.Millisecond, func() { _ = rest.Close() })
 	drained := make(chan error, 1)
 	go func() { drained <- e.server.Drain(t.Context()) }()
-	eventually(t, "readiness goes off", func() bool {
+	eventually(t, "readiness turns off", func() bool {
 		ready, err := e.call("GET", "/readyz", "")
 		return err == nil && ready.status == 503
 	})
@@ -73,15 +72,15 @@
 	t.Logf("%d requests answered, %d cut", answered.Load(), cut.Load())
 }
 
-// Symptom: an answer without a verdict; a VM whose memory or connections are
-// used up by one peer.
+// Guards against responses without a verdict, and against one peer that exhausts
+// the memory or the connections of a VM.
 func TestHostileInput(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 1, Limits{
+	cl := newCluster(t, 1, 1, Limits{
 		HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond, MaxHeaderBytes: 4096,
 		BodyBytes: 1 << 20, KeyedBytes: 1000, Connections: 8, ConnectionsPerIP: 8,
 	})
-	address := strings.TrimPrefix(w.entries[0].url, "http://")
+	address := strings.TrimPrefix(cl.entries[0].url, "http://")
 	raw := func(text string) (*http.Response, error) {
 		c, err := net.Dial("tcp", address)
 		is.NoErr(err)
@@ -116,8 +115,8 @@
 		is.True(resp.Header.Get("Comfreyloom-Request-Id") != "")
 	}
 	_, err := raw("GET /healthz HTTP/1.1\r\nHost: x\r\nX: slow")
-	is.True(err != nil) // closed without an answer
-	is.Equal(w.instances[0].Total(), 0)
+	is.True(err != nil) // closed without a response
+	is.Equal(cl.instances[0].Total(), 0)
 
 	var held []net.Conn
 	for range 9 {
@@ -129,20 +128,20 @@
 	is.NoErr(err)
 	resp, err := http.ReadResponse(bufio.NewReader(held[8]), nil)
 	is.NoErr(err)
-	is.Equal(resp.StatusCode, 503) // surplus: told to come back, at once
+	is.Equal(resp.StatusCode, 503) // surplus: refused at once, with Retry-After
 	is.Equal(resp.Header.Get("Retry-After"), "1")
 	for _, c := range held {
 		_ = c.Close()
 	}
-	eventually(t, "connections are counted out", func() bool { return w.entries[0].server.open.open() <= 1 })
+	eventually(t, "connections are released", func() bool { return cl.entries[0].server.conns.openCount() <= 1 })
 }
 
-func TestVerdictIsAddedToOwnErrorsOfTheLibraryOnly(t *testing.T) {
+func TestVerdictAddedOnlyToNetHTTPErrors(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
-	c := &callerConn{Conn: near, open: newOpenConns(9, 9, newCounters(nil))}
-	c.served.Store(true)
+	c := &callerConn{Conn: near, conns: newConnLimiter(9, 9, newCounters(nil))}
+	c.handlerStarted.Store(true)
 	got := make(chan []byte, 1)
 	go func() {
 		part := make([]byte, 256)
@@ -152,5 +151,5 @@
 	text := []byte("HTTP/1.1 400 is the body of an answer\r\n\r\n")
 	_, err := c.Write(text)
 	is.NoErr(err)
-	is.True(bytes.Equal(<-got, text)) // an answer's bytes are never touched
+	is.True(bytes.Equal(<-got, text)) // the bytes of a handler's response are never changed
 }
--- a/internal/caller/jobs.go
+++ b/internal/caller/jobs.go
@@ -20,7 +20,7 @@
 
 // jobRequest is the body of POST /jobs.
 type jobRequest struct {
-	// ID makes a resend harmless; the Idempotency-Key stands in for it.
+	// ID makes a resend harmless; it defaults to the Idempotency-Key.
 	ID       string `json:"id"`
 	Team     string `json:"team"`
 	Pool     string `json:"pool"`
@@ -30,17 +30,17 @@
 	MilliCPU     int64 `json:"milli_cpu"`
 	MemoryMB     int64 `json:"memory_mb"`
 	Accelerators int64 `json:"accelerators"`
-	// Runtime is a duration with a unit; empty when unknown.
+	// Runtime is a duration with a unit; empty if unknown.
 	Runtime      string `json:"runtime"`
 	Idempotent   bool   `json:"idempotent"`
 	Checkpoints  bool   `json:"checkpoints"`
 	Throttleable bool   `json:"throttleable"`
-	// Payload is handed to the worker; base64 in JSON.
+	// Payload is passed to the worker; base64 in JSON.
 	Payload []byte `json:"payload"`
 }
 
-// jobAnswer is how a job is shown to callers.
-type jobAnswer struct {
+// jobResponse is the JSON form of a job in responses to callers.
+type jobResponse struct {
 	ID          string `json:"id"`
 	Team        string `json:"team,omitempty"`
 	Pool        string `json:"pool"`
@@ -55,8 +55,8 @@
 	Cancelled   bool   `json:"cancelled,omitempty"`
 }
 
-func answerOfJob(j *model.Job) jobAnswer {
-	return jobAnswer{
+func newJobResponse(j *model.Job) jobResponse {
+	return jobResponse{
 		ID:          string(j.Spec.ID),
 		Team:        string(j.Spec.Team),
 		Pool:        string(j.Spec.Pool),
@@ -79,8 +79,8 @@
 	defer cancel()
 	spec, f := s.decodeJob(http.MaxBytesReader(w, r.Body, s.limits.JobBytes), r.Header)
 	setReadDeadline(w, time.Time{})
-	if f != nil && f.bySite {
-		f = s.checkAgain(ctx, &spec)
+	if f != nil && f.byManifest {
+		f = s.recheckJob(ctx, &spec)
 	}
 	if f != nil {
 		s.writeFailure(w, id, f)
@@ -94,18 +94,19 @@
 	})
 	switch {
 	case err != nil:
-		s.writeFailure(w, id, notProposed(err, "sending the job again under id "+string(spec.ID)+" is safe"))
+		s.writeFailure(w, id, proposalFailure(err, "sending the job again under id "+string(spec.ID)+" is safe"))
 	case result.Refused != "":
 		s.writeFailure(w, id, refuse(http.StatusConflict, string(result.Refused)))
 	case result.Job == nil:
 		s.writeFailure(w, id, refuse(http.StatusConflict, "the job was not accepted"))
 	default:
-		s.writeJSON(w, id, http.StatusAccepted, model.Ran, answerOfJob(result.Job))
+		s.writeJSON(w, id, http.StatusAccepted, model.Ran, newJobResponse(result.Job))
 	}
 }
 
-// notProposed turns an error of the control log into a verdict.
-func notProposed(err error, advice string) *failure {
+// proposalFailure turns an error of the control log into a failure with a
+// verdict.
+func proposalFailure(err error, advice string) *failure {
 	if errors.Is(err, state.ErrNotProposed) {
 		return overloaded("the control log takes no changes at present", time.Second)
 	}
@@ -117,8 +118,9 @@
 	}
 }
 
-// decodeJob reads and checks a job; its failures are all not-run, but for one
-// bySite: the job may have been accepted before the manifest changed.
+// decodeJob decodes and validates a job. Its failures are all not-run, except
+// one with byManifest set: the job may have been accepted before the manifest
+// changed.
 func (s *Server) decodeJob(from io.Reader, h http.Header) (model.JobSpec, *failure) {
 	var in jobRequest
 	d := json.NewDecoder(from)
@@ -140,46 +142,47 @@
 	if in.ID == "" {
 		in.ID = string(o.key)
 	}
-	named := in.ID != ""
-	if !named {
+	hasID := in.ID != ""
+	if !hasID {
 		in.ID = uuid.NewString()
 	}
 	spec, f := in.spec()
 	if f != nil {
 		return spec, f
 	}
-	f = checkSite(&spec, s.currentSite())
+	f = validateAgainstManifest(&spec, s.currentSite())
 	if f != nil {
-		f.bySite = named
+		f.byManifest = hasID
 	}
 	return spec, f
 }
 
-// checkAgain looks again at a job that the manifest refuses, by the newest
-// state: it may have been accepted before its pool or team was dropped. Told
-// that it was not run, its caller would submit it elsewhere, and it would run
-// twice. The control log tells a resend from another job.
-func (s *Server) checkAgain(ctx context.Context, spec *model.JobSpec) *failure {
+// recheckJob validates a job that the manifest refuses once more, against the
+// newest state: it may have been accepted before its pool or team was dropped.
+// A caller that gets not-run for such a job would submit it elsewhere, and it
+// would run twice. The control log distinguishes a resend from another job with
+// the same ID.
+func (s *Server) recheckJob(ctx context.Context, spec *model.JobSpec) *failure {
 	if s.confirm(ctx) != nil {
-		return notProposed(state.ErrOutcomeUnknown, "sending the job again under id "+string(spec.ID)+" is safe")
+		return proposalFailure(state.ErrOutcomeUnknown, "sending the job again under id "+string(spec.ID)+" is safe")
 	}
 	view := s.Log.View()
 	if view.Jobs[spec.ID] != nil {
 		return nil
 	}
-	return checkSite(spec, view.Site)
+	return validateAgainstManifest(spec, view.Site)
 }
 
 func (in *jobRequest) spec() (model.JobSpec, *failure) {
 	priority, ok := model.ParsePriority(in.Priority)
 	if !ok && in.Priority != "" {
-		return model.JobSpec{}, badJob("priority", "allowed are urgent, normal and batch")
+		return model.JobSpec{}, invalidJob("priority", "allowed are urgent, normal and batch")
 	}
 	runtime, f := parseRuntime(in.Runtime)
 	if f != nil {
 		return model.JobSpec{}, f
 	}
-	if f := in.check(); f != nil {
+	if f := in.validate(); f != nil {
 		return model.JobSpec{}, f
 	}
 	return model.JobSpec{
@@ -197,7 +200,7 @@
 	}, nil
 }
 
-func badJob(key, message string) *failure {
+func invalidJob(key, message string) *failure {
 	return refuse(http.StatusBadRequest, key+": "+message)
 }
 
@@ -207,52 +210,52 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return 0, badJob("runtime", "must be a duration with a unit, such as 90m")
+		return 0, invalidJob("runtime", "must be a duration with a unit, such as 90m")
 	}
 	return d, nil
 }
 
-// maxAmount bounds each declared amount, so that sums can't overflow.
-const maxAmount = 1 << 40
+// maxResourceAmount bounds each declared amount, so that sums can't overflow.
+const maxResourceAmount = 1 << 40
 
-// check looks at what does not depend on the manifest.
-func (in *jobRequest) check() *failure {
+// validate checks what does not depend on the manifest.
+func (in *jobRequest) validate() *failure {
 	if _, ok := validKey(in.ID); !ok {
-		return badJob("id", "must have 1 to 128 printable ASCII characters without spaces or slashes")
+		return invalidJob("id", "must have 1 to 128 printable ASCII characters without spaces or slashes")
 	}
 	if len(in.Kind) > maxKeyBytes {
-		return badJob("kind", fmt.Sprintf("must have at most %d bytes", maxKeyBytes))
+		return invalidJob("kind", fmt.Sprintf("must have at most %d bytes", maxKeyBytes))
 	}
-	if f := in.checkAmounts(); f != nil {
+	if f := in.validateAmounts(); f != nil {
 		return f
 	}
 	if in.MilliCPU == 0 && in.MemoryMB == 0 && in.Accelerators == 0 {
-		return badJob("milli_cpu", "a job must declare processors, memory or accelerators")
+		return invalidJob("milli_cpu", "a job must declare processors, memory or accelerators")
 	}
 	return nil
 }
 
-// checkSite looks at what the manifest must have.
-func checkSite(spec *model.JobSpec, site *model.Site) *failure {
+// validateAgainstManifest checks that the manifest has the job's pool and team.
+func validateAgainstManifest(spec *model.JobSpec, site *model.Site) *failure {
 	if site == nil {
 		return overloaded("no manifest is in force yet", time.Second)
 	}
 	if !slices.ContainsFunc(site.Pools, func(p model.Pool) bool { return p.ID == spec.Pool }) {
-		return badJob("pool", "allowed are "+strings.Join(poolNames(site), ", "))
+		return invalidJob("pool", "allowed are "+strings.Join(poolNames(site), ", "))
 	}
 	if spec.Team != "" && !knownTeam(site, spec.Team) {
-		return badJob("team", "allowed are "+strings.Join(teamNames(site), ", "))
+		return invalidJob("team", "allowed are "+strings.Join(teamNames(site), ", "))
 	}
 	return nil
 }
 
-func (in *jobRequest) checkAmounts() *failure {
+func (in *jobRequest) validateAmounts() *failure {
 	for _, amount := range []struct {
 		key   string
 		value int64
 	}{{"milli_cpu", in.MilliCPU}, {"memory_mb", in.MemoryMB}, {"accelerators", in.Accelerators}} {
-		if amount.value < 0 || amount.value > maxAmount {
-			return badJob(amount.key, "must be an amount of at least 0")
+		if amount.value < 0 || amount.value > maxResourceAmount {
+			return invalidJob(amount.key, "must be an amount of at least 0")
 		}
 	}
 	return nil
@@ -276,11 +279,12 @@
 		s.writeFailure(w, id, f)
 		return
 	}
-	s.writeJSON(w, id, http.StatusOK, model.Ran, answerOfJob(job))
+	s.writeJSON(w, id, http.StatusOK, model.Ran, newJobResponse(job))
 }
 
-// findJob looks a job up here and, when it is not known, once more after what
-// other entry VMs committed has been applied.
+// findJob returns a job of the applied state. If it is not there, findJob waits
+// until everything committed before is applied and looks once more, since
+// another entry VM may have accepted it.
 func (s *Server) findJob(ctx context.Context, id model.JobID) (*model.Job, *failure) {
 	if job := s.Log.View().Jobs[id]; job != nil {
 		return job, nil
--- a/internal/caller/latency.go
+++ b/internal/caller/latency.go
@@ -11,90 +11,93 @@
 )
 
 const (
-	// silenceFloor is the least silence from which conclusions are drawn.
-	silenceFloor = 250 * time.Millisecond
-	// suspectQuantile and suspectFactor define suspicious silence from how
-	// long answers took lately.
+	// minUnresponsiveTime is the shortest silence on a connection that lets it be
+	// suspected or abandoned.
+	minUnresponsiveTime = 250 * time.Millisecond
+	// suspectQuantile and suspectFactor derive the threshold for suspecting a
+	// connection from recent response times.
 	suspectQuantile = 0.99
 	suspectFactor   = 4
-	// giveUpFactor, times the slowest answer of late, is the silence after
-	// which a used connection is taken for dead. The quantile would not do:
-	// rare slow requests that are in order would each run twice.
-	giveUpFactor = 2
-	// latencySamples and latencyDecay shape the sample of answer times.
-	latencySamples = 256
-	latencyDecay   = 0.015
-	// latencyEvery is how many answers are taken together to work the
-	// quantile out again; one in latencyShare is sampled.
-	latencyEvery = 64
-	latencyShare = 4
+	// abandonFactor times the slowest recent response is how long a used
+	// connection may be unresponsive before it is considered dead. A multiple of
+	// the quantile is not enough: rare slow but healthy requests would each run
+	// twice.
+	abandonFactor = 2
+	// sampleSize and sampleDecay configure the sample of response times.
+	sampleSize  = 256
+	sampleDecay = 0.015
+	// samplesPerUpdate is how many samples are added between two updates of the
+	// thresholds; one response in sampleOneIn is sampled.
+	samplesPerUpdate = 64
+	sampleOneIn      = 4
 )
 
-// latency learns how long a service's answers take.
-type latency struct {
-	answers atomic.Int64
-	slowest atomic.Int64
-	// suspectAfter and giveUpAfter are worked out from the sample, in ns.
+// latencyEstimator derives the thresholds of a service from its response times.
+type latencyEstimator struct {
+	responses atomic.Int64
+	slowest   atomic.Int64
+	// suspectAfter and abandonAfter are computed from the sample, in ns.
 	suspectAfter atomic.Int64
-	giveUpAfter  atomic.Int64
+	abandonAfter atomic.Int64
 
 	mu     sync.Mutex
 	sample metrics.Sample
 	added  int
 }
 
-func newLatency() *latency {
-	l := &latency{sample: metrics.NewExpDecaySample(latencySamples, latencyDecay)}
-	l.suspectAfter.Store(int64(silenceFloor))
+func newLatencyEstimator() *latencyEstimator {
+	l := &latencyEstimator{sample: metrics.NewExpDecaySample(sampleSize, sampleDecay)}
+	l.suspectAfter.Store(int64(minUnresponsiveTime))
 	return l
 }
 
-// add takes one answer time. Slow answers are always sampled.
-func (l *latency) add(d time.Duration) {
+// add adds a response time. A response slower than all sampled ones is always
+// sampled.
+func (l *latencyEstimator) add(d time.Duration) {
 	slow := int64(d) > l.slowest.Load()
-	if l.answers.Add(1)%latencyShare != 0 && !slow {
+	if l.responses.Add(1)%sampleOneIn != 0 && !slow {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sample.Update(int64(d))
 	l.added++
-	if slow || l.added%latencyEvery == 0 {
-		l.learn()
+	if slow || l.added%samplesPerUpdate == 0 {
+		l.recompute()
 	}
 }
 
-func (l *latency) learn() {
+func (l *latencyEstimator) recompute() {
 	slowest := l.sample.Max()
 	l.slowest.Store(slowest)
 	suspect := suspectFactor * int64(l.sample.Percentile(suspectQuantile))
-	l.suspectAfter.Store(max(int64(silenceFloor), suspect))
-	if l.added >= latencyEvery {
-		l.giveUpAfter.Store(max(int64(silenceFloor), giveUpFactor*slowest))
+	l.suspectAfter.Store(max(int64(minUnresponsiveTime), suspect))
+	if l.added >= samplesPerUpdate {
+		l.abandonAfter.Store(max(int64(minUnresponsiveTime), abandonFactor*slowest))
 	}
 }
 
-// suspect is how long an answer may keep still before its address's other
-// connections are no longer trusted.
-func (l *latency) suspect() time.Duration { return time.Duration(l.suspectAfter.Load()) }
+// suspectTime is how long a response may make no progress before the other
+// connections to its address are no longer trusted.
+func (l *latencyEstimator) suspectTime() time.Duration { return time.Duration(l.suspectAfter.Load()) }
 
-// giveUp is how long a used connection may keep still before it is taken for
-// dead; atMost while too little is known.
-func (l *latency) giveUp(atMost time.Duration) time.Duration {
-	known := time.Duration(l.giveUpAfter.Load())
+// abandonTime is how long a used connection may be unresponsive before it
+// is considered dead: at most limit, and limit while there are too few samples.
+func (l *latencyEstimator) abandonTime(limit time.Duration) time.Duration {
+	known := time.Duration(l.abandonAfter.Load())
 	if known == 0 {
-		return atMost
+		return limit
 	}
-	return min(known, atMost)
+	return min(known, limit)
 }
 
-// latencies holds one latency for each service of the manifest.
-type latencies struct{ services sync.Map }
+// latencyEstimators holds one estimator per service of the manifest.
+type latencyEstimators struct{ services sync.Map }
 
-func (l *latencies) of(id model.ServiceID) *latency {
+func (l *latencyEstimators) forService(id model.ServiceID) *latencyEstimator {
 	if known, ok := l.services.Load(id); ok {
-		return known.(*latency)
+		return known.(*latencyEstimator)
 	}
-	known, _ := l.services.LoadOrStore(id, newLatency())
-	return known.(*latency)
+	known, _ := l.services.LoadOrStore(id, newLatencyEstimator())
+	return known.(*latencyEstimator)
 }
--- a/internal/caller/limits.go
+++ b/internal/caller/limits.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Limits bound what callers can make an entry VM hold; zeros take defaults.
+// Limits bound what callers can make an entry VM hold; zero values take
+// defaults.
 type Limits struct {
-	// DefaultTimeout is for requests to a service that names none.
+	// DefaultTimeout applies to requests to a service without a timeout.
 	DefaultTimeout time.Duration
 	// MinTimeout and MaxTimeout bound the header Comfreyloom-Timeout.
 	MinTimeout time.Duration
 	MaxTimeout time.Duration
 	// MaxHeaderBytes bounds a request's header.
 	MaxHeaderBytes int
-	// HeaderTimeout bounds the arrival of a request's header, IdleTimeout
-	// the time between two requests on a connection.
+	// HeaderTimeout bounds the arrival of a request's header, IdleTimeout the
+	// time between two requests on a connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// BodyTimeout bounds the arrival of a body that is kept for resending,
-	// WriteTimeout the time in which a caller must take a part of an answer.
+	// BodyTimeout bounds the arrival of a body that is buffered for retries,
+	// WriteTimeout the time in which a caller must receive one write of a
+	// response.
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
-	// ResendBytes bounds the body that is kept for a resend; a longer one is
+	// ResendBytes bounds the body that is buffered for retries; a longer one is
 	// streamed and sent once.
 	ResendBytes int64
-	// KeyedBytes bounds the body of a non-idempotent request with a key,
-	// which must be read whole before the key is claimed.
+	// KeyedBytes bounds the body of a non-idempotent request with a key, which
+	// must be read whole before the key is claimed.
 	KeyedBytes int64
 	// BodyBytes bounds any body.
 	BodyBytes int64
-	// AnswerBytes bounds the answer that is read whole before it is passed
+	// AnswerBytes bounds the response that is buffered whole before it is passed
 	// on; a longer one is streamed.
 	AnswerBytes int64
-	// KeptBytes bounds the answer that is kept under a key.
+	// KeptBytes bounds the response that is stored under a key.
 	KeptBytes int64
-	// BufferedBytes bounds all bodies and answers held at one time.
+	// BufferedBytes bounds all bodies and responses buffered at one time.
 	BufferedBytes int64
 	// JobBytes bounds the body of POST /jobs.
 	JobBytes int64
@@ -41,12 +43,12 @@
 	Requests         int64
 	Connections      int64
 	ConnectionsPerIP int64
-	// Attempts bounds how often one request is tried.
+	// Attempts bounds the attempts of one request.
 	Attempts int
 	// ClaimTimeout bounds the wait for a claim.
 	ClaimTimeout time.Duration
-	// OwnerGrace is how long after its deadline a claim is left to its
-	// owner before another entry VM ends it as unknown.
+	// OwnerGrace is how long after its deadline a claim is left to its owner
+	// before another entry VM ends it as unknown.
 	OwnerGrace time.Duration
 }
 
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -17,12 +17,13 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// hardShare is how many connections beyond the limit are still answered, as a
-// divisor of the limit; those beyond that are closed unanswered.
-const hardShare = 4
+// surplusDivisor bounds the connections beyond the limit that still get a
+// response: at most limit/surplusDivisor+1 of them. Any further connections are
+// closed without one.
+const surplusDivisor = 4
 
-// openConns bounds the open connections, over all and for each remote IP.
-type openConns struct {
+// connLimiter bounds the open connections, in total and per remote IP.
+type connLimiter struct {
 	limit, perIP int64
 	counters     *counters
 
@@ -31,29 +32,29 @@
 	byIP  map[netip.Addr]int64
 }
 
-func newOpenConns(limit, perIP int64, c *counters) *openConns {
-	return &openConns{limit: limit, perIP: perIP, counters: c, byIP: make(map[netip.Addr]int64)}
+func newConnLimiter(limit, perIP int64, c *counters) *connLimiter {
+	return &connLimiter{limit: limit, perIP: perIP, counters: c, byIP: make(map[netip.Addr]int64)}
 }
 
-// enter counts a connection in. It is surplus when its requests are to be
-// refused, and not admitted when it is to be closed at once.
-func (o *openConns) enter(ip netip.Addr) (surplus, admitted bool) {
+// admit counts a connection. If it is surplus, its requests are to be refused;
+// if it is not admitted, it is to be closed at once.
+func (o *connLimiter) admit(ip netip.Addr) (surplus, admitted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	total, mine := o.total+1, o.byIP[ip]+1
-	if total > o.limit+o.limit/hardShare+1 || mine > o.perIP+o.perIP/hardShare+1 {
-		o.counters.turnedAway.Inc(1)
+	total, fromIP := o.total+1, o.byIP[ip]+1
+	if total > o.limit+o.limit/surplusDivisor+1 || fromIP > o.perIP+o.perIP/surplusDivisor+1 {
+		o.counters.connectionsRejected.Inc(1)
 		return false, false
 	}
-	o.total, o.byIP[ip] = total, mine
-	surplus = total > o.limit || mine > o.perIP
+	o.total, o.byIP[ip] = total, fromIP
+	surplus = total > o.limit || fromIP > o.perIP
 	if surplus {
-		o.counters.surplus.Inc(1)
+		o.counters.surplusConnections.Inc(1)
 	}
 	return surplus, true
 }
 
-func (o *openConns) leave(ip netip.Addr) {
+func (o *connLimiter) release(ip netip.Addr) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.total--
@@ -63,15 +64,15 @@
 	}
 }
 
-func (o *openConns) open() int64 {
+func (o *connLimiter) openCount() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.total
 }
 
-// Listen opens the listener of callers on IP:port. It is plain TCP: Go's
+// Listen opens the listener for callers on IP:port. It uses plain TCP: Go's
 // default, multipath TCP, supports no socket filter, which Drain needs (see
-// refuseNew).
+// dropNewConnections).
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	var c net.ListenConfig
 	c.SetMultipathTCP(false)
@@ -79,25 +80,25 @@
 	return l, oops.In("caller").Wrapf(err, "listen on %s", address)
 }
 
-// listener accepts within the bounds of open.
+// listener accepts connections within the bounds of conns.
 type listener struct {
 	net.Listener
-	open  *openConns
+	conns *connLimiter
 	close func() error
 }
 
-// newListener bounds l. Its Close may be called again: a stop closes the
-// listener itself, and then http.Server.Shutdown does once more unless Serve
-// has returned in between. The error of the second close would turn a clean
-// stop into a failed one.
-func newListener(l net.Listener, open *openConns) *listener {
-	return &listener{Listener: l, open: open, close: sync.OnceValue(l.Close)}
+// newListener bounds l. Its Close may be called more than once: a stop closes
+// the listener, and http.Server.Shutdown closes it again unless Serve has
+// returned in between. An error of the second close would turn a clean stop
+// into a failed one.
+func newListener(l net.Listener, conns *connLimiter) *listener {
+	return &listener{Listener: l, conns: conns, close: sync.OnceValue(l.Close)}
 }
 
-// Close closes the listener; it returns the same each time.
+// Close closes the listener; every call returns the same result.
 func (l *listener) Close() error { return l.close() }
 
-// Accept returns the next connection that is within the hard bounds.
+// Accept returns the next connection that the limiter admits.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -105,13 +106,13 @@
 			return nil, err
 		}
 		ip := remoteIP(c)
-		surplus, admitted := l.open.enter(ip)
+		surplus, admitted := l.conns.admit(ip)
 		if !admitted {
 			_ = c.Close()
 			continue
 		}
-		boundSilence(c)
-		return &callerConn{Conn: c, ip: ip, surplus: surplus, open: l.open}, nil
+		enableKeepAlive(c)
+		return &callerConn{Conn: c, ip: ip, surplus: surplus, conns: l.conns}, nil
 	}
 }
 
@@ -121,13 +122,13 @@
 	callerKeepAlive = 5 * time.Second
 	// callerProbes is how many probes may go unanswered.
 	callerProbes = 3
-	// callerUserTimeout bounds how long an answer may stay unacknowledged.
+	// callerUserTimeout bounds how long a response may stay unacknowledged.
 	callerUserTimeout = 15 * time.Second
 )
 
-// boundSilence lets the kernel find connections whose other end is gone: a
-// request that runs for a caller who vanished holds a slot until then.
-func boundSilence(c net.Conn) {
+// enableKeepAlive lets the kernel detect connections whose peer has
+// disappeared: until then, a request that runs for such a caller holds a slot.
+func enableKeepAlive(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -151,23 +152,23 @@
 	net.Conn
 	ip      netip.Addr
 	surplus bool
-	open    *openConns
+	conns   *connLimiter
 	once    sync.Once
-	// served says that a handler answers, or answered, the request at hand.
-	served atomic.Bool
+	// handlerStarted reports that a handler has taken over the current request.
+	handlerStarted atomic.Bool
 }
 
-// Close counts the connection out.
+// Close releases the connection's place in the limiter and closes it.
 func (c *callerConn) Close() error {
-	c.once.Do(func() { c.open.leave(c.ip) })
+	c.once.Do(func() { c.conns.release(c.ip) })
 	return c.Conn.Close()
 }
 
-// Write adds a verdict to the answers that net/http gives by itself to what it
-// can't read as a request. They are the only ones written before a handler
-// has been called, each in one write.
+// Write adds a verdict to the error responses that net/http writes itself for
+// input that it can't parse as a request. They are the only ones written before
+// a handler was called, each in one write.
 func (c *callerConn) Write(p []byte) (int, error) {
-	if c.served.Load() || !bytes.HasPrefix(p, []byte("HTTP/1.1 ")) {
+	if c.handlerStarted.Load() || !bytes.HasPrefix(p, []byte("HTTP/1.1 ")) {
 		return c.Conn.Write(p)
 	}
 	line, rest, ok := bytes.Cut(p, []byte("\r\n"))
@@ -191,22 +192,22 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// surplus reports a request on a connection beyond the limit.
-func surplus(r *http.Request) bool {
+// isSurplus reports whether the request came on a connection beyond the limit.
+func isSurplus(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(*callerConn)
 	return ok && c.surplus
 }
 
-// markServed notes that a handler has taken over.
-func markServed(r *http.Request) {
+// markHandlerStarted records that a handler has taken over the request.
+func markHandlerStarted(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*callerConn); ok {
-		c.served.Store(true)
+		c.handlerStarted.Store(true)
 	}
 }
 
-// noteState clears the mark between two requests.
-func noteState(c net.Conn, state http.ConnState) {
-	if own, ok := c.(*callerConn); ok && state == http.StateIdle {
-		own.served.Store(false)
+// onConnState clears the mark between two requests.
+func onConnState(c net.Conn, state http.ConnState) {
+	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
+		cc.handlerStarted.Store(false)
 	}
 }
--- a/internal/caller/listen_test.go
+++ b/internal/caller/listen_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a planned stop exits 1, now and then. Sequence: Drain closes the
-// listener, and http.Server.Shutdown closes it again before Serve has returned.
-// Cause: the second close of a listener is an error.
-func TestListenerMayBeClosedTwice(t *testing.T) {
+// Drain closes the listener, and http.Server.Shutdown closes it again before
+// Serve has returned. The second close of a net.Listener is an error, which made
+// planned stops exit with 1 now and then.
+func TestListenerClosesTwice(t *testing.T) {
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/caller/late.go
+++ b/internal/caller/lookup.go
@@ -14,15 +14,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// maxConfirms bounds the reads that ask the leader at one time.
-const maxConfirms = 16
+// maxConcurrentConfirms bounds the concurrent confirmations by the leader.
+const maxConcurrentConfirms = 16
 
-// confirm waits until this VM has applied what was committed before, so that
-// "not found" is not just "not heard of yet".
+// confirm waits until this VM has applied everything that was committed before,
+// so that "not found" does not merely mean "not yet applied here".
 func (s *Server) confirm(ctx context.Context) *failure {
 	select {
-	case s.confirms <- struct{}{}:
-		defer func() { <-s.confirms }()
+	case s.confirmSlots <- struct{}{}:
+		defer func() { <-s.confirmSlots }()
 	default:
 		return overloaded("too many look-ups ask the leader", 0)
 	}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// getRequest serves GET /requests/:key, the late answer.
+// getRequest serves GET /requests/:key, which returns the stored response.
 func (s *Server) getRequest(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string) {
 	key, ok := validKey(p.ByName("key"))
 	if !ok {
@@ -50,34 +50,34 @@
 		claim = s.Log.Claim(key)
 	}
 	if claim == nil {
-		// The request may still wait for its slot at another entry VM and
-		// be claimed later, or its claim may have been forgotten, so that
-		// nothing can be promised.
+		// The request may still wait for a slot at another entry VM and be
+		// claimed later, or its claim may have been forgotten, so no verdict
+		// but may-have-run is certain.
 		s.writeFailure(w, id, &failure{status: http.StatusNotFound, verdict: model.MayHaveRun, message: "no request with this key is known"})
 		return
 	}
-	s.answerFromClaim(w, r, id, claim, nil)
+	s.respondFromClaim(w, r, id, claim, nil)
 }
 
-// answerFromClaim answers a resend, and GET /requests/:key, from the claim.
-// digest is nil when the asker sent no request to compare.
-func (s *Server) answerFromClaim(w http.ResponseWriter, r *http.Request, id string, c *model.Claim, digest []byte) {
-	s.counters.replayed.Inc(1)
+// respondFromClaim responds to a resend, or to GET /requests/:key, from the
+// claim. digest is nil if there is no request to compare with the claim.
+func (s *Server) respondFromClaim(w http.ResponseWriter, r *http.Request, id string, c *model.Claim, digest []byte) {
+	s.counters.claimsFound.Inc(1)
 	if digest != nil && !bytes.Equal(digest, c.Digest) {
 		s.writeFailure(w, id, refuseKey(http.StatusUnprocessableEntity, "the key was used for another request"))
 		return
 	}
 	if c.State == model.ClaimRunning && c.Owner == s.Self {
-		c = s.awaitRecord(r.Context(), c)
+		c = s.awaitOutcome(r.Context(), c)
 	}
-	if c.State == model.ClaimRunning && s.ownerLost(c) {
+	if c.State == model.ClaimRunning && s.ownerOverdue(c) {
 		c = s.takeOver(r.Context(), c)
 	}
 	switch {
 	case c.State == model.ClaimRunning:
-		s.writeFailure(w, id, stillRunning(digest != nil))
+		s.writeFailure(w, id, stillRunningFailure(digest != nil))
 	case reclaimable(c):
-		s.writeFailure(w, id, wasNotRun(digest != nil))
+		s.writeFailure(w, id, notRunFailure(digest != nil))
 	case c.State == model.ClaimUnknown || c.Answer == nil:
 		s.writeFailure(w, id, &failure{status: http.StatusConflict, verdict: model.MayHaveRun,
 			message: "the outcome of the request is unknown, and it will not be run again"})
@@ -85,17 +85,18 @@
 		s.writeFailure(w, id, &failure{status: http.StatusGone, verdict: model.Ran,
 			message: fmt.Sprintf("the request ran with status %d; its answer was not kept", c.Answer.Status)})
 	default:
-		s.writeKept(w, r, id, c.Answer)
+		s.writeStoredResponse(w, r, id, c.Answer)
 	}
 }
 
-// awaitRecord returns the claim once an outcome that is known here is recorded.
-func (s *Server) awaitRecord(ctx context.Context, c *model.Claim) *model.Claim {
+// awaitOutcome waits for an outcome of this process that is not yet recorded,
+// and returns the claim as it is then.
+func (s *Server) awaitOutcome(ctx context.Context, c *model.Claim) *model.Claim {
 	ctx, cancel := context.WithTimeout(ctx, s.limits.ClaimTimeout)
 	defer cancel()
-	s.settling.wait(ctx, c.Key)
-	if now := s.Log.Claim(c.Key); now != nil {
-		return now
+	s.pending.wait(ctx, c.Key)
+	if current := s.Log.Claim(c.Key); current != nil {
+		return current
 	}
 	return c
 }
@@ -106,7 +107,7 @@
 	return f
 }
 
-func stillRunning(resend bool) *failure {
+func stillRunningFailure(resend bool) *failure {
 	f := &failure{status: http.StatusAccepted, verdict: model.MayHaveRun, message: "the request is still running", retryAfter: time.Second}
 	if resend {
 		f.status = http.StatusConflict
@@ -114,44 +115,44 @@
 	return f
 }
 
-func wasNotRun(resend bool) *failure {
+func notRunFailure(resend bool) *failure {
 	if resend {
-		return overloaded(noRun, time.Second)
+		return overloaded(messageNotRun, time.Second)
 	}
-	return refuse(http.StatusNotFound, noRun)
+	return refuse(http.StatusNotFound, messageNotRun)
 }
 
-const noRun = "the request was not run; it may be sent again under its key"
+const messageNotRun = "the request was not run; it may be sent again under its key"
 
-func (s *Server) writeKept(w http.ResponseWriter, r *http.Request, id string, k *model.KeptAnswer) {
+func (s *Server) writeStoredResponse(w http.ResponseWriter, r *http.Request, id string, k *model.KeptAnswer) {
 	header := http.Header{}
 	if k.ContentType != "" {
 		header.Set("Content-Type", k.ContentType)
 	}
 	w.Header().Set(headerKept, "true")
-	s.writeAnswer(w, r, id, &answer{status: k.Status, header: header, body: k.Body, length: int64(len(k.Body)), done: func(bool) {}})
+	s.writeResponse(w, r, id, &response{status: k.Status, header: header, body: k.Body, contentLength: int64(len(k.Body)), onEnd: func(bool) {}})
 }
 
-// ownerLost reports a claim whose owner should have settled it by now.
-func (s *Server) ownerLost(c *model.Claim) bool {
+// ownerOverdue reports whether the owner should have settled the claim by now.
+func (s *Server) ownerOverdue(c *model.Claim) bool {
 	return s.Now().After(c.Deadline.Time().Add(s.limits.OwnerGrace))
 }
 
 // takeOver ends a claim whose owner was lost as unknown and returns the claim
-// as it is then. On an error the claim is still taken to run.
+// as it is then. On an error it returns c, which is still running.
 func (s *Server) takeOver(ctx context.Context, c *model.Claim) *model.Claim {
 	ctx, cancel := context.WithTimeout(ctx, s.limits.ClaimTimeout)
 	defer cancel()
-	out := settlement{key: c.Key, incarnation: c.Incarnation, state: model.ClaimUnknown, verdict: model.MayHaveRun}
+	out := claimOutcome{key: c.Key, incarnation: c.Incarnation, state: model.ClaimUnknown, verdict: model.MayHaveRun}
 	command := s.settleCommand(out, true)
 	command.SettleRequest.Owner = c.Owner
 	command.Cause = "the owner did not record an outcome before the deadline"
 	if _, err := s.Log.Propose(ctx, command); err != nil && !errors.Is(err, state.ErrOutcomeUnknown) {
 		return c
 	}
-	s.counters.takeovers.Inc(1)
-	if now := s.Log.Claim(c.Key); now != nil {
-		return now
+	s.counters.claimsTakenOver.Inc(1)
+	if current := s.Log.Claim(c.Key); current != nil {
+		return current
 	}
 	return c
 }
--- a/internal/caller/manifest_test.go
+++ b/internal/caller/manifest_test.go
@@ -14,21 +14,21 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// revise accepts the next revision of the site, changed, and waits until the
-// entry VMs serve by it.
-func (w *world) revise(t *testing.T, change func(*model.Site)) {
+// applyManifest applies the next revision of the site with a change, and waits
+// until the entry VMs use it.
+func (cl *cluster) applyManifest(t *testing.T, change func(*model.Site)) {
 	t.Helper()
 	site := testSite()
-	site.Revision = w.log.View().Site.Revision + 1
+	site.Revision = cl.log.View().Site.Revision + 1
 	change(site)
 	text := []byte(site.Name + string(rune('0'+site.Revision)))
 	digest := sha256.Sum256(text)
-	_, err := w.log.Propose(context.Background(), state.Command{ID: model.CommandID(text), ApplyManifest: &state.ApplyManifest{
+	_, err := cl.log.Propose(context.Background(), state.Command{ID: model.CommandID(text), ApplyManifest: &state.ApplyManifest{
 		Revision: site.Revision, Digest: hex.EncodeToString(digest[:]), Text: text, Site: site,
 	}})
 	must(t, err)
 	eventually(t, "the manifest is in force", func() bool {
-		for _, e := range w.entries {
+		for _, e := range cl.entries {
 			if e.server.currentSite().Revision != site.Revision {
 				return false
 			}
@@ -37,12 +37,11 @@
 	})
 }
 
-// Symptom: a caller who sends a request again is told that it was not run, or
-// it runs a second time, though it ran.
-// Sequence: a keyed request ran and its answer was lost; a manifest drops its
-// service or its team, or marks its route as idempotent; the caller resends.
-// Cause: the manifest is looked at before the claim of the key.
-func TestResendAfterTheManifestChanged(t *testing.T) {
+// A keyed request ran and its response was lost; a manifest then drops its
+// service or its team, or marks its route as idempotent, and the caller resends.
+// If the manifest were checked before the claim of the key, the caller would get
+// not-run, or the request would run a second time.
+func TestResendAfterManifestChange(t *testing.T) {
 	for name, change := range map[string]func(*model.Site){
 		"service removed": func(m *model.Site) { m.Services = nil },
 		"service renamed": func(m *model.Site) { m.Services[0].ID = "plans" },
@@ -55,49 +54,48 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1, 2, Limits{})
+			cl := newCluster(t, 1, 2, Limits{})
 			headers := []string{"Idempotency-Key: k", "Comfreyloom-Team: planners"}
-			first, err := w.entries[0].call("POST", "/s/drafts/plan", "grain", headers...)
+			first, err := cl.entries[0].call("POST", "/s/drafts/plan", "grain", headers...)
 			is.NoErr(err)
 			is.Equal(first.verdict, "ran")
-			eventually(t, "the answer is kept", func() bool { c := w.log.Claim("k"); return c != nil && c.Answer != nil })
-			w.revise(t, change)
-			for _, e := range w.entries {
+			eventually(t, "the response is stored", func() bool { c := cl.log.Claim("k"); return c != nil && c.Answer != nil })
+			cl.applyManifest(t, change)
+			for _, e := range cl.entries {
 				again, err := e.call("POST", "/s/drafts/plan", "grain", headers...)
 				is.NoErr(err)
 				is.Equal(again.verdict, "ran")
 				is.Equal(again.body, first.body)
 			}
-			is.Equal(w.runs("k"), 1)
+			is.Equal(cl.runs("k"), 1)
 		})
 	}
 }
 
-// Symptom: a caller is told that a job was not run, though it ran.
-// Sequence: a job is accepted and the answer lost; a manifest drops its pool or
-// team; the caller sends the job again.
-// Cause: the manifest is looked at before the job's ID.
-func TestJobResentAfterTheManifestChanged(t *testing.T) {
+// A job is accepted and the response lost; a manifest then drops its pool or
+// team, and the caller submits the job again. If the manifest were checked
+// before the job's ID, the caller would get not-run, although the job ran.
+func TestJobResendAfterManifestChange(t *testing.T) {
 	for name, change := range map[string]func(*model.Site){
 		"pool": func(m *model.Site) { m.Pools[0].ID = "other" },
 		"team": func(m *model.Site) { m.Teams = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 0, 2, Limits{})
-			_, err := w.entries[0].call("POST", "/jobs", goodJob)
+			cl := newCluster(t, 0, 2, Limits{})
+			_, err := cl.entries[0].call("POST", "/jobs", goodJob)
 			is.NoErr(err)
-			w.revise(t, change)
-			again, err := w.entries[1].call("POST", "/jobs", goodJob)
+			cl.applyManifest(t, change)
+			again, err := cl.entries[1].call("POST", "/jobs", goodJob)
 			is.NoErr(err)
 			is.Equal(again.status, 202)
 			is.Equal(again.verdict, "ran")
-			fresh, err := w.entries[1].call("POST", "/jobs", strings.Replace(goodJob, "j1", "j2", 1))
+			fresh, err := cl.entries[1].call("POST", "/jobs", strings.Replace(goodJob, "j1", "j2", 1))
 			is.NoErr(err)
 			is.Equal(fresh.status, 400)
 			is.Equal(fresh.verdict, "not-run")
 			is.True(strings.Contains(fresh.body, name+": allowed are"))
-			unknown, err := w.entries[1].call("GET", "/jobs/j2", "")
+			unknown, err := cl.entries[1].call("GET", "/jobs/j2", "")
 			is.NoErr(err)
 			is.Equal(unknown.status, 404)
 		})
--- a/internal/caller/ready.go
+++ b/internal/caller/ready.go
@@ -8,11 +8,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Condition is something that must hold before the balancer sends callers here.
+// Condition must hold before the load balancer sends callers to this VM.
 type Condition struct {
-	// Name is for the answer of /readyz.
+	// Name is the condition's key in the response of /readyz.
 	Name string
-	// Check returns nil when the condition holds. It must not block.
+	// Check returns nil if the condition holds. It must not block.
 	Check func() error
 }
 
@@ -26,7 +26,7 @@
 // readiness is the body of /readyz.
 type readiness struct {
 	Ready bool `json:"ready"`
-	// Failing has the reason of each condition that does not hold.
+	// Failing maps each condition that does not hold to the reason.
 	Failing map[string]string `json:"failing,omitempty"`
 }
 
--- a/internal/caller/refuse_linux.go
+++ b/internal/caller/refuse_linux.go
@@ -5,11 +5,12 @@
 	"syscall"
 )
 
-// refuseNew makes a listener drop the first packet of new connections, so
-// that those which the kernel has established already can be accepted before
-// the listener is closed. Closing it resets whatever still waits in its queue:
-// a caller whose request was already on its way would see its connection cut.
-func refuseNew(l net.Listener) error {
+// dropNewConnections makes a listener drop the first packet of new connections,
+// so that connections which the kernel has already established can be accepted
+// before the listener is closed. Closing it resets whatever is still in its
+// accept queue: the connection of a caller who has already sent a request would
+// be cut.
+func dropNewConnections(l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return nil
@@ -23,8 +24,8 @@
 		flagSYN     = 0x02
 		keepAll     = 0xffff
 	)
-	// The deprecated calls stand in for golang.org/x/net/bpf, which would be a
-	// library for four instructions.
+	// The deprecated calls avoid a dependency on golang.org/x/net/bpf for four
+	// instructions.
 	filter := []syscall.SockFilter{
 		*syscall.LsfStmt(syscall.BPF_LD|syscall.BPF_B|syscall.BPF_ABS, flagsOffset),     //lint:ignore SA1019 as above
 		*syscall.LsfJump(syscall.BPF_JMP|syscall.BPF_JSET|syscall.BPF_K, flagSYN, 0, 1), //lint:ignore SA1019 as above
--- a/internal/caller/refuse_other.go
+++ b/internal/caller/refuse_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// refuseNew does nothing where a listener can't be told to finish its queue.
-func refuseNew(net.Listener) error { return nil }
+// dropNewConnections does nothing on systems other than Linux.
+func dropNewConnections(net.Listener) error { return nil }
--- a/internal/caller/route.go
+++ b/internal/caller/route.go
@@ -23,7 +23,7 @@
 	return &site.Services[i]
 }
 
-// splitPath cuts "/s/:service" off the path as the caller wrote it, so that
+// splitPath removes "/s/:service" from the path as the caller wrote it, so that
 // escapes in the rest reach the upstream unchanged.
 func splitPath(u *url.URL) (model.ServiceID, url.URL, *failure) {
 	escaped := strings.TrimPrefix(u.EscapedPath(), servicePrefix)
@@ -40,8 +40,9 @@
 	return model.ServiceID(service), url.URL{Path: decoded, RawPath: rest, RawQuery: u.RawQuery}, nil
 }
 
-// hasDotSegment finds "." and ".." segments. An upstream would resolve them
-// and so run another path than the one whose route decided on idempotence.
+// hasDotSegment reports whether the path has "." or ".." segments. An upstream
+// would resolve them, and so run another path than the one whose route decided
+// on idempotence.
 func hasDotSegment(decoded string) bool {
 	for segment := range strings.SplitSeq(decoded, "/") {
 		if segment == "." || segment == ".." {
@@ -51,10 +52,10 @@
 	return false
 }
 
-// idempotent decides by method, then route, then header. The header may mark
-// any request as non-idempotent; it can't lift the mark which a route of the
-// manifest puts on a request.
-func idempotent(method, decodedPath string, routes []model.Route, header *bool) bool {
+// isIdempotent decides by method, then by route, then by header. The header may
+// mark any request as non-idempotent; it can't override a route of the manifest
+// that marks a request as non-idempotent.
+func isIdempotent(method, decodedPath string, routes []model.Route, header *bool) bool {
 	decided := methodIdempotent(method)
 	marked := false
 	if r := matchRoute(method, decodedPath, routes); r != nil {
@@ -77,8 +78,8 @@
 	}
 }
 
-// matchRoute returns the first route whose method fits and whose prefix ends
-// at a segment of the path.
+// matchRoute returns the first route that has the method and whose prefix
+// matches whole segments of the path.
 func matchRoute(method, decodedPath string, routes []model.Route) *model.Route {
 	clean := path.Clean(decodedPath)
 	for i := range routes {
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -10,39 +10,41 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots"
 )
 
-// tryHistory is what the tries of one request came to so far.
-type tryHistory struct {
-	tries int
-	// last is the instance of the last try; empty before the first.
-	last model.InstanceID
-	// verdict is that over all tries.
+// attemptHistory is the result of a request's attempts so far.
+type attemptHistory struct {
+	attempts int
+	// lastInstance is the instance of the last attempt; empty before the first.
+	lastInstance model.InstanceID
+	// verdict is the verdict over all attempts.
 	verdict model.Verdict
-	// fallback is an answer with a server error that another try may better.
-	fallback *answer
-	// silent says that a try met silence: the next one goes out on a new
-	// connection, since other used ones may be silent too.
-	silent bool
+	// fallback is a response with a server error, used if the retry is no
+	// better.
+	fallback *response
+	// unresponsive reports that an attempt met an unresponsive connection: the
+	// next one uses a new connection, since other used ones may be unresponsive
+	// too.
+	unresponsive bool
 }
 
-// run tries a request until it is answered or given up. Its failure carries
-// the verdict over all tries, not that of the last one.
-func (s *Server) run(ctx context.Context, q *request) (*answer, *failure) {
-	s.budgets.of(q.service.ID).pay()
-	t := &tryHistory{}
+// run attempts a request until it gets a response or no retry is allowed. The
+// failure carries the verdict over all attempts, not that of the last one.
+func (s *Server) run(ctx context.Context, q *request) (*response, *failure) {
+	s.budgets.forService(q.service.ID).deposit()
+	t := &attemptHistory{}
 	for {
-		a, f := s.once(ctx, q, t)
-		if f != nil && !s.mayRetry(ctx, q, f, t) {
-			return s.giveUp(q, t, f)
+		resp, f := s.attemptOnce(ctx, q, t)
+		if f != nil && !s.shouldRetryFailure(ctx, q, f, t) {
+			return s.finalResult(q, t, f)
 		}
-		if f == nil && !s.mayImprove(ctx, q, a, t) {
+		if f == nil && !s.shouldRetryServerError(ctx, q, resp, t) {
 			t.dropFallback()
-			return a, nil
+			return resp, nil
 		}
 	}
 }
 
-// giveUp ends a request without a further try.
-func (s *Server) giveUp(q *request, t *tryHistory, f *failure) (*answer, *failure) {
+// finalResult returns the result of a request without a further attempt.
+func (s *Server) finalResult(q *request, t *attemptHistory, f *failure) (*response, *failure) {
 	if t.fallback != nil {
 		return t.fallback, nil
 	}
@@ -51,15 +53,16 @@
 	return nil, f
 }
 
-func (t *tryHistory) dropFallback() {
+func (t *attemptHistory) dropFallback() {
 	if t.fallback != nil {
-		t.fallback.done(true)
+		t.fallback.onEnd(true)
 	}
 }
 
-// once makes one try. Its failure has no verdict over the earlier ones.
-func (s *Server) once(ctx context.Context, q *request, t *tryHistory) (*answer, *failure) {
-	grant, f := s.acquire(ctx, q, t.last)
+// attemptOnce makes one attempt. The verdict of its failure does not cover the
+// earlier attempts.
+func (s *Server) attemptOnce(ctx context.Context, q *request, t *attemptHistory) (*response, *failure) {
+	grant, f := s.acquire(ctx, q, t.lastInstance)
 	if f != nil {
 		f.final = true
 		return nil, f
@@ -71,14 +74,14 @@
 			return nil, f
 		}
 	}
-	s.checkSingle(q, t)
-	t.tries++
-	t.last = grant.Upstream.Instance
-	a, f := s.attempt(ctx, q, t, grant)
+	s.checkSentOnce(q, t)
+	t.attempts++
+	t.lastInstance = grant.Upstream.Instance
+	resp, f := s.sendAttempt(ctx, q, t, grant)
 	if f != nil {
 		t.verdict = max(t.verdict, f.verdict)
 	}
-	return a, f
+	return resp, f
 }
 
 // acquire waits for a slot. All its failures are not-run.
@@ -91,7 +94,7 @@
 		Avoid:    avoid,
 	})
 	if err != nil {
-		return nil, notAcquired(err)
+		return nil, acquireFailure(err)
 	}
 	if avoid != "" && grant.Upstream.Instance == avoid {
 		grant.Release(slots.Abandoned)
@@ -100,7 +103,7 @@
 	return grant, nil
 }
 
-func notAcquired(err error) *failure {
+func acquireFailure(err error) *failure {
 	var rejection *slots.Rejection
 	switch {
 	case errors.As(err, &rejection) && rejection.Unknown:
@@ -109,38 +112,39 @@
 		return overloaded(rejection.Reason, rejection.RetryAfter)
 	case errors.Is(err, context.Canceled):
 		f := overloaded("the caller went away", 0)
-		f.gone = true
+		f.callerGone = true
 		return f
 	default:
 		return overloaded("no slot became free in time", time.Second)
 	}
 }
 
-// mayRetry decides whether a failed try may be followed by another: only if
-// a second run does no harm, another instance may do better, and the caller
-// still waits.
-func (s *Server) mayRetry(ctx context.Context, q *request, f *failure, t *tryHistory) bool {
+// shouldRetryFailure reports whether a failed attempt is to be retried: only if
+// a second run does no harm, another instance may succeed, and the caller still
+// waits. It charges the retry to the budget.
+func (s *Server) shouldRetryFailure(ctx context.Context, q *request, f *failure, t *attemptHistory) bool {
 	harmless := q.idempotent || t.verdict == model.NotRun
-	if f.final || f.gone || !harmless || !q.body.resendable() {
+	if f.final || f.callerGone || !harmless || !q.body.resendable() {
 		return false
 	}
-	return s.mayTryAgain(ctx, q, t)
+	return s.reserveRetry(ctx, q, t)
 }
 
-// mayImprove keeps a server error for the case that no other try does better,
-// and reports whether to try. It does so once for a request.
-func (s *Server) mayImprove(ctx context.Context, q *request, a *answer, t *tryHistory) bool {
-	if !q.idempotent || a.stream != nil || t.fallback != nil || !serverError(a.status) {
+// shouldRetryServerError reports whether to retry after a response with a server
+// error, which it keeps as the fallback. It does so once per request, and
+// charges the retry to the budget.
+func (s *Server) shouldRetryServerError(ctx context.Context, q *request, resp *response, t *attemptHistory) bool {
+	if !q.idempotent || resp.stream != nil || t.fallback != nil || !isServerError(resp.status) {
 		return false
 	}
-	if !q.body.resendable() || !s.mayTryAgain(ctx, q, t) {
+	if !q.body.resendable() || !s.reserveRetry(ctx, q, t) {
 		return false
 	}
-	t.fallback = a
+	t.fallback = resp
 	return true
 }
 
-func serverError(status int) bool {
+func isServerError(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -149,20 +153,21 @@
 	}
 }
 
-// mayTryAgain checks what bounds every retry and charges the budget.
-func (s *Server) mayTryAgain(ctx context.Context, q *request, t *tryHistory) bool {
-	if ctx.Err() != nil || t.tries >= s.limits.Attempts {
+// reserveRetry checks the bounds that apply to every retry and charges the
+// budget, unless the retry is prepaid.
+func (s *Server) reserveRetry(ctx context.Context, q *request, t *attemptHistory) bool {
+	if ctx.Err() != nil || t.attempts >= s.limits.Attempts {
 		return false
 	}
-	if q.prepaid.Swap(false) {
+	if q.retryPrepaid.Swap(false) {
 		return true
 	}
 	return s.chargeRetry(q)
 }
 
 func (s *Server) chargeRetry(q *request) bool {
-	if !s.budgets.of(q.service.ID).take() {
-		s.counters.noBudget.Inc(1)
+	if !s.budgets.forService(q.service.ID).tryWithdraw() {
+		s.counters.retriesOverBudget.Inc(1)
 		return false
 	}
 	s.counters.retries.Inc(1)
--- a/internal/caller/serve.go
+++ b/internal/caller/serve.go
@@ -17,44 +17,44 @@
 )
 
 const (
-	// defaultLinger is how long, after the listener is closed, the
-	// connections that callers keep open are still served.
+	// defaultLinger is how long callers' open connections are still served after
+	// the listener is closed.
 	defaultLinger = time.Second
-	// lingerPause is how often open connections are looked at meanwhile.
-	lingerPause = 10 * time.Millisecond
-	// acceptPause lets connections that are being made be accepted, after no
-	// new ones are let in and before the listener is closed.
-	acceptPause = 50 * time.Millisecond
+	// lingerPollInterval is how often the open connections are counted meanwhile.
+	lingerPollInterval = 10 * time.Millisecond
+	// acceptDrainDelay is how long connections that are being established are
+	// still accepted after new ones are dropped and before the listener closes.
+	acceptDrainDelay = 50 * time.Millisecond
 )
 
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{
-		Handler:           s.guarded(s.routes()),
+		Handler:           s.wrapHandler(s.routes()),
 		ReadHeaderTimeout: s.limits.HeaderTimeout,
 		IdleTimeout:       s.limits.IdleTimeout,
 		MaxHeaderBytes:    s.limits.MaxHeaderBytes,
 		ConnContext:       withConn,
-		ConnState:         noteState,
-		ErrorLog:          golog.New(serverErrors{s}, "", 0),
+		ConnState:         onConnState,
+		ErrorLog:          golog.New(errorLogWriter{s}, "", 0),
 	}
 }
 
-// serverErrors counts what net/http would write to its log.
-type serverErrors struct{ s *Server }
+// errorLogWriter counts what net/http would write to its log.
+type errorLogWriter struct{ s *Server }
 
-// Write counts one message.
-func (e serverErrors) Write(p []byte) (int, error) {
+// Write counts one message and logs it.
+func (e errorLogWriter) Write(p []byte) (int, error) {
 	e.s.counters.serverErrors.Inc(1)
 	e.s.Logger.Debugf("callers: %s", bytes.TrimSpace(p))
 	return len(p), nil
 }
 
-// guarded surrounds every handler: it notes on the connection that a handler
-// has taken over, bounds the arrival of a body even if nobody reads it, and
-// turns a panic into a cut connection, which promises nothing.
-func (s *Server) guarded(next http.Handler) http.Handler {
+// wrapHandler wraps all routes: it records on the connection that a handler has
+// started, bounds the arrival of a body even if no handler reads it, and turns a
+// panic into a cut connection, which carries no verdict.
+func (s *Server) wrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		markServed(r)
+		markHandlerStarted(r)
 		if r.ContentLength != 0 {
 			setReadDeadline(w, time.Now().Add(s.limits.BodyTimeout))
 		}
@@ -77,7 +77,7 @@
 
 // Serve accepts callers on l until Drain; it returns nil after a drain.
 func (s *Server) Serve(l net.Listener) error {
-	bounded := newListener(l, s.open)
+	bounded := newListener(l, s.conns)
 	s.mu.Lock()
 	s.listeners = append(s.listeners, bounded)
 	s.mu.Unlock()
@@ -85,23 +85,25 @@
 	if errors.Is(err, http.ErrServerClosed) || s.draining.Load() && errors.Is(err, net.ErrClosed) {
 		return nil
 	}
-	return oops.In("caller").Wrapf(err, "listener of callers")
+	return oops.In("caller").Wrapf(err, "serve callers")
 }
 
-// Run runs the duties that record outcomes and cancel jobs until ctx ends.
-// It must outlive Drain, which waits for what they still have to do.
+// Run runs the background tasks that record outcomes and cancel jobs until ctx
+// ends. It must outlive Drain, which waits for the outcomes that are still to be
+// recorded.
 func (s *Server) Run(ctx context.Context) {
-	var duties conc.WaitGroup
-	for range settleWorkers {
-		duties.Go(func() { s.runSettle(ctx) })
+	var tasks conc.WaitGroup
+	for range outcomeRecorders {
+		tasks.Go(func() { s.runOutcomeRecorder(ctx) })
 	}
-	duties.Go(func() { s.runCancel(ctx) })
-	duties.Wait()
+	tasks.Go(func() { s.runCancellations(ctx) })
+	tasks.Wait()
 }
 
-// Drain stops gracefully: readiness goes off and each answer asks its caller
-// to close the connection; after BalancerDelay no more is accepted; then every
-// request in progress ends by itself. It returns an error if ctx ends first.
+// Drain stops gracefully: readiness turns off, and each response asks its caller
+// to close the connection; after BalancerDelay no more connections are accepted;
+// then every request in progress runs to its end. It returns an error if ctx
+// ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.Logger.Info("callers: draining")
@@ -109,52 +111,53 @@
 	s.closeListeners(ctx)
 	s.linger(ctx)
 	if err := s.http.Shutdown(ctx); err != nil {
-		return oops.In("caller").Wrapf(err, "requests were still in progress")
+		return oops.In("caller").Wrapf(err, "requests still in progress")
 	}
-	return s.waitSettled(ctx)
+	return s.waitOutcomesRecorded(ctx)
 }
 
-// closeListeners lets no new connection in, accepts those that were made
-// already, and closes.
+// closeListeners drops new connections, accepts those that are already
+// established, and closes the listeners.
 func (s *Server) closeListeners(ctx context.Context) {
 	s.mu.Lock()
 	listeners := s.listeners
 	s.mu.Unlock()
 	for _, l := range listeners {
-		if err := refuseNew(l.Listener); err != nil {
-			s.Logger.WithError(err).Warn("callers: connections being made may be reset")
+		if err := dropNewConnections(l.Listener); err != nil {
+			s.Logger.WithError(err).Warn("callers: connections that are being established may be reset")
 		}
 	}
-	steady.Pause(ctx, acceptPause)
+	steady.Pause(ctx, acceptDrainDelay)
 	for _, l := range listeners {
 		_ = l.Close()
 	}
 }
 
-// linger serves on the open connections for a while. Shutdown closes the idle
-// ones at once, and a request that is just arriving on one would be cut.
+// linger serves open connections for a while. Shutdown closes idle ones at once,
+// and a request that is just arriving on one would be cut.
 func (s *Server) linger(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.Linger)
 	defer cancel()
-	for s.open.open() > 0 && ctx.Err() == nil {
-		steady.Pause(ctx, lingerPause)
+	for s.conns.openCount() > 0 && ctx.Err() == nil {
+		steady.Pause(ctx, lingerPollInterval)
 	}
 }
 
-// waitSettled waits until the outcome of every claim of ours is recorded.
-func (s *Server) waitSettled(ctx context.Context) error {
+// waitOutcomesRecorded waits until the outcomes of all claims of this process
+// are recorded.
+func (s *Server) waitOutcomesRecorded(ctx context.Context) error {
 	settled := make(chan struct{})
 	go func() {
-		s.unsettled.Wait()
+		s.unrecorded.Wait()
 		close(settled)
 	}()
 	select {
 	case <-settled:
 		return nil
 	case <-ctx.Done():
-		return oops.In("caller").Wrapf(ctx.Err(), "outcomes were still to be recorded")
+		return oops.In("caller").Wrapf(ctx.Err(), "claim outcomes not yet recorded")
 	}
 }
 
-// Close ends every connection at once; for tests and a second signal.
+// Close closes every connection at once; for tests and for a second signal.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -19,12 +19,12 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// Sender sends one request to one upstream; *upstream.Transport is one.
+// Sender sends one request to one upstream; *upstream.Transport implements it.
 type Sender interface {
 	Send(ctx context.Context, u model.Upstream, r *upstream.Request) (*http.Response, upstream.SentState, error)
 }
 
-// Config is what a Server works with.
+// Config holds the dependencies and options of a Server.
 type Config struct {
 	// Self names this entry VM as the owner of claims.
 	Self   model.NodeID
@@ -32,55 +32,57 @@
 	Broker slots.Broker
 	Sender Sender
 	Limits Limits
-	// BalancerDelay is how long a stop goes on accepting after readiness is
-	// off, so that the balancer sees it first.
+	// BalancerDelay is how long connections are still accepted after readiness
+	// turned off, so that the load balancer notices it first.
 	BalancerDelay time.Duration
-	// Linger is how long, after that, connections which callers keep open
-	// are still served; one second when 0.
+	// Linger is how long, after that, callers' open connections are still
+	// served; 0 means one second.
 	Linger time.Duration
-	// Now is the wall clock; time.Now when nil.
+	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
-	// BrokerNow is the clock by which Broker reads deadlines; slots.Clock when
-	// nil. It is not the wall clock: when that is set back or forward, every
-	// ask would look expired, or none.
+	// BrokerNow is the clock on which Broker reads deadlines; nil means
+	// slots.Clock. It is not the wall clock: if that one were set back or
+	// forward, all deadlines would look expired, or none.
 	BrokerNow func() model.Instant
-	// Metrics takes the counters; the default registry when nil.
+	// Metrics registers the counters; nil means the default registry.
 	Metrics metrics.Registry
-	// Logger takes changes of state; the default logger when nil.
+	// Logger logs state changes and faults; nil means the default logger.
 	Logger log.Interface
 }
 
-// Server serves callers on one listener.
+// Server serves callers.
 type Server struct {
 	Config
-	limits   Limits
-	http     *http.Server
-	counters *counters
-	budgets  retryBudgets
-	latency  latencies
-	buffers  byteBudget
-	breaker  claimBreaker
-	active   atomic.Int64
-	site     siteCache
-	confirms chan struct{}
+	limits       Limits
+	http         *http.Server
+	counters     *counters
+	budgets      retryBudgets
+	latency      latencyEstimators
+	buffers      byteBudget
+	breaker      claimBreaker
+	active       atomic.Int64
+	site         siteCache
+	confirmSlots chan struct{}
 
 	draining atomic.Bool
-	// settles and cancels join request handlers with the duties of Run.
-	settles *ring.Ring[settlement]
-	cancels *ring.Ring[cancellation]
-	// unsettled counts claims of this process whose outcome is not yet in
-	// the control log.
-	unsettled sync.WaitGroup
-	settling  settling
+	// outcomeQueue and cancelQueue pass work from request handlers to the tasks
+	// of Run.
+	outcomeQueue *ring.Ring[claimOutcome]
+	cancelQueue  *ring.Ring[cancellation]
+	// unrecorded counts claims of this process whose outcome is not yet in the
+	// control log.
+	unrecorded sync.WaitGroup
+	pending    pendingOutcomes
 
 	mu         sync.Mutex
 	conditions []Condition
-	open       *openConns
-	broken     []string
+	conns      *connLimiter
+	violations []string
 	listeners  []*listener
 }
 
-// New returns a server; Run must run for claims and cancellations to end.
+// New returns a server. Outcomes and cancellations are only processed while Run
+// is running.
 func New(c Config) *Server {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -96,20 +98,20 @@
 	}
 	setDefault(&c.Linger, defaultLinger)
 	s := &Server{
-		Config:   c,
-		limits:   c.Limits.withDefaults(),
-		counters: newCounters(c.Metrics),
-		confirms: make(chan struct{}, maxConfirms),
-		settles:  ring.New[settlement](settleRing),
-		cancels:  ring.New[cancellation](cancelRing),
+		Config:       c,
+		limits:       c.Limits.withDefaults(),
+		counters:     newCounters(c.Metrics),
+		confirmSlots: make(chan struct{}, maxConcurrentConfirms),
+		outcomeQueue: ring.New[claimOutcome](outcomeQueueSize),
+		cancelQueue:  ring.New[cancellation](cancelQueueSize),
 	}
 	s.buffers.limit = s.limits.BufferedBytes
-	s.open = newOpenConns(s.limits.Connections, s.limits.ConnectionsPerIP, s.counters)
+	s.conns = newConnLimiter(s.limits.Connections, s.limits.ConnectionsPerIP, s.counters)
 	s.http = s.newHTTPServer()
 	return s
 }
 
-// Handler returns the routes without a listener.
+// Handler returns the HTTP handler, for use without a listener.
 func (s *Server) Handler() http.Handler { return s.http.Handler }
 
 func (s *Server) routes() http.Handler {
@@ -117,43 +119,43 @@
 	router.RedirectTrailingSlash = false
 	router.RedirectFixedPath = false
 	router.HandleOPTIONS = false
-	router.NotFound = s.fixed(http.StatusNotFound, "no such path; allowed are /s/:service/*path, /jobs, /jobs/:id, /requests/:key, /readyz and /healthz")
-	router.MethodNotAllowed = s.fixed(http.StatusMethodNotAllowed, "this method is not allowed here")
+	router.NotFound = s.fixedFailure(http.StatusNotFound, "no such path; allowed are /s/:service/*path, /jobs, /jobs/:id, /requests/:key, /readyz and /healthz")
+	router.MethodNotAllowed = s.fixedFailure(http.StatusMethodNotAllowed, "this method is not allowed here")
 	for _, method := range forwardedMethods {
-		router.Handle(method, "/s/:service/*path", s.counted(s.forward))
+		router.Handle(method, "/s/:service/*path", s.limitRequests(s.forward))
 	}
-	router.GET("/readyz", s.identified(s.readyz))
-	router.GET("/healthz", s.identified(s.healthz))
-	router.POST("/jobs", s.counted(s.submitJob))
-	router.GET("/jobs/:id", s.counted(s.getJob))
-	router.DELETE("/jobs/:id", s.counted(s.cancelJob))
-	router.GET("/requests/:key", s.counted(s.getRequest))
+	router.GET("/readyz", s.withRequestID(s.readyz))
+	router.GET("/healthz", s.withRequestID(s.healthz))
+	router.POST("/jobs", s.limitRequests(s.submitJob))
+	router.GET("/jobs/:id", s.limitRequests(s.getJob))
+	router.DELETE("/jobs/:id", s.limitRequests(s.cancelJob))
+	router.GET("/requests/:key", s.limitRequests(s.getRequest))
 	return router
 }
 
-// forwardedMethods are those that a service can be called with. CONNECT and
-// TRACE concern the connection to us and are not passed on.
+// forwardedMethods are the methods with which a service can be called. CONNECT
+// and TRACE concern the connection to this VM and are not passed on.
 var forwardedMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// handle is a handler that knows the id of the request it serves.
-type handle func(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string)
+// idHandle is a handler that receives the ID of its request.
+type idHandle func(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string)
 
-// identified gives the request its id.
-func (s *Server) identified(next handle) httprouter.Handle {
+// withRequestID generates the request's ID.
+func (s *Server) withRequestID(next idHandle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		next(w, r, p, uuid.NewString())
 	}
 }
 
-// counted bounds the requests in progress. One over the bound is answered at
-// once: waiting would hold memory for work that can't start.
-func (s *Server) counted(next handle) httprouter.Handle {
-	return s.identified(func(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string) {
+// limitRequests bounds the requests in progress. A request beyond the bound is
+// refused at once: waiting would hold memory for work that can't start.
+func (s *Server) limitRequests(next idHandle) httprouter.Handle {
+	return s.withRequestID(func(w http.ResponseWriter, r *http.Request, p httprouter.Params, id string) {
 		defer s.active.Add(-1)
-		if s.active.Add(1) > s.limits.Requests || surplus(r) {
+		if s.active.Add(1) > s.limits.Requests || isSurplus(r) {
 			w.Header().Set("Connection", "close")
 			s.writeFailure(w, id, overloaded("this entry VM has too many requests in progress", 0))
 			return
@@ -162,7 +164,7 @@
 	})
 }
 
-func (s *Server) fixed(status int, message string) http.Handler {
+func (s *Server) fixedFailure(status int, message string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.writeFailure(w, uuid.NewString(), refuse(status, message))
 	})
--- a/internal/caller/settle.go
+++ b/internal/caller/settle.go
@@ -13,115 +13,116 @@
 )
 
 const (
-	// settleRing bounds the outcomes that wait to be recorded.
-	settleRing = 1024
-	// settleWorkers is how many outcomes are recorded at one time; the
-	// control log joins them into one write.
-	settleWorkers = 32
-	// settleTimeout bounds one try to record an outcome.
-	settleTimeout = 5 * time.Second
-	// settlePause is the wait between two tries.
-	settlePause = 100 * time.Millisecond
+	// outcomeQueueSize bounds the outcomes that wait to be recorded.
+	outcomeQueueSize = 1024
+	// outcomeRecorders is how many outcomes are recorded concurrently; the
+	// control log batches them into one write.
+	outcomeRecorders = 32
+	// recordTimeout bounds one attempt to record an outcome.
+	recordTimeout = 5 * time.Second
+	// recordRetryDelay is the delay between two attempts.
+	recordRetryDelay = 100 * time.Millisecond
 )
 
-// claiming is a request on its way through its claim.
-type claiming struct {
+// claimedRequest is a request whose key must be claimed.
+type claimedRequest struct {
 	server  *Server
 	request *request
 	digest  []byte
-	// incarnation is of this claim alone. Were it that of the process, a late
-	// copy of an earlier settlement of the same key could end a later claim
-	// as not run while its request is on its way.
+	// incarnation identifies this claim alone. If it identified the process, a
+	// late copy of an earlier outcome for the same key could settle a later
+	// claim as not run while its request is in flight.
 	incarnation uint64
-	// granted says that this process, and no other, may send the request.
+	// granted reports that this process, and no other, may send the request.
 	granted atomic.Bool
 	// existing is the earlier claim that was found instead.
 	existing *model.Claim
 }
 
-// settlement is an outcome to be recorded.
-type settlement struct {
+// claimOutcome is an outcome to be recorded.
+type claimOutcome struct {
 	key         model.RequestKey
 	incarnation uint64
-	// claim is set when the outcome of the claim itself is unknown: it must
-	// be learned first, or a claim that lands later would stay open.
+	// claim is set if it is unknown whether the claim was committed: that must
+	// be resolved first, or a claim that is committed later would stay open.
 	claim   *state.Command
 	state   model.ClaimState
 	verdict model.Verdict
-	answer  *model.KeptAnswer
+	stored  *model.KeptAnswer
 }
 
-// settlement is the outcome of a claimed request.
-func (c *claiming) settlement(a *answer, f *failure) settlement {
-	out := settlement{key: c.request.key, incarnation: c.incarnation, state: model.ClaimSettled, verdict: model.Ran}
+// outcome returns the outcome of a claimed request.
+func (c *claimedRequest) outcome(resp *response, f *failure) claimOutcome {
+	out := claimOutcome{key: c.request.key, incarnation: c.incarnation, state: model.ClaimSettled, verdict: model.Ran}
 	switch {
 	case f != nil && f.verdict == model.NotRun:
 		out.verdict = model.NotRun
 	case f != nil:
 		out.state, out.verdict = model.ClaimUnknown, model.MayHaveRun
 	default:
-		out.answer = keep(a, c.server.limits.KeptBytes)
+		out.stored = storedResponse(resp, c.server.limits.KeptBytes)
 	}
 	return out
 }
 
-// keep is the answer as it is kept. One that is too long, or whose end has not
-// come yet, is recorded without its body.
-func keep(a *answer, limit int64) *model.KeptAnswer {
-	kept := &model.KeptAnswer{Status: a.status, ContentType: a.header.Get("Content-Type")}
-	if a.stream != nil || int64(len(a.body)) > limit {
-		kept.Dropped = true
-		return kept
+// storedResponse returns the response in the form in which it is stored. One
+// that is too long, or has not ended yet, is stored without its body.
+func storedResponse(resp *response, limit int64) *model.KeptAnswer {
+	stored := &model.KeptAnswer{Status: resp.status, ContentType: resp.header.Get("Content-Type")}
+	if resp.stream != nil || int64(len(resp.body)) > limit {
+		stored.Dropped = true
+		return stored
 	}
-	kept.Body = a.body
-	return kept
+	stored.Body = resp.body
+	return stored
 }
 
-// settle hands an outcome to the duty that records it. When the ring is full
-// the request waits, which slows down the claims that fill it.
-func (s *Server) settle(out settlement) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+// enqueueOutcome passes an outcome to the tasks that record it. If the queue is
+// full, the request waits, which slows down the claims that fill the queue.
+func (s *Server) enqueueOutcome(out claimOutcome) {
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	s.settling.begin(out.key)
-	if err := s.settles.Put(ctx, out); err != nil {
+	s.pending.begin(out.key)
+	if err := s.outcomeQueue.Put(ctx, out); err != nil {
 		// The claim stays open and ends as unknown after its deadline.
-		s.settling.end(out.key)
-		s.counters.settleErrors.Inc(1)
-		s.unsettled.Done()
+		s.pending.end(out.key)
+		s.counters.recordErrors.Inc(1)
+		s.unrecorded.Done()
 	}
 }
 
-// runSettle records outcomes until ctx ends.
-func (s *Server) runSettle(ctx context.Context) {
+// runOutcomeRecorder records outcomes until ctx ends.
+func (s *Server) runOutcomeRecorder(ctx context.Context) {
 	for {
-		out, err := s.settles.Get(ctx)
+		out, err := s.outcomeQueue.Get(ctx)
 		if err != nil {
 			return
 		}
-		s.record(ctx, out)
-		s.settling.end(out.key)
-		s.unsettled.Done()
+		s.recordOutcome(ctx, out)
+		s.pending.end(out.key)
+		s.unrecorded.Done()
 	}
 }
 
-// record repeats the command under one ID until its outcome is known.
-func (s *Server) record(ctx context.Context, out settlement) {
-	if out.claim != nil && !s.learnClaim(ctx, *out.claim) {
+// recordOutcome proposes the outcome, with one command ID, until it is applied.
+func (s *Server) recordOutcome(ctx context.Context, out claimOutcome) {
+	if out.claim != nil && !s.proposeClaim(ctx, *out.claim) {
 		return
 	}
 	_, err := s.proposeUntilApplied(ctx, s.settleCommand(out, false))
 	if err != nil {
-		s.counters.settleErrors.Inc(1)
+		s.counters.recordErrors.Inc(1)
 	}
 }
 
-// learnClaim reports whether the claim was granted to this process.
-func (s *Server) learnClaim(ctx context.Context, command state.Command) bool {
+// proposeClaim proposes the claim until its result is known and reports whether
+// it was granted to this process.
+func (s *Server) proposeClaim(ctx context.Context, command state.Command) bool {
 	result, err := s.proposeUntilApplied(ctx, command)
 	return err == nil && result.Claim != nil && result.Claim.Granted
 }
 
-func (s *Server) settleCommand(out settlement, takeover bool) state.Command {
+func (s *Server) settleCommand(out claimOutcome, takeover bool) state.Command {
 	return state.Command{
 		ID:    model.CommandID("settle/" + uuid.NewString()),
 		At:    model.InstantOf(s.Now()),
@@ -132,7 +133,7 @@
 			Incarnation: out.incarnation,
 			State:       out.state,
 			Verdict:     out.verdict,
-			Answer:      out.answer,
+			Answer:      out.stored,
 			Takeover:    takeover,
 		},
 	}
@@ -141,13 +142,13 @@
 // proposeUntilApplied proposes a command until it is applied or ctx ends.
 func (s *Server) proposeUntilApplied(ctx context.Context, command state.Command) (state.Result, error) {
 	for {
-		try, cancel := context.WithTimeout(ctx, settleTimeout)
-		result, err := s.Log.Propose(try, command)
+		attemptCtx, cancel := context.WithTimeout(ctx, recordTimeout)
+		result, err := s.Log.Propose(attemptCtx, command)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return result, err
 		}
-		s.counters.settleErrors.Inc(1)
-		steady.Pause(ctx, settlePause)
+		s.counters.recordErrors.Inc(1)
+		steady.Pause(ctx, recordRetryDelay)
 	}
 }
--- a/internal/caller/settling.go
+++ b/internal/caller/settling.go
@@ -7,18 +7,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// settling holds the claims whose outcome is known here and not recorded yet.
+// pendingOutcomes holds the keys of claims whose outcome is known to this
+// process and not yet recorded.
 //
-// A caller gets its answer before the outcome is recorded. If it asks for the
-// request at once, the claim still says that it runs, and the caller, who has the
-// answer in hand, is told that it may have run. Whoever asks here waits for the
-// record instead; that takes one commit.
-type settling struct {
+// A caller gets its response before the outcome is recorded. If it looks the
+// request up at once, the claim is still running, and the caller, who already
+// has the response, would get may-have-run. The look-up waits until the outcome
+// is recorded instead, which takes one commit.
+type pendingOutcomes struct {
 	mu   sync.Mutex
 	keys map[model.RequestKey]chan struct{}
 }
 
-func (s *settling) begin(key model.RequestKey) {
+func (s *pendingOutcomes) begin(key model.RequestKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keys == nil {
@@ -29,7 +30,7 @@
 	}
 }
 
-func (s *settling) end(key model.RequestKey) {
+func (s *pendingOutcomes) end(key model.RequestKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if recorded := s.keys[key]; recorded != nil {
@@ -38,9 +39,9 @@
 	}
 }
 
-// wait returns once the outcome of a key is recorded or ctx ends, at once when
-// none is on its way.
-func (s *settling) wait(ctx context.Context, key model.RequestKey) {
+// wait returns when the outcome of a key is recorded or ctx ends; at once if
+// none is pending.
+func (s *pendingOutcomes) wait(ctx context.Context, key model.RequestKey) {
 	s.mu.Lock()
 	recorded := s.keys[key]
 	s.mu.Unlock()
--- a/internal/caller/site.go
+++ b/internal/caller/site.go
@@ -7,25 +7,25 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// siteEvery is how old the site may be that requests are served by. A view
-// taken for each request would make the state copy its tables at each change.
-const siteEvery = 100 * time.Millisecond
+// siteMaxAge is how old the cached site may be. Taking a view of the state for
+// each request would make the state copy its tables at each change.
+const siteMaxAge = 100 * time.Millisecond
 
-// siteCache holds the site that is in force, and when it was looked up.
+// siteCache holds the site in force and when it was loaded.
 type siteCache struct {
-	site atomic.Pointer[model.Site]
-	at   atomic.Int64
+	site     atomic.Pointer[model.Site]
+	loadedAt atomic.Int64
 }
 
-// currentSite returns the site, nil when no manifest is in force.
+// currentSite returns the site in force, nil if there is no manifest.
 func (s *Server) currentSite() *model.Site {
 	now := s.Now().UnixNano()
 	site := s.site.site.Load()
-	if site != nil && now-s.site.at.Load() < int64(siteEvery) {
+	if site != nil && now-s.site.loadedAt.Load() < int64(siteMaxAge) {
 		return site
 	}
 	site = s.Log.View().Site
 	s.site.site.Store(site)
-	s.site.at.Store(now)
+	s.site.loadedAt.Store(now)
 	return site
 }
