--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -116,7 +116,7 @@
 		BalancerDelay: a.settings.Limits.BalancerDelay,
 		Metrics:       a.metrics, Logger: a.logger,
 	})
-	a.callers.AddCondition(caller.Condition{Name: "quorum", Check: a.confirmed})
+	a.callers.AddReadinessCondition(caller.ReadinessCondition{Name: "quorum", Check: a.confirmed})
 }
 
 // confirmed is the condition of readiness that this VM's view of the control
--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -147,7 +147,7 @@
 
 // BenchmarkClaim measures the cost of a claim in this package: two commands and
 // their application, with a control log that commits at once. The cost of
-// the quorum is measured in the package quorum.
+// the quorum is measured with the quorum itself.
 func BenchmarkClaim(b *testing.B) {
 	log.SetHandler(discard.New())
 	cl := newCluster(b, 1, 1, Limits{})
--- a/internal/caller/check.go
+++ b/internal/caller/check.go
@@ -8,29 +8,29 @@
 
 // The invariants of this package, checked at run time:
 //
-//   - InvariantSingle: a non-idempotent request is not sent to an upstream
+//   - InvariantSentOnce: a non-idempotent request is not sent to an upstream
 //     after an attempt that may have run;
 //   - InvariantVerdict: not-run is reported only if no attempt may have run;
-//   - InvariantHeld: what requests reserve is released exactly once.
+//   - InvariantReservations: what requests reserve is released exactly once.
 const (
-	InvariantSingle  = "non-idempotent request is sent at most once"
-	InvariantVerdict = "not-run is true"
-	InvariantHeld    = "reservations balance"
+	InvariantSentOnce     = "non-idempotent request is sent at most once"
+	InvariantVerdict      = "not-run is true"
+	InvariantReservations = "reservations balance"
 )
 
 // maxViolations bounds the stored violations.
 const maxViolations = 64
 
-// Broken returns the violations of invariants since the start, at most
+// Violations returns the violations of invariants since the start, at most
 // maxViolations of them. It is empty unless the program has a bug.
-func (s *Server) Broken() []string {
+func (s *Server) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	broken := append([]string(nil), s.violations...)
+	violations := append([]string(nil), s.violations...)
 	if s.buffers.used.Load() < 0 || s.active.Load() < 0 {
-		broken = append(broken, InvariantHeld)
+		violations = append(violations, InvariantReservations)
 	}
-	return broken
+	return violations
 }
 
 // reportViolation counts, logs and stores a violated invariant.
@@ -46,7 +46,7 @@
 
 func (s *Server) checkSentOnce(q *request, t *attemptHistory) {
 	if !q.idempotent && t.verdict != model.NotRun {
-		s.reportViolation(InvariantSingle, q)
+		s.reportViolation(InvariantSentOnce, q)
 	}
 }
 
--- a/internal/caller/claim.go
+++ b/internal/caller/claim.go
@@ -33,7 +33,7 @@
 func (s *Server) forwardKeyed(w http.ResponseWriter, r *http.Request, q *request) {
 	if !q.body.fullyBuffered() {
 		w.Header().Set("Connection", "close")
-		s.writeFailure(w, q.id, tooLarge(s.limits.KeyedBytes))
+		s.writeFailure(w, q.id, tooLarge(s.limits.KeyedBodyBytes))
 		return
 	}
 	digest := q.digest()
@@ -47,7 +47,7 @@
 	}
 	c := &claimedRequest{server: s, request: q, digest: digest, incarnation: rand.Uint64()}
 	q.beforeSend = c.acquireClaim
-	q.responseLimit = max(q.responseLimit, s.limits.KeptBytes)
+	q.responseLimit = max(q.responseLimit, s.limits.StoredResponseBytes)
 	// A claimed request continues when its caller disconnects: the response
 	// is stored for a later resend or look-up.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), q.deadline)
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -49,9 +49,9 @@
 		s.writeFailure(w, id, f)
 		return
 	}
-	keep := s.limits.ResendBytes
+	keep := s.limits.BufferedBodyBytes
 	if q.needsClaim() {
-		keep = s.limits.KeyedBytes
+		keep = s.limits.KeyedBodyBytes
 	}
 	body, release, f := s.readBody(w, r, keep, q.deadline)
 	defer release()
@@ -111,7 +111,7 @@
 		header:        upstreamHeader(r.Header, id),
 		idempotent:    isIdempotent(r.Method, target.Path, service.Routes, o.idempotent),
 		deadline:      s.Now().Add(o.timeout),
-		responseLimit: s.limits.AnswerBytes,
+		responseLimit: s.limits.BufferedResponseBytes,
 	}
 	return q, nil
 }
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -168,8 +168,8 @@
 			_ = e.server.Close()
 			e.stop()
 			<-e.stopped
-			if broken := e.server.Broken(); len(broken) > 0 {
-				t.Error("broken invariants: ", broken)
+			if violations := e.server.Violations(); len(violations) > 0 {
+				t.Error("broken invariants: ", violations)
 			}
 		}
 	})
--- a/internal/caller/hostile_test.go
+++ b/internal/caller/hostile_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	cl := newCluster(t, 1, 1, Limits{
 		HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond, MaxHeaderBytes: 4096,
-		BodyBytes: 1 << 20, KeyedBytes: 1000, Connections: 8, ConnectionsPerIP: 8,
+		BodyBytes: 1 << 20, KeyedBodyBytes: 1000, Connections: 8, ConnectionsPerIP: 8,
 	})
 	address := strings.TrimPrefix(cl.entries[0].url, "http://")
 	raw := func(text string) (*http.Response, error) {
--- a/internal/caller/limits.go
+++ b/internal/caller/limits.go
@@ -21,21 +21,21 @@
 	// response.
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
-	// ResendBytes bounds the body that is buffered for retries; a longer one is
-	// streamed and sent once.
-	ResendBytes int64
-	// KeyedBytes bounds the body of a non-idempotent request with a key, which
-	// must be read whole before the key is claimed.
-	KeyedBytes int64
+	// BufferedBodyBytes bounds the body that is buffered for retries; a longer
+	// one is streamed and sent once.
+	BufferedBodyBytes int64
+	// KeyedBodyBytes bounds the body of a non-idempotent request with a key,
+	// which must be read whole before the key is claimed.
+	KeyedBodyBytes int64
 	// BodyBytes bounds any body.
 	BodyBytes int64
-	// AnswerBytes bounds the response that is buffered whole before it is passed
-	// on; a longer one is streamed.
-	AnswerBytes int64
-	// KeptBytes bounds the response that is stored under a key.
-	KeptBytes int64
-	// BufferedBytes bounds all bodies and responses buffered at one time.
-	BufferedBytes int64
+	// BufferedResponseBytes bounds the response that is buffered whole before it
+	// is passed on; a longer one is streamed.
+	BufferedResponseBytes int64
+	// StoredResponseBytes bounds the response that is stored under a key.
+	StoredResponseBytes int64
+	// TotalBufferedBytes bounds all bodies and responses buffered at one time.
+	TotalBufferedBytes int64
 	// JobBytes bounds the body of POST /jobs.
 	JobBytes int64
 	// Requests bounds the requests in progress, Connections the open
@@ -66,12 +66,12 @@
 	setDefault(&l.IdleTimeout, time.Minute)
 	setDefault(&l.BodyTimeout, 10*time.Second)
 	setDefault(&l.WriteTimeout, 10*time.Second)
-	setDefault(&l.ResendBytes, 64*kilobyte)
-	setDefault(&l.KeyedBytes, megabyte)
+	setDefault(&l.BufferedBodyBytes, 64*kilobyte)
+	setDefault(&l.KeyedBodyBytes, megabyte)
 	setDefault(&l.BodyBytes, 64*megabyte)
-	setDefault(&l.AnswerBytes, 64*kilobyte)
-	setDefault(&l.KeptBytes, 64*kilobyte)
-	setDefault(&l.BufferedBytes, 32*megabyte)
+	setDefault(&l.BufferedResponseBytes, 64*kilobyte)
+	setDefault(&l.StoredResponseBytes, 64*kilobyte)
+	setDefault(&l.TotalBufferedBytes, 32*megabyte)
 	setDefault(&l.JobBytes, 64*kilobyte)
 	setDefault(&l.Requests, 4096)
 	setDefault(&l.Connections, 4096)
--- a/internal/caller/path_test.go
+++ b/internal/caller/path_test.go
@@ -185,7 +185,7 @@
 // instance can serve must not fail; see InvariantVerdict and writeResponse.
 func TestTruncatedResponses(t *testing.T) {
 	is := is.New(t)
-	cl := newCluster(t, 2, 1, Limits{AnswerBytes: 1000})
+	cl := newCluster(t, 2, 1, Limits{BufferedResponseBytes: 1000})
 	e := cl.entries[0]
 	for _, fault := range []standin.Fault{standin.FaultTruncate, standin.FaultTruncateChunks, standin.FaultUndelimited, standin.FaultForeign, standin.FaultCut, standin.FaultError} {
 		cl.instances[0].Fail(fault, 1)
--- a/internal/caller/ready.go
+++ b/internal/caller/ready.go
@@ -8,16 +8,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Condition must hold before the load balancer sends callers to this VM.
-type Condition struct {
+// ReadinessCondition must hold before the load balancer sends callers to this
+// VM.
+type ReadinessCondition struct {
 	// Name is the condition's key in the response of /readyz.
 	Name string
 	// Check returns nil if the condition holds. It must not block.
 	Check func() error
 }
 
-// AddCondition adds a condition of readiness.
-func (s *Server) AddCondition(c Condition) {
+// AddReadinessCondition adds a condition of readiness.
+func (s *Server) AddReadinessCondition(c ReadinessCondition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conditions = append(s.conditions, c)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -75,7 +75,7 @@
 	pending    pendingOutcomes
 
 	mu         sync.Mutex
-	conditions []Condition
+	conditions []ReadinessCondition
 	conns      *connLimiter
 	violations []string
 	listeners  []*listener
@@ -105,7 +105,7 @@
 		outcomeQueue: ring.New[claimOutcome](outcomeQueueSize),
 		cancelQueue:  ring.New[cancellation](cancelQueueSize),
 	}
-	s.buffers.limit = s.limits.BufferedBytes
+	s.buffers.limit = s.limits.TotalBufferedBytes
 	s.conns = newConnLimiter(s.limits.Connections, s.limits.ConnectionsPerIP, s.counters)
 	s.http = s.newHTTPServer()
 	return s
--- a/internal/caller/settle.go
+++ b/internal/caller/settle.go
@@ -60,7 +60,7 @@
 	case f != nil:
 		out.state, out.verdict = model.ClaimUnknown, model.MayHaveRun
 	default:
-		out.stored = storedResponse(resp, c.server.limits.KeptBytes)
+		out.stored = storedResponse(resp, c.server.limits.StoredResponseBytes)
 	}
 	return out
 }
