--- a/internal/fleet/decide.go
+++ b/internal/fleet/decide.go
@@ -7,9 +7,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Decide says which VMs enter, change or leave pools now. Moves happen only
-// at need: a pool that lacks VMs takes new ones first, then shared spares,
-// then what other pools have to spare. The actions are planned in ix.
+// Decide returns the actions that assign VMs to pools, move them between pools
+// or drop their entries. VMs move only when a pool is short: it takes new VMs
+// first, then shared spares, then surplus VMs of other pools. The actions are
+// planned in ix.
 func Decide(ix *Index, o Options) []state.Action {
 	if len(ix.Pools) == 0 {
 		return nil
@@ -18,19 +19,19 @@
 	d.finishMoves()
 	d.forgetVMs()
 	d.demands = Demands(ix, d.o)
-	d.evictMisfits()
+	d.evictDisallowed()
 	d.fillPools()
-	d.enterSpares()
+	d.addSpares()
 	return d.actions
 }
 
-// decider collects the actions of one round.
+// decider collects the actions of one round of decisions.
 type decider struct {
 	ix      *Index
 	o       Options
 	demands []*Demand
 	actions []state.Action
-	// busyMoves counts the VMs with tasks that are moving.
+	// busyMoves counts the moving VMs that still have tasks.
 	busyMoves int
 }
 
@@ -39,8 +40,8 @@
 	d.actions = append(d.actions, a)
 }
 
-// move begins the move of a VM and, when nothing is left to wait for,
-// finishes it in the same plan.
+// move begins the move of a VM and, when the VM is idle, finishes it in the
+// same plan.
 func (d *decider) move(v *VM, target model.PoolID, reason string) {
 	generation, idle := v.Generation(), v.Idle()
 	entered := v.Owner == nil
@@ -54,28 +55,28 @@
 	}
 }
 
-// finishMoves commits the new pool of VMs on which nothing is left.
+// finishMoves completes the moves of VMs on which no task is left.
 func (d *decider) finishMoves() {
 	for _, v := range d.ix.VMs {
 		if !v.Moving() {
 			continue
 		}
-		d.redirect(v)
+		d.redirectToSpares(v)
 		if !v.Moving() {
 			continue
 		}
-		if !d.free(v) {
+		if !d.canFinishMove(v) {
 			d.busyMoves++
 			continue
 		}
-		reason := fmt.Sprintf("nothing is left on the VM; it joins %s", poolWords(v.Owner.Target))
+		reason := fmt.Sprintf("nothing is left on the VM; it joins %s", describePool(v.Owner.Target))
 		d.add(state.Action{Reason: reason, FinishMove: &state.FinishMove{VM: v.ID, Generation: v.Owner.Generation}})
 	}
 }
 
-// redirect sends a VM to the shared spares whose target the manifest dropped
-// while the VM was on its way: the move could never end.
-func (d *decider) redirect(v *VM) {
+// redirectToSpares moves a VM to the shared spares when the manifest dropped
+// its target pool during the move. The move could never finish otherwise.
+func (d *decider) redirectToSpares(v *VM) {
 	target := v.Owner.Target
 	if target == "" || d.ix.Pool(target) != nil || v.Permit != nil {
 		return
@@ -84,16 +85,17 @@
 	d.add(state.Action{Reason: reason, BeginMove: &state.BeginMove{VM: v.ID, Generation: v.Generation()}})
 }
 
-func (d *decider) free(v *VM) bool {
+// canFinishMove reports whether nothing on the VM holds up its move any more.
+func (d *decider) canFinishMove(v *VM) bool {
 	return v.Permit == nil && (v.Idle() || d.o.Rules.SkipIdle)
 }
 
-// forgetVMs drops entries of VMs that the platform dropped.
+// forgetVMs drops the entries of VMs that the platform no longer lists.
 //
-// An empty or partial answer of the platform would otherwise make the fleet
-// forget which pool each VM serves, and move everything. One notices by many
-// entries missing at once; so none is dropped then, few are in one round, and
-// only after a long absence.
+// After an empty or partial reply of the platform, dropping all missing entries
+// would lose which pool each VM serves and move every VM. Many entries missing
+// at once is the sign of such a reply: then none is dropped. Otherwise a few
+// are dropped in each round, and only after a long absence.
 func (d *decider) forgetVMs() {
 	entries, absent := len(d.ix.Snap.View.Owners), len(d.ix.Snap.Absent)
 	partial := float64(absent) > max(1, float64(entries)*d.o.AbsentLimit)
@@ -119,8 +121,9 @@
 	}
 }
 
-// enterSpares enters the healthy VMs that no pool needs as shared spares.
-func (d *decider) enterSpares() {
+// addSpares makes the healthy VMs that have no entry and that no pool needs
+// shared spares.
+func (d *decider) addSpares() {
 	for _, v := range d.ix.VMs {
 		if v.Owner == nil && v.Healthy() {
 			d.move(v, "", "no pool needs the VM; it is a shared spare")
@@ -128,10 +131,10 @@
 	}
 }
 
-// mayLeave reports whether a VM may leave its pool now: one that is idle, or
-// one with tasks while few such VMs move. A VM that may not is not planned as
-// moving, so that it takes work on and other VMs can be tried.
-func (d *decider) mayLeave(v *VM) bool {
+// canLeavePool reports whether a VM may leave its pool now: an idle VM always
+// may, one with tasks only while few such VMs are moving. A VM that may not is
+// not planned as moving, so that it keeps taking work and other VMs can be tried.
+func (d *decider) canLeavePool(v *VM) bool {
 	if v.Idle() {
 		return true
 	}
@@ -139,7 +142,7 @@
 	return few && (d.o.MayMove == nil || d.o.MayMove(v))
 }
 
-// Eligible reports whether the pool's shape and availability zones allow a VM.
+// Eligible reports whether the pool's shape and availability zones allow the VM.
 func Eligible(p *model.Pool, vm *model.VM) bool {
 	return vm != nil && p.Shape.Fits(vm.Capacity) && ZoneAllowed(p, vm.Zone)
 }
@@ -154,7 +157,8 @@
 	return len(p.Zones) == 0
 }
 
-func poolWords(id model.PoolID) string {
+// describePool names a pool, or the shared spares, in reasons.
+func describePool(id model.PoolID) string {
 	if id == "" {
 		return "the shared spares"
 	}
--- a/internal/fleet/decide_test.go
+++ b/internal/fleet/decide_test.go
@@ -17,10 +17,10 @@
 
 var unit = model.Resources{MilliCPU: 16_000, MemoryMB: 64_000}
 
-// snapshot has VMs in racks of two over two zones; owners names the pool of
-// each, "-" for a shared spare and "" for none. Pools a and b need three and
-// two VMs for one instance on each.
-func snapshot(owners ...string) *fleet.Snapshot {
+// newSnapshot returns a snapshot with one VM for each of owners, two to a rack,
+// over two zones. An owner is the VM's pool, "-" for a shared spare and "" for
+// no entry. Pools a and b need three and two VMs for one instance on each.
+func newSnapshot(owners ...string) *fleet.Snapshot {
 	pool := func(id model.PoolID, most int) model.Pool {
 		return model.Pool{ID: id, MinVMs: 1, MaxVMs: most, Shape: unit}
 	}
@@ -42,13 +42,13 @@
 	return s
 }
 
-// down marks a VM as it looks for a time.
-func down(s *fleet.Snapshot, id model.VMID, h model.VMHealth, since time.Duration) {
+// setHealth sets the health of a VM and for how long it has had it.
+func setHealth(s *fleet.Snapshot, id model.VMID, h model.VMHealth, since time.Duration) {
 	s.VMs[id].Health, s.VMs[id].HealthSince = h, now.Add(-since)
 }
 
-// words writes actions for comparison.
-func words(actions []state.Action) string {
+// describe formats the actions about VMs for comparison.
+func describe(actions []state.Action) string {
 	var out []string
 	for _, a := range actions {
 		switch {
@@ -63,48 +63,48 @@
 	return strings.Join(out, " ")
 }
 
-// Symptom: after one bad answer of the platform every VM was entered anew, in
-// another pool. Sequence: the platform lists none, or half, of the VMs for
-// hours. Cause: a VM that is not listed was taken for gone.
-func TestPartialListForgetsNothing(t *testing.T) {
+// Guards against a failure in which a bad reply of the platform, listing none
+// or half of the VMs for hours, dropped the entries of the others. Every VM
+// then got a new entry, in another pool.
+func TestPartialListDropsNoEntries(t *testing.T) {
 	is := is.New(t)
-	s := snapshot("a", "a", "a", "b", "b", "-")
+	s := newSnapshot("a", "a", "a", "b", "b", "-")
 	var absence fleet.Absence
 	full := s.VMs
 	s.VMs = map[model.VMID]*model.VM{}
 	for _, at := range []time.Duration{0, 2 * time.Hour} {
 		s.Now = now.Add(at)
 		s.Absent = absence.Observe(s.Now, s.VMs, s.View.Owners)
-		is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // an empty list says nothing
+		is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // an empty list is no evidence of absence
 	}
 	half := map[model.VMID]*model.VM{"vm00": full["vm00"], "vm01": full["vm01"], "vm02": full["vm02"]}
 	s.VMs = half
 	absence.Observe(s.Now, s.VMs, s.View.Owners)
 	s.Now = s.Now.Add(2 * time.Hour)
 	s.Absent = absence.Observe(s.Now, s.VMs, s.View.Owners)
-	is.True(!strings.Contains(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "forget")) // half the fleet is not gone
+	is.True(!strings.Contains(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "forget")) // half the fleet missing means a partial list
 	delete(full, "vm05")
 	s.VMs = full
 	s.Absent = absence.Observe(s.Now, s.VMs, s.View.Owners)
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "forget vm05") // one VM, absent for long
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "forget vm05") // one VM, absent for two hours
 }
 
-// Symptom: pools waited for a repair while spares idled, or each reboot moved
-// a VM. Sequence: a VM fails for good; another only reboots. Cause: spares
-// were moved for the number of VMs alone, not for what is lost.
-func TestSparesMoveAtNeedOnly(t *testing.T) {
+// A VM that failed for good must be replaced by a spare, one that only reboots
+// must not. Guards against moving spares by the number of VMs alone: pools then
+// waited for a repair while spares were idle, or moved a VM at each reboot.
+func TestSparesMoveOnlyWhenNeeded(t *testing.T) {
 	is := is.New(t)
-	s := snapshot("a", "a", "a", "b", "b", "-", "-")
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // nothing lacks
-	down(s, "vm00", model.VMRebooting, time.Minute)
-	s.Serving = serveAll(s, "vm01", "vm02")
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // it comes back by itself
-	down(s, "vm00", model.VMDown, time.Hour)
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm05>a@4 vm05!@5") // begun and finished in one plan
+	s := newSnapshot("a", "a", "a", "b", "b", "-", "-")
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // no pool is short
+	setHealth(s, "vm00", model.VMRebooting, time.Minute)
+	s.Serving = addServing(s, "vm01", "vm02")
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "") // it comes back by itself
+	setHealth(s, "vm00", model.VMDown, time.Hour)
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm05>a@4 vm05!@5") // begun and finished in one plan
 }
 
-// serveAll has an instance of sa serve on each VM.
-func serveAll(s *fleet.Snapshot, vms ...model.VMID) map[model.TaskID]bool {
+// addServing adds a serving instance of service sa on each VM.
+func addServing(s *fleet.Snapshot, vms ...model.VMID) map[model.TaskID]bool {
 	serving := make(map[model.TaskID]bool)
 	for i, vm := range vms {
 		id := model.TaskID(fmt.Sprint("t", i))
@@ -114,56 +114,54 @@
 	return serving
 }
 
-// Symptom: a pool at its largest size kept a dead VM and ran short for hours.
-// Sequence: a VM of such a pool fails for good. Cause: the dead VM's place was
-// never given up.
-func TestLostVMMakesRoom(t *testing.T) {
+// Guards against a pool at its maximum size staying short for hours because a
+// VM that failed for good was never removed from it.
+func TestLostVMIsReplacedAtMaxSize(t *testing.T) {
 	is := is.New(t)
-	s := snapshot("a", "a", "a", "b", "b", "b", "-")
+	s := newSnapshot("a", "a", "a", "b", "b", "b", "-")
 	s.View.Site.Services[1].Instances = 3
-	down(s, "vm03", model.VMDown, time.Hour)
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm03>@4 vm03!@5 vm06>b@4 vm06!@5")
+	setHealth(s, "vm03", model.VMDown, time.Hour)
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm03>@4 vm03!@5 vm06>b@4 vm06!@5")
 }
 
-// Symptom: a VM joined its next pool while work of the last one ran on it.
-// Sequence: a move begins while a task runs. Cause: the move's end did not
-// wait for the task.
+// Guards against a VM joining its new pool while a task of the old one still
+// runs on it: a move that begins while a task runs must wait for its end.
 func TestMoveWaitsForTasks(t *testing.T) {
 	is := is.New(t)
-	s := snapshot("a", "a", "a", "b", "b")
+	s := newSnapshot("a", "a", "a", "b", "b")
 	s.View.Owners["vm02"] = &model.Ownership{VM: "vm02", Pool: "a", Moving: true, Target: "", Generation: 7}
 	s.View.Tasks["t"] = &model.Task{ID: "t", Job: "j", VM: "vm02"}
 	s.View.Site.Services[0].Instances = 2
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "")
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "")
 	s.View.Tasks = nil
-	is.Equal(words(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm02!@7")
+	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm02!@7")
 }
 
 func TestSparesNeededShowsArithmetic(t *testing.T) {
 	is := is.New(t)
 	// The worst rack, k0, takes two of the three VMs of pool a; the spares
 	// are outside it.
-	s := snapshot("a", "a", "a", "b", "b", "-", "-")
+	s := newSnapshot("a", "a", "a", "b", "b", "-", "-")
 	sp := fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{})
 	is.Equal(sp.Words(), "2 spares needed if rack z0/k0 is lost (pool a 3-(3-2)=2; 0 permits in flight); 2 of 2 ready spares fit")
 	is.Equal(sp.Balance(), 0)
 	s.View.Owners["vm05"].Pool = "b"
 	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Balance(), 1) // one spare is missing
-	// A spare in the rack that is lost is lost with it.
-	s = snapshot("a", "-", "a", "b", "a", "b")
+	// A spare in the worst rack is lost too and does not count.
+	s = newSnapshot("a", "-", "a", "b", "a", "b")
 	s.View.Site.Services[1].Instances = 1
 	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Balance(), 1)
-	s = snapshot("a", "a", "a", "b", "b")
+	s = newSnapshot("a", "a", "a", "b", "b")
 	s.View.Site.Policy = model.Policy{MoveWeight: 1}
 	d := fleet.Demands(fleet.NewIndex(s), fleet.Options{})
-	is.Equal(d[0].Headroom, 2) // by weight of moves the pool holds its own reserve
+	is.Equal(d[0].Headroom, 2) // with the full weight on moves the pool has its own reserve
 }
 
-// Symptom: a site started with pools in one rack, and lost one with it.
-// Sequence: all VMs are new. Cause: VMs were entered in the order of their IDs.
+// Guards against assigning the VMs of a new site to pools in the order of their
+// IDs: pools lay in one rack, and the loss of that rack lost the whole pool.
 func TestNewVMsSpreadOverRacks(t *testing.T) {
 	is := is.New(t)
-	s := snapshot("", "", "", "", "", "", "", "")
+	s := newSnapshot("", "", "", "", "", "", "", "")
 	s.View.Site.Pools = s.View.Site.Pools[:1]
 	ix := fleet.NewIndex(s)
 	fleet.Decide(ix, fleet.Options{})
@@ -171,7 +169,7 @@
 	for _, v := range ix.Pools[0].VMs {
 		racks[v.Rack] = true
 	}
-	is.Equal(len(racks), 3) // one VM to a rack
+	is.Equal(len(racks), 3) // one VM of the pool in each rack
 	is.Equal(len(ix.Spares), 5)
 	is.Equal(len(ix.Broken()), 0)
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -7,52 +7,56 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// fillLimit is the share of a VM that demand may plan to fill: tasks do not
-// pack without gaps.
+// fillLimit is the share of a VM's capacity that demand counts as usable:
+// tasks do not pack without gaps.
 const fillLimit = 0.9
 
-// Demand is how many VMs a pool needs, with the terms of the sum.
+// Demand holds how many VMs a pool needs and the figures this is computed from.
 type Demand struct {
 	Pool *Pool
-	// Unit is what one VM of the pool offers.
+	// Unit is the average capacity of the pool's VMs, or the pool's shape
+	// while none is listed.
 	Unit model.Resources
-	// Instances is how many VMs the pool's services fill in full number.
+	// Instances is the number of VMs that all wanted instances of the pool's
+	// services fill.
 	Instances int
-	// Running is what running jobs need that can't yield: all but batch jobs
-	// which can be throttled, checkpointed or run again.
+	// Running is what running jobs use that can't be preempted: all but batch
+	// jobs which can be throttled, checkpointed or run again.
 	Running model.Resources
-	// Yielding is what batch jobs hold that can yield.
+	// Yielding is what running batch jobs use that can be preempted.
 	Yielding model.Resources
 	// Urgent and Waiting are what queued urgent and normal jobs need.
 	Urgent, Waiting model.Resources
-	// Hard is the number of VMs without which instances or urgent jobs have
-	// no room; Floor is the larger of Hard and the pool's least size; Want
-	// adds waiting jobs and the headroom that the policy's weights ask for.
+	// Hard is the number of VMs that instances and urgent jobs need; Floor is
+	// the larger of Hard and the pool's minimum size; Want adds waiting jobs
+	// and the headroom that the policy's weights ask for.
 	Hard, Floor, Want int
-	// Headroom is the part of Want that is held for failures.
+	// Headroom is the part of Want that is reserved for failures.
 	Headroom int
-	// Ready counts the VMs that carry work now, Returning those that are
-	// expected back by themselves, Coming those on their way from elsewhere.
+	// Ready counts the VMs that take work now, Returning those that are
+	// expected back without a repair, Coming those moving into the pool.
 	Ready, Returning, Coming int
-	// Patient is the part of Returning for which a move can wait: see patience.
+	// Patient is the part of Returning that a pool may wait for instead of
+	// taking another VM; see returnWait.
 	Patient int
-	// Lost counts the VMs that failed for longer than the grace.
+	// Lost counts the VMs that have been down for longer than Options.LostAfter
+	// or are quarantined.
 	Lost int
-	// staying counts the VMs that are in the pool and do not leave, and those
-	// on their way to it.
+	// staying counts the VMs of the pool that are not moving out, and those
+	// moving into it.
 	staying int
 }
 
-// Words gives the arithmetic of the demand for status.
+// Words describes the demand in one line for status and reasons.
 func (d *Demand) Words() string {
 	return fmt.Sprintf("needs %d (least %d, for instances and urgent jobs %d, headroom %d); has %d ready, %d returning, %d coming, %d lost",
 		d.Want, d.Pool.Spec.MinVMs, d.Hard, d.Headroom, d.Ready, d.Returning, d.Coming, d.Lost)
 }
 
-// Surplus is how many ready VMs the pool could give away.
+// Surplus returns how many ready VMs the pool has beyond what it wants.
 func (d *Demand) Surplus() int { return d.Ready - d.Want }
 
-// Demands works out the demand of each pool, in the order of ix.Pools.
+// Demands computes the demand of each pool, in the order of ix.Pools.
 func Demands(ix *Index, o Options) []*Demand {
 	o = o.withDefaults()
 	demands := make([]*Demand, len(ix.Pools))
@@ -65,7 +69,7 @@
 	}
 	addQueue(ix, byPool, o)
 	for _, d := range demands {
-		d.sum(ix, o)
+		d.compute(ix, o)
 	}
 	return demands
 }
@@ -100,15 +104,16 @@
 		d.Lost++
 	default:
 		d.Returning++
-		if v.Permit != nil || v.Listed != nil && ix.Snap.Now.Sub(v.Listed.HealthSince) < o.patience(ix) {
+		if v.Permit != nil || v.Listed != nil && ix.Snap.Now.Sub(v.Listed.HealthSince) < o.returnWait(ix) {
 			d.Patient++
 		}
 	}
 }
 
-// calm reports whether the pool can wait for VMs that come back by themselves:
-// no urgent job waits, and each service has an instance more than its budget.
-func (d *Demand) calm() bool {
+// canWait reports whether the pool can wait for its returning VMs instead of
+// taking others: no urgent job is queued, and each service has at least one
+// available instance more than its minimum.
+func (d *Demand) canWait() bool {
 	for _, s := range d.Pool.Services {
 		if s.Available <= s.Spec.MinAvailable {
 			return false
@@ -117,8 +122,9 @@
 	return d.Urgent.IsZero()
 }
 
-// lost reports whether a VM is not expected back by itself: it failed, or its
-// heartbeat is late, for longer than the grace; or it is quarantined.
+// lost reports whether a VM is not expected back without a repair: it has been
+// absent, down or without a heartbeat for at least LostAfter, or it is
+// quarantined.
 func lost(ix *Index, v *VM, o Options) bool {
 	switch {
 	case v.Permit != nil:
@@ -152,22 +158,22 @@
 	}
 }
 
-// Yields reports whether a running job can make room without a loss that
-// can't be undone: batch work that can be throttled, checkpointed, or stopped
-// and run again.
+// Yields reports whether a running job can be preempted without losing
+// anything for good: it is batch work that can be throttled, checkpointed, or
+// stopped and run again.
 func Yields(job *model.Job, t *model.Task) bool {
 	return t.Priority == model.Batch && (job.Spec.Throttleable || job.Spec.Checkpoints || job.Spec.Idempotent)
 }
 
-// addQueue adds what queued jobs need. Batch jobs take what is there and ask
-// for no VM, except while the site has more spares than it needs.
+// addQueue adds what queued urgent and normal jobs need. Batch jobs run on the
+// capacity that is there and never raise the demand.
 func addQueue(ix *Index, byPool map[model.PoolID]*Demand, o Options) {
 	for _, j := range ix.Queue {
 		d := byPool[j.Spec.Pool]
 		if d == nil || ix.Started(j.Spec.ID) {
 			continue
 		}
-		size := d.Pool.asked(o.size(&j.Spec), d.Unit)
+		size := d.Pool.jobDemand(o.size(&j.Spec), d.Unit)
 		switch j.Spec.Priority {
 		case model.Urgent:
 			d.Urgent = d.Urgent.Plus(size)
@@ -177,19 +183,19 @@
 	}
 }
 
-// asked is what a queued job asks of the pool: a whole VM when it is so large
-// that no instance fits beside it, and never more, however large it was
-// learned to be.
-func (p *Pool) asked(size, unit model.Resources) model.Resources {
+// jobDemand returns how much a queued job adds to the pool's demand: a whole VM
+// when the job is so large that no instance fits beside it, and never more,
+// however large its estimate has become.
+func (p *Pool) jobDemand(size, unit model.Resources) model.Resources {
 	size.MilliCPU, size.MemoryMB = min(size.MilliCPU, unit.MilliCPU), min(size.MemoryMB, unit.MemoryMB)
 	if p.NeedsClearVM(size, unit) {
-		return size.Max(share(unit, fillLimit))
+		return size.Max(scale(unit, fillLimit))
 	}
 	return size
 }
 
-// NeedsClearVM reports whether a job is so large that it only fits a VM of
-// the capacity on which no instance runs.
+// NeedsClearVM reports whether a job is so large that no instance of the
+// pool's services fits beside it on a VM of the given capacity.
 func (p *Pool) NeedsClearVM(size, capacity model.Resources) bool {
 	for _, s := range p.Services {
 		if size.Plus(s.Spec.Size).Fits(capacity) {
@@ -199,22 +205,23 @@
 	return len(p.Services) > 0
 }
 
-func (d *Demand) sum(ix *Index, o Options) {
+// compute derives the numbers of VMs from the resources that were added up.
+func (d *Demand) compute(ix *Index, o Options) {
 	limit := d.Pool.Spec.MaxVMs
 	instances := packInstances(d.Pool.Services, d.Unit)
 	jobs := d.Urgent.Plus(d.Running)
 	d.Instances = instances.vms
-	d.Hard = min(max(instances.vmsFor(jobs, d.Unit), d.spread()), limit)
+	d.Hard = min(max(instances.vmsFor(jobs, d.Unit), d.minSpread()), limit)
 	d.Floor = max(d.Hard, min(d.Pool.Spec.MinVMs, limit))
-	kept := share(d.Yielding, o.moveShare(ix))
+	kept := scale(d.Yielding, o.moveShare(ix))
 	wanted := max(instances.vmsFor(jobs.Plus(d.Waiting).Plus(kept), d.Unit), d.Floor)
 	d.Headroom = d.headroom(ix, o)
 	d.Want = min(wanted+d.Headroom, limit)
 }
 
-// spread is the number of VMs over which the services must lie so that no
-// single one carries more instances than its service can spare.
-func (d *Demand) spread() int {
+// minSpread returns the number of VMs over which the services must be spread
+// so that no VM carries more instances of a service than it can lose.
+func (d *Demand) minSpread() int {
 	need := 0
 	for _, s := range d.Pool.Services {
 		spare := s.Spec.Instances - s.Spec.MinAvailable
@@ -225,9 +232,10 @@
 	return need
 }
 
-// headroom is what the pool holds in itself for the loss of its worst rack,
-// so that the loss moves no VM. It grows with the weight of moves: at 1 each
-// pool holds its own reserve, at 0 all pools share the spares.
+// headroom returns how many VMs the pool reserves for the loss of the rack with
+// the most of its VMs, so that the loss moves no VM. It grows with the weight
+// of moves: at 1 each pool has its own full reserve, at 0 all pools rely on the
+// shared spares.
 func (d *Demand) headroom(ix *Index, o Options) int {
 	perRack := make(map[int]int)
 	worst := 0
@@ -241,20 +249,22 @@
 	return int(math.Round(float64(worst) * o.moveShare(ix)))
 }
 
-// vmsFor is the number of VMs of size unit that a total needs.
+// vmsFor returns the number of VMs of size unit that a total needs.
 func vmsFor(total, unit model.Resources) int {
-	n := ratio(total.MilliCPU, unit.MilliCPU, fillLimit)
-	n = max(n, ratio(total.MemoryMB, unit.MemoryMB, fillLimit))
-	return max(n, ratio(total.Accelerators, unit.Accelerators, 1))
+	n := unitsNeeded(total.MilliCPU, unit.MilliCPU, fillLimit)
+	n = max(n, unitsNeeded(total.MemoryMB, unit.MemoryMB, fillLimit))
+	return max(n, unitsNeeded(total.Accelerators, unit.Accelerators, 1))
 }
 
-func ratio(total, unit int64, fill float64) int {
+// unitsNeeded returns how many units a total takes when each is filled to the
+// share fill.
+func unitsNeeded(total, unit int64, fill float64) int {
 	if total <= 0 || unit <= 0 {
 		return 0
 	}
 	return int(math.Ceil(float64(total) / (float64(unit) * fill)))
 }
 
-func share(r model.Resources, f float64) model.Resources {
+func scale(r model.Resources, f float64) model.Resources {
 	return model.Resources{MilliCPU: int64(float64(r.MilliCPU) * f), MemoryMB: int64(float64(r.MemoryMB) * f), Accelerators: int64(float64(r.Accelerators) * f)}
 }
--- a/internal/fleet/fill.go
+++ b/internal/fleet/fill.go
@@ -8,25 +8,25 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// level is how badly a pool lacks VMs; a larger one goes first.
+// level is the severity of a pool's shortage of VMs; the highest is served first.
 type level uint8
 
 const (
-	// levelNone: it lacks none.
+	// levelNone: the pool is not short.
 	levelNone level = iota
-	// levelWant: waiting jobs or headroom would like one.
+	// levelWant: VMs are missing for waiting jobs or headroom.
 	levelWant
-	// levelFloor: it is below its least size.
+	// levelFloor: the pool is below its minimum size.
 	levelFloor
-	// levelHard: instances or urgent jobs have no room.
+	// levelHard: VMs are missing for instances or urgent jobs.
 	levelHard
 )
 
-// lack says how many VMs the pool lacks, and how badly.
-func (d *Demand) lack() (int, level) {
+// shortage returns how many VMs the pool is short of, and how severe that is.
+func (d *Demand) shortage() (int, level) {
 	here := d.Ready + d.Coming
 	expected := here + d.Returning
-	if d.calm() {
+	if d.canWait() {
 		here += d.Patient
 	}
 	switch {
@@ -40,27 +40,30 @@
 	return 0, levelNone
 }
 
-// fillPools gives VMs to the pools that lack them, the worst lack first.
+// fillPools assigns VMs to the pools that are short, the most severe shortage
+// first.
 func (d *decider) fillPools() {
 	s := newSources(d.ix, d.o.Rules)
 	stuck := make(map[*Demand]level)
 	for {
-		demand, lvl := d.neediest(stuck)
+		demand, lvl := d.nextToFill(stuck)
 		if demand == nil {
 			return
 		}
-		if !d.giveOne(demand, lvl, s) {
+		if !d.assignVM(demand, lvl, s) {
 			stuck[demand] = lvl
 		}
 	}
 }
 
-// neediest picks the pool with the worst lack, then the largest share lacking.
-func (d *decider) neediest(stuck map[*Demand]level) (*Demand, level) {
+// nextToFill picks the pool with the most severe shortage and, among equals,
+// the one that is short of the largest share of its VMs. Pools that could get
+// no VM at the level in stuck are left out.
+func (d *decider) nextToFill(stuck map[*Demand]level) (*Demand, level) {
 	var best *Demand
 	bestLevel, bestShare := levelNone, 0.0
 	for _, demand := range d.demands {
-		n, lvl := demand.lack()
+		n, lvl := demand.shortage()
 		if lvl == levelNone || lvl <= stuck[demand] {
 			continue
 		}
@@ -72,21 +75,22 @@
 	return best, bestLevel
 }
 
-// giveOne finds one VM for the pool. It reports whether there was one.
-func (d *decider) giveOne(demand *Demand, lvl level, s *sources) bool {
+// assignVM gives one VM to the pool and reports whether it found one. A pool at
+// its maximum size gets none; one of its lost VMs is removed instead.
+func (d *decider) assignVM(demand *Demand, lvl level, s *sources) bool {
 	spec := demand.Pool.Spec
-	if lvl == levelHard && d.takeBack(demand) {
+	if lvl == levelHard && d.cancelMoveOut(demand) {
 		return true
 	}
 	if demand.Pool.Size() >= spec.MaxVMs && !d.o.Rules.SkipMax {
-		return d.makeRoom(demand, lvl)
+		return d.removeLostVM(demand, lvl)
 	}
 	if v := s.takeNew(demand.Pool); v != nil {
 		d.move(v, spec.ID, fmt.Sprintf("pool %s %s", spec.ID, demand.Words()))
 		demand.Ready++
 		return true
 	}
-	if lvl == levelWant && !d.spareToSpare(s) {
+	if lvl == levelWant && !d.useSurplusSpare(s) {
 		return false
 	}
 	if v := s.takeSpare(demand.Pool); v != nil {
@@ -100,9 +104,9 @@
 	return d.takeFromDonor(demand, s)
 }
 
-// takeBack ends the move of a VM that was to leave the pool and has not left:
-// the pool lacks it more now.
-func (d *decider) takeBack(demand *Demand) bool {
+// cancelMoveOut calls off the move of a VM that is still in the pool, because
+// the pool itself is short now.
+func (d *decider) cancelMoveOut(demand *Demand) bool {
 	if len(demand.Pool.Members())+len(demand.Pool.Incoming) >= demand.Pool.Spec.MaxVMs {
 		return false
 	}
@@ -119,9 +123,9 @@
 	return false
 }
 
-// spareToSpare reports whether a spare beyond those needed for the next
-// failure is left for a pool that merely wants one.
-func (d *decider) spareToSpare(s *sources) bool {
+// useSurplusSpare reports whether a spare beyond those reserved for the next
+// failure is left for a pool whose shortage is levelWant, and counts it as used.
+func (d *decider) useSurplusSpare(s *sources) bool {
 	if s.surplusSpares < 0 {
 		s.surplusSpares = max(0, -sparesNeeded(d.ix, d.o, d.demands).Balance())
 	}
@@ -132,9 +136,9 @@
 	return true
 }
 
-// makeRoom takes a lost VM out of a pool that is at its largest size, so that
-// another can replace it.
-func (d *decider) makeRoom(demand *Demand, lvl level) bool {
+// removeLostVM moves a lost VM out of a pool that is at its maximum size, so
+// that another VM can replace it.
+func (d *decider) removeLostVM(demand *Demand, lvl level) bool {
 	if lvl == levelWant {
 		return false
 	}
@@ -149,9 +153,9 @@
 	return false
 }
 
-// takeFromDonor moves a VM from a pool that has some to spare, or that a spare
-// can fill again which the other pool may not have. The VM with the least to
-// relocate goes, and none that moved a short while ago.
+// takeFromDonor moves a VM from another pool that has a surplus, or that can
+// itself be refilled with a new VM or spare that the pool in need may not have.
+// It picks the VM with the lowest relocation cost, and none that moved recently.
 func (d *decider) takeFromDonor(demand *Demand, s *sources) bool {
 	var best *VM
 	var donor *Demand
@@ -167,7 +171,7 @@
 			}
 		}
 	}
-	if best == nil || !d.mayLeave(best) {
+	if best == nil || !d.canLeavePool(best) {
 		return false
 	}
 	idle := best.Idle()
@@ -183,9 +187,12 @@
 	return true
 }
 
-// instanceMoveCost is what relocating an instance counts against a job's one.
+// instanceMoveCost is the cost of relocating an instance; that of a job is 1.
 const instanceMoveCost = 3
 
+// donorCost returns the cost of relocating the tasks of a VM. It is not ok when
+// the VM can't be moved to the pool.
+
 func (d *decider) donorCost(v *VM, from *Demand, to *model.Pool) (cost int, ok bool) {
 	settled := d.ix.Snap.Now.Sub(v.Owner.Since) >= d.o.MoveHold
 	if v.Block != Open || !settled || !Eligible(to, v.Listed) {
@@ -204,9 +211,10 @@
 	return cost, true
 }
 
-// evictMisfits takes VMs out of pools that they no longer fit: the manifest
-// dropped the pool, or changed its shape, availability zones or largest size.
-func (d *decider) evictMisfits() {
+// evictDisallowed moves VMs out of pools that the manifest no longer allows for
+// them: it dropped the pool, or changed its shape, availability zones or
+// maximum size.
+func (d *decider) evictDisallowed() {
 	byPool := make(map[model.PoolID]*Demand, len(d.demands))
 	for _, demand := range d.demands {
 		byPool[demand.Pool.Spec.ID] = demand
@@ -215,7 +223,7 @@
 		if v.Owner == nil || v.Owner.Pool == "" || v.Moving() || v.Permit != nil || v.Listed == nil {
 			continue
 		}
-		if why := d.misfit(v, byPool[v.Owner.Pool]); why != "" && d.mayLeave(v) {
+		if why := d.evictionReason(v, byPool[v.Owner.Pool]); why != "" && d.canLeavePool(v) {
 			d.evict(v, byPool[v.Owner.Pool], why)
 		}
 	}
@@ -231,11 +239,11 @@
 	d.move(v, "", why)
 }
 
-// misfit says why a VM must leave its pool; empty when it need not, or while
-// the pool can't do without it. A pool without surplus lets one go when
-// another can take its place at once: it would else keep what the manifest
-// forbids for good.
-func (d *decider) misfit(v *VM, demand *Demand) string {
+// evictionReason returns why a VM must leave its pool; it is empty when the VM
+// may stay or while the pool can't do without it. A pool without surplus
+// releases an ineligible VM when another can replace it at once; otherwise it
+// would keep a VM that the manifest forbids for good.
+func (d *decider) evictionReason(v *VM, demand *Demand) string {
 	if demand == nil {
 		return fmt.Sprintf("the manifest has no pool %s", v.Owner.Pool)
 	}
@@ -243,7 +251,7 @@
 	spared := v.Block != Open || demand.Ready > demand.Hard
 	switch {
 	case !Eligible(spec, v.Listed):
-		if spared || demand.Ready == demand.Hard && replaceable(d.ix, spec) {
+		if spared || demand.Ready == demand.Hard && replacementAvailable(d.ix, spec) {
 			return fmt.Sprintf("pool %s no longer allows the VM's shape or availability zone", spec.ID)
 		}
 	case spared && demand.staying > spec.MaxVMs:
@@ -252,8 +260,9 @@
 	return ""
 }
 
-// replaceable reports whether a new VM or a shared spare could join the pool now.
-func replaceable(ix *Index, p *model.Pool) bool {
+// replacementAvailable reports whether a new VM or a shared spare could join
+// the pool now.
+func replacementAvailable(ix *Index, p *model.Pool) bool {
 	return slices.ContainsFunc(ix.VMs, func(v *VM) bool {
 		fresh := v.Owner == nil && v.Healthy() && usable(v)
 		return (fresh || SpareReady(v)) && Eligible(p, v.Listed)
--- a/internal/fleet/guard.go
+++ b/internal/fleet/guard.go
@@ -8,44 +8,48 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// The guards look at each action as it is planned, at the tables alone and not
-// at how the decision came about. They change nothing: a broken invariant is a
-// fault of the program, to be counted and logged by whoever reads Broken.
+// The guards check each action when it is planned. They read only the tables,
+// not how the decision was made, and change nothing. A violated invariant is a
+// bug in this program; the callers of Broken count and log it.
 
 // Names of the invariants that the guards check.
 const (
-	// InvariantCapacity: placed work never exceeds a VM by our own estimate.
+	// InvariantCapacity: placed work never exceeds the VM's free capacity, by
+	// this program's own estimate.
 	InvariantCapacity = "no-over-commit"
-	// InvariantOpenVM: new work goes only to VMs that take it.
+	// InvariantOpenVM: new work goes only to open VMs of its pool, or as a
+	// probe to a quarantined one.
 	InvariantOpenVM = "placed-on-open-vm"
-	// InvariantQuota: a team's running jobs keep its quota.
+	// InvariantQuota: a team's running jobs stay within its quota.
 	InvariantQuota = "quota-kept"
-	// InvariantOneTask: a job or an instance has one task at most.
+	// InvariantOneTask: a job or an instance has at most one task.
 	InvariantOneTask = "one-task"
 	// InvariantPoolFit: a VM joins only pools that its shape and availability zone allow.
 	InvariantPoolFit = "pool-fits-vm"
-	// InvariantPoolMax: a pool never exceeds its largest size by a move.
+	// InvariantPoolMax: no move takes a pool beyond its maximum size.
 	InvariantPoolMax = "pool-max"
-	// InvariantMoveFree: no move begins under maintenance, none ends with tasks left.
+	// InvariantMoveFree: no move begins or finishes under maintenance, and none
+	// finishes while tasks are left.
 	InvariantMoveFree = "move-when-free"
-	// InvariantForget: entries are dropped only after a long absence, few at a time.
+	// InvariantForget: entries are dropped only after a long absence, a few in
+	// each round.
 	InvariantForget = "forget-bounded"
 )
 
-// maxBroken bounds the broken invariants kept for one round.
-const maxBroken = 64
+// maxViolations bounds the violations that are kept for one round.
+const maxViolations = 64
 
-// Guard notes a broken invariant when holds is false.
+// Guard records a violation of the invariant when holds is false.
 func (ix *Index) Guard(holds bool, invariant, format string, args ...any) {
-	if holds || len(ix.broken) >= maxBroken {
+	if holds || len(ix.violations) >= maxViolations {
 		return
 	}
-	ix.broken = append(ix.broken, state.Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
+	ix.violations = append(ix.violations, state.Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
 // Broken returns the invariants that the actions planned in this round would
-// break. It is empty unless the program has a fault.
-func (ix *Index) Broken() []state.Violation { return ix.broken }
+// violate. It is empty unless this program has a bug.
+func (ix *Index) Broken() []state.Violation { return ix.violations }
 
 func (ix *Index) guardStart(t *model.Task, pool model.PoolID) {
 	v := ix.vms[t.VM]
@@ -61,12 +65,12 @@
 		return
 	}
 	s := ix.services[t.Service]
-	ix.Guard(s != nil && s.free(t.Ordinal), InvariantOneTask, "instance %s/%d has a task already", t.Service, t.Ordinal)
+	ix.Guard(s != nil && s.ordinalFree(t.Ordinal), InvariantOneTask, "instance %s/%d has a task already", t.Service, t.Ordinal)
 }
 
-// free reports whether no task is recorded for an ordinal, which may lie
-// beyond the number of instances.
-func (s *Service) free(ordinal int) bool {
+// ordinalFree reports whether no task is recorded for an ordinal. The ordinal
+// may be beyond the number of instances.
+func (s *Service) ordinalFree(ordinal int) bool {
 	if ordinal >= 0 && ordinal < len(s.Tasks) {
 		return s.Tasks[ordinal] == nil
 	}
@@ -87,8 +91,8 @@
 	}
 }
 
-// isProbe reports whether a task may test a quarantined VM: the first there,
-// due, and of a batch job that can run again.
+// isProbe reports whether a task may probe a quarantined VM: the probe is due,
+// the VM is idle, and the task is of a batch job that can run again.
 func (ix *Index) isProbe(v *VM, t *model.Task) bool {
 	job := ix.Job(t.Job)
 	return v.Block == BlockQuarantine && v.Quarantine.ProbeAt <= ix.Snap.Now && v.Idle() &&
@@ -121,8 +125,9 @@
 	ix.Guard(free, InvariantMoveFree, "the move of VM %s ends while something holds on to it", id)
 }
 
-// guardForget allows one VM in a hundred a round, and only of those that the
-// platform has long not listed.
+// guardForget allows at most one entry in fifty, and at least one, to be
+// dropped in a round, and only those of idle VMs that the platform has not
+// listed for at least half of the default of Options.ForgetAfter.
 func (ix *Index) guardForget(id model.VMID) {
 	v := ix.vms[id]
 	since, known := ix.Snap.Absent[id]
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -11,8 +11,8 @@
 )
 
 // Index joins the tables of one snapshot for cheap queries. It is built for
-// one round of decisions and used by one goroutine: what a decision plans is
-// entered by Plan, so that later decisions of the same round see it.
+// one round of decisions and used by one goroutine. Plan enters the planned
+// actions, so that later decisions of the same round see them.
 type Index struct {
 	Snap *Snapshot
 	// VMs are all VMs that are listed or have an entry, by ID.
@@ -22,41 +22,42 @@
 	Services []*Service
 	// Spares are the VMs whose entry names no pool, by ID.
 	Spares []*VM
-	// Total is what all listed VMs offer together.
+	// Total is the sum of the capacities of all listed VMs.
 	Total model.Resources
-	// Strays are the tasks on VMs that are neither listed nor entered.
+	// Strays are the tasks on VMs that are neither listed nor have an entry.
 	Strays []*model.Task
 	// Queue holds the queued jobs in the order of Submitted, then ID.
 	Queue []*model.Job
-	// Zones and Racks name the failure domains by their numbers; a rack is
-	// named with its availability zone before it.
+	// Zones and Racks are the names of the failure domains by number; the name
+	// of a rack starts with that of its availability zone.
 	Zones []model.ZoneID
 	Racks []string
 	// RackZone is the number of each rack's availability zone.
 	RackZone []int
 
-	vms      map[model.VMID]*VM
-	workers  map[model.WorkerID]*VM
-	pools    map[model.PoolID]*Pool
-	services map[model.ServiceID]*Service
-	teams    map[model.TeamID]*Team
-	zones    map[model.ZoneID]int
-	racks    map[string]int
-	arrived  map[model.JobID]*model.Job
-	planned  planned
-	broken   []state.Violation
+	vms        map[model.VMID]*VM
+	workers    map[model.WorkerID]*VM
+	pools      map[model.PoolID]*Pool
+	services   map[model.ServiceID]*Service
+	teams      map[model.TeamID]*Team
+	zones      map[model.ZoneID]int
+	racks      map[string]int
+	newJobs    map[model.JobID]*model.Job
+	planned    planned
+	violations []state.Violation
 }
 
 // Pool is a pool of the manifest with its VMs.
 type Pool struct {
 	Spec *model.Pool
-	// VMs are those whose entry names the pool, moving out included, by ID.
+	// VMs are those whose entry names the pool, by ID; they include those
+	// moving out.
 	VMs []*VM
 	// Incoming are the VMs that move to the pool, by ID.
 	Incoming []*VM
 	// Services are those that run on the pool.
 	Services []*Service
-	// Wave is the wave that is on in the pool, or nil.
+	// Wave is the wave of the pool that started last, or nil.
 	Wave *model.Wave
 }
 
@@ -65,15 +66,17 @@
 	Spec *model.Service
 	// Tasks holds the task of each ordinal, nil where there is none.
 	Tasks []*model.Task
-	// Extra are tasks of ordinals that the manifest no longer asks for.
+	// Extra are the tasks of ordinals beyond the number of instances.
 	Extra []*model.Task
 	// Available counts the instances that serve on a healthy VM which is
 	// neither under a permit nor quarantined.
 	Available int
 }
 
-// planned is what the decisions of this round entered by Plan.
+// planned holds what the actions entered by Plan in this round change.
 type planned struct {
+	// jobs holds, for each job that an action starts or changes, whether it is
+	// no longer queued.
 	jobs  map[model.JobID]bool
 	ended map[model.TaskID]bool
 	// forgotten counts the entries dropped.
@@ -92,7 +95,7 @@
 		teams:    make(map[model.TeamID]*Team),
 		zones:    make(map[model.ZoneID]int),
 		racks:    make(map[string]int),
-		arrived:  make(map[model.JobID]*model.Job),
+		newJobs:  make(map[model.JobID]*model.Job),
 		planned:  planned{jobs: make(map[model.JobID]bool), ended: make(map[model.TaskID]bool)},
 	}
 	ix.addSite()
@@ -104,49 +107,49 @@
 	return ix
 }
 
-// VM returns the VM, nil when it is neither listed nor entered.
+// VM returns the VM, or nil when it is neither listed nor has an entry.
 func (ix *Index) VM(id model.VMID) *VM { return ix.vms[id] }
 
-// Worker returns the VM of a worker, nil when the platform does not list it.
+// Worker returns the VM of a worker, or nil when the platform does not list it.
 func (ix *Index) Worker(id model.WorkerID) *VM { return ix.workers[id] }
 
-// Pool returns the pool of the manifest, nil when there is none.
+// Pool returns the pool, or nil when the manifest has none of this ID.
 func (ix *Index) Pool(id model.PoolID) *Pool { return ix.pools[id] }
 
-// Service returns the service of the manifest, nil when there is none.
+// Service returns the service, or nil when the manifest has none of this ID.
 func (ix *Index) Service(id model.ServiceID) *Service { return ix.services[id] }
 
-// Team returns the team of the manifest, nil when there is none.
+// Team returns the team, or nil when the manifest has none of this ID.
 func (ix *Index) Team(id model.TeamID) *Team { return ix.teams[id] }
 
-// Job returns the job, nil when it is not recorded.
+// Job returns the job, or nil when it is not recorded.
 func (ix *Index) Job(id model.JobID) *model.Job {
-	if j := ix.arrived[id]; j != nil {
+	if j := ix.newJobs[id]; j != nil {
 		return j
 	}
 	return ix.Snap.View.Jobs[id]
 }
 
-// Arrive enters jobs that were submitted after the snapshot was taken, so that
-// they can be decided about without a new index.
+// Arrive adds jobs that were submitted after the snapshot was taken, so that
+// decisions about them need no new index.
 func (ix *Index) Arrive(jobs ...*model.Job) {
 	for _, j := range jobs {
-		ix.arrived[j.Spec.ID] = j
+		ix.newJobs[j.Spec.ID] = j
 	}
 }
 
-// Now is the instant of the snapshot.
+// Now returns the instant of the snapshot.
 func (ix *Index) Now() model.Instant { return ix.Snap.Now }
 
-// LeaseUntil is the end of a lease that begins now.
+// LeaseUntil returns the end of a lease that begins now.
 func (ix *Index) LeaseUntil() model.Instant {
 	return ix.Snap.Now.Add(cmp.Or(ix.Snap.Lease, DefaultLease))
 }
 
-// Lease is how long a new lease lasts.
+// Lease returns how long a new lease lasts.
 func (ix *Index) Lease() time.Duration { return cmp.Or(ix.Snap.Lease, DefaultLease) }
 
-// Policy returns the weights of the manifest; zero without one.
+// Policy returns the weights of the manifest; they are zero without a manifest.
 func (ix *Index) Policy() model.Policy {
 	if ix.Snap.View.Site == nil {
 		return model.Policy{}
@@ -162,7 +165,7 @@
 	return 0
 }
 
-// Started reports whether a decision of this round starts the job.
+// Started reports whether an action planned in this round starts the job.
 func (ix *Index) Started(id model.JobID) bool { return ix.planned.jobs[id] }
 
 // InstanceAvailable reports whether a task counts as an available instance.
@@ -171,7 +174,7 @@
 	return v != nil && ix.Snap.Serving[t.ID] && v.Healthy() && v.Permit == nil && v.Quarantine == nil
 }
 
-// Charge is what a task is taken to need of its worker now.
+// Charge returns the estimated resources that a task needs of its worker now.
 func (ix *Index) Charge(t *model.Task) model.Resources {
 	u := ix.Snap.Usage[t.ID]
 	return estimate.Charge(t, estimate.Measurement{Used: u.Used, At: u.At}, ix.Snap.Now)
@@ -204,7 +207,7 @@
 	}
 }
 
-// currentWave is the wave of the pool that started last.
+// currentWave returns the wave of the pool that started last, or nil.
 func currentWave(site *model.Site, pool model.PoolID, now model.Instant) *model.Wave {
 	var current *model.Wave
 	for i := range site.Waves {
@@ -246,8 +249,8 @@
 	}
 }
 
-// addDomain numbers the VM's availability zone and rack; VMs come by ID, so
-// that the numbers are the same for the same snapshot.
+// addDomain numbers the VM's availability zone and rack. VMs are added in the
+// order of their IDs, so that equal snapshots yield equal numbers.
 func (ix *Index) addDomain(v *VM) {
 	v.Zone, v.Rack = -1, -1
 	if v.Listed == nil {
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// joinPool enters a VM in the lists that its entry names.
+// joinPool adds a VM to the lists of the pools that its entry names, or to the
+// spares.
 func (ix *Index) joinPool(v *VM) {
 	if v.Owner.Pool == "" {
 		ix.Spares = append(ix.Spares, v)
@@ -33,24 +34,24 @@
 // leavePool is the inverse of joinPool.
 func (ix *Index) leavePool(v *VM) {
 	if v.Owner.Pool == "" {
-		ix.Spares = without(ix.Spares, v)
+		ix.Spares = removeVM(ix.Spares, v)
 	}
 	if p := ix.pools[v.Owner.Pool]; p != nil {
-		p.VMs = without(p.VMs, v)
+		p.VMs = removeVM(p.VMs, v)
 	}
 	if p := ix.pools[v.Owner.Target]; p != nil && v.Owner.Moving {
-		p.Incoming = without(p.Incoming, v)
+		p.Incoming = removeVM(p.Incoming, v)
 	}
 }
 
-func without(vms []*VM, v *VM) []*VM {
+func removeVM(vms []*VM, v *VM) []*VM {
 	return slices.DeleteFunc(vms, func(o *VM) bool { return o == v })
 }
 
 func (ix *Index) addTasks() {
 	for _, v := range ix.VMs {
-		v.Tasks = make([]*model.Task, 0, tasksGuess)
-		v.Running = make([]Running, 0, tasksGuess)
+		v.Tasks = make([]*model.Task, 0, initialTaskCapacity)
+		v.Running = make([]Running, 0, initialTaskCapacity)
 	}
 	for _, t := range ix.Snap.View.Tasks {
 		ix.addTask(t)
@@ -60,8 +61,8 @@
 	}
 }
 
-// tasksGuess is for how many tasks of a VM memory is set aside at first.
-const tasksGuess = 8
+// initialTaskCapacity is the initial capacity of a VM's list of tasks.
+const initialTaskCapacity = 8
 
 func (ix *Index) addTask(t *model.Task) {
 	r := Running{Task: t, Charge: ix.Charge(t)}
@@ -89,9 +90,9 @@
 	}
 }
 
-// addTask enters a task with its charge. What the VM was measured to use
-// beyond the charges of its tasks is taken off its room; tasks that started
-// after the measurement are not in it.
+// addTask adds a task and its charge. Measured use of the VM beyond the charges
+// of its tasks reduces its free capacity. The measurement does not cover tasks
+// that started after it was taken.
 func (v *VM) addTask(r Running) {
 	v.Tasks = append(v.Tasks, r.Task)
 	v.Running = append(v.Running, r)
@@ -100,10 +101,10 @@
 		return
 	}
 	if r.Task.Started <= v.Listed.UsageAt {
-		v.explained = v.explained.Plus(r.Charge)
+		v.attributed = v.attributed.Plus(r.Charge)
 	}
-	v.measured = v.Listed.Busy.Minus(v.explained).Max(model.Resources{})
-	v.measured.Accelerators = 0
+	v.unattributed = v.Listed.Busy.Minus(v.attributed).Max(model.Resources{})
+	v.unattributed.Accelerators = 0
 }
 
 func (ix *Index) chargeTeam(r *Running) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// queued is a job with its place in the queue, so that sorting does not have
-// to look at the jobs themselves.
+// queued is a job with its sort key, so that sorting does not have to follow
+// the pointers to the jobs.
 type queued struct {
 	submitted model.Instant
 	job       *model.Job
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -7,19 +7,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// packed is how many VMs of one size the instances of a pool fill, and what
-// they leave on them.
+// packed is the result of packing the instances of a pool onto VMs of one size:
+// the number of VMs and the capacity that stays free on them.
 type packed struct {
 	vms  int
-	left model.Resources
+	free model.Resources
 }
 
-// packInstances lays the instances out, the largest first, each on the first
-// VM with room.
+// packInstances packs the instances by first-fit decreasing: the largest first,
+// each on the first VM with enough free capacity.
 //
-// Dividing the sum of their sizes by a VM's would count parts of VMs on which
-// no instance fits any more: a pool of ten instances of 0.6 VMs would be taken
-// to need seven VMs and run seven instances.
+// Dividing the sum of their sizes by the size of a VM would count parts of VMs
+// on which no instance fits any more: ten instances of 0.6 VMs would get seven
+// VMs, of which each runs one instance.
 func packInstances(services []*Service, unit model.Resources) packed {
 	if unit.IsZero() {
 		return packed{}
@@ -32,7 +32,8 @@
 	for _, s := range sorted {
 		first := 0
 		for range s.Spec.Instances {
-			// What had no room for one of the size has none for the next.
+			// VMs that were too full for one instance of this size are too full
+			// for the next.
 			for first < len(vms) && !s.Spec.Size.Fits(vms[first]) {
 				first++
 			}
@@ -44,7 +45,7 @@
 	}
 	p := packed{vms: len(vms)}
 	for _, left := range vms {
-		p.left = p.left.Plus(left.Max(model.Resources{}))
+		p.free = p.free.Plus(left.Max(model.Resources{}))
 	}
 	return p
 }
@@ -60,9 +61,9 @@
 	return float64(v) / float64(unit)
 }
 
-// vmsFor is how many VMs instances and jobs need together: jobs fill what the
-// instances leave, as far as it can be filled.
+// vmsFor returns how many VMs instances and jobs need together. Jobs use the
+// capacity that the instances leave free, up to fillLimit.
 func (p packed) vmsFor(jobs, unit model.Resources) int {
-	beyond := jobs.Minus(share(p.left, fillLimit)).Max(model.Resources{})
+	beyond := jobs.Minus(scale(p.free, fillLimit)).Max(model.Resources{})
 	return p.vms + vmsFor(beyond, unit)
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -7,9 +7,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Plan enters actions that a decision took in this round, so that decisions
-// after it neither repeat nor contradict them. Every decision of this package
-// and of placement plans what it returns; other packages may call it too.
+// Plan applies actions to the index that were decided in this round, so that
+// later decisions neither repeat nor contradict them. Every decision of this
+// package and of placement plans the actions that it returns; other packages
+// may call Plan too.
 func (ix *Index) Plan(actions ...state.Action) {
 	for i := range actions {
 		ix.plan(&actions[i])
@@ -41,7 +42,7 @@
 	}
 }
 
-// Ending reports whether a decision of this round ends the task.
+// Ending reports whether an action planned in this round ends the task.
 func (ix *Index) Ending(id model.TaskID) bool { return ix.planned.ended[id] }
 
 func (ix *Index) planMove(m *state.BeginMove) {
@@ -98,7 +99,7 @@
 	task := *t
 	ix.planned.jobs[task.Job] = task.Job != ""
 	if v := ix.vms[task.VM]; v != nil {
-		v.placed++
+		v.plannedStarts++
 	}
 	ix.addTask(&task)
 }
@@ -116,14 +117,15 @@
 	v.Block = v.block()
 }
 
-// PlacedNow counts the tasks that decisions of this round start on the VM.
-func (v *VM) PlacedNow() int { return v.placed }
+// PlacedNow returns the number of tasks that actions planned in this round
+// start on the VM.
+func (v *VM) PlacedNow() int { return v.plannedStarts }
 
-// Members returns the VMs of the pool that do not move out.
+// Members returns the VMs of the pool that are not moving out.
 func (p *Pool) Members() []*VM {
 	return slices.DeleteFunc(slices.Clone(p.VMs), (*VM).Moving)
 }
 
-// Size counts the VMs that are, or will be, in the pool: those moving out are
-// still in it and those moving in are counted already.
+// Size returns the number of VMs that are or will be in the pool, including
+// those moving out and those moving in.
 func (p *Pool) Size() int { return len(p.VMs) + len(p.Incoming) }
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -1,4 +1,4 @@
-// Package fleet decides which pool each VM serves and holds the snapshot that
+// Package fleet decides which pool each VM serves and defines the snapshot that
 // every decision about the fleet reads.
 package fleet
 
@@ -9,50 +9,54 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// DefaultLease is how long a task's lease lasts unless the snapshot says otherwise.
+// DefaultLease is how long a task's lease lasts unless the snapshot sets Lease.
 const DefaultLease = 30 * time.Second
 
 // Snapshot is the immutable input of every decision: the replicated tables,
-// what the platform lists, and which instances announced themselves. Decisions
-// are pure functions of it that return actions with reasons.
+// the VMs that the platform lists, and the instances that announced
+// themselves. Decisions are pure functions of it and return actions with
+// reasons.
 type Snapshot struct {
 	Now  model.Instant
 	View *state.View
-	// VMs is what the platform listed last, by VM.
+	// VMs holds the VMs of the platform's last list.
 	VMs map[model.VMID]*model.VM
 	// Serving holds the instances that announced themselves as serving. An
 	// instance announces under the ID of its task.
 	Serving map[model.TaskID]bool
-	// Region qualifies the IDs of the tasks that are started; may be empty.
+	// Region qualifies the IDs of new tasks; it may be empty.
 	Region model.RegionID
 	// Lease is how long a new or renewed lease lasts; 0 means DefaultLease.
 	Lease time.Duration
-	// Usage is the last measured use of tasks, which lags; tasks may be missing.
+	// Usage holds the last measured use of tasks. It lags behind, and tasks may
+	// be missing.
 	Usage map[model.TaskID]Usage
-	// Absent says since when the platform's list lacks a VM that has an entry,
-	// as Absence.Observe keeps it. No entry is dropped while this is empty.
+	// Absent holds since when each VM that has an entry is missing from the
+	// platform's list, as returned by Absence.Observe. No entry is dropped
+	// while it is empty.
 	Absent map[model.VMID]model.Instant
-	// Gone are the recorded tasks that the platform says it does not run.
-	// Their leases are not renewed, so that they lapse and make room.
+	// Gone holds the recorded tasks that the platform reports as not running.
+	// Their leases are not renewed, so that they lapse and free their capacity.
 	Gone map[model.TaskID]bool
 }
 
-// Usage is what a task was measured to use at an instant.
+// Usage is the measured use of a task at an instant.
 type Usage struct {
 	Used model.Resources
 	At   model.Instant
 }
 
-// Absence keeps since when VMs that have an entry are missing from the
-// platform's list. It is soft state: a new leader starts anew, which only
-// delays the end of an entry.
+// Absence tracks since when VMs that have an entry are missing from the
+// platform's list. It is not replicated: a new leader starts with none, which
+// only delays the dropping of entries.
 type Absence struct {
 	since map[model.VMID]model.Instant
 }
 
-// Observe takes a complete answer of the platform and returns since when each
-// entry's VM is missing. An answer that lists nothing while entries exist is
-// taken for a fault of the platform and starts no absence.
+// Observe takes a complete list of the platform's VMs and returns since when
+// each VM that has an entry is missing. An empty list while entries exist is
+// treated as a fault of the platform: it starts no absence and ends all known
+// ones.
 func (a *Absence) Observe(now model.Instant, listed map[model.VMID]*model.VM, owners map[model.VMID]*model.Ownership) map[model.VMID]model.Instant {
 	next := make(map[model.VMID]model.Instant)
 	for id := range owners {
--- a/internal/fleet/sources.go
+++ b/internal/fleet/sources.go
@@ -6,27 +6,28 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// sources are the VMs that pools can be given: new ones and shared spares,
-// grouped by failure domain and capacity, so that choosing one does not look
-// at every VM.
+// sources holds the VMs that can be assigned to pools: new ones and shared
+// spares, grouped by failure domain and capacity, so that choosing one does
+// not visit every VM.
 type sources struct {
 	ix     *Index
 	rules  Rules
-	fresh  []*group
+	newVMs []*group
 	spares []*group
 	// members counts the VMs by pool and rack, and by pool and zone.
 	members map[*Pool]*spreadCount
-	// surplusSpares is how many spares are not needed; below 0 not worked out.
+	// surplusSpares is how many spares are not needed; -1 until it is computed.
 	surplusSpares int
 }
 
-// group holds VMs that are alike for the choice.
+// group holds VMs of the same rack and capacity.
 type group struct {
 	rack, zone int
 	capacity   model.Resources
 	vms        []*VM
 }
 
+// spreadCount counts the VMs of a pool by rack and by availability zone.
 type spreadCount struct {
 	rack []int
 	zone []int
@@ -39,7 +40,7 @@
 
 func newSources(ix *Index, rules Rules) *sources {
 	s := &sources{ix: ix, rules: rules, members: make(map[*Pool]*spreadCount), surplusSpares: -1}
-	s.fresh = grouped(ix.VMs, func(v *VM) bool { return v.Owner == nil && v.Healthy() && usable(v) })
+	s.newVMs = grouped(ix.VMs, func(v *VM) bool { return v.Owner == nil && v.Healthy() && usable(v) })
 	s.spares = grouped(ix.Spares, SpareReady)
 	return s
 }
@@ -49,6 +50,8 @@
 	return v.Block == BlockSpare && v.Idle() && v.Healthy() && usable(v)
 }
 
+// usable reports whether a listed VM is neither under maintenance, quarantined
+// nor drained.
 func usable(v *VM) bool { return v.Permit == nil && v.Quarantine == nil && !v.Listed.Drained }
 
 func grouped(vms []*VM, keep func(*VM) bool) []*group {
@@ -70,11 +73,12 @@
 	return groups
 }
 
-func (s *sources) takeNew(p *Pool) *VM   { return s.take(p, s.fresh) }
+func (s *sources) takeNew(p *Pool) *VM   { return s.take(p, s.newVMs) }
 func (s *sources) takeSpare(p *Pool) *VM { return s.take(p, s.spares) }
 
-// take removes the VM that spreads the pool best: the rack, then the
-// availability zone, with the fewest of its VMs, then the least left over.
+// take removes and returns the VM that spreads the pool best: from the rack,
+// then from the availability zone with the fewest VMs of the pool, then the one
+// whose capacity exceeds the pool's shape least.
 func (s *sources) take(p *Pool, groups []*group) *VM {
 	count := s.count(p)
 	var best *group
@@ -99,10 +103,11 @@
 	return v
 }
 
-// canFill reports whether a new VM or a spare is left that may join the pool.
+// canFill reports whether a new VM or a spare is left that is eligible for the
+// pool.
 func (s *sources) canFill(p *Pool) bool {
 	fits := func(g *group) bool { return len(g.vms) > 0 && Eligible(p.Spec, g.vms[0].Listed) }
-	return slices.ContainsFunc(s.fresh, fits) || slices.ContainsFunc(s.spares, fits)
+	return slices.ContainsFunc(s.newVMs, fits) || slices.ContainsFunc(s.spares, fits)
 }
 
 func (s *sources) count(p *Pool) *spreadCount {
@@ -120,7 +125,7 @@
 	return c
 }
 
-// add counts a VM unless it is gone: the failed do not spread anything.
+// add counts a healthy VM; failed VMs do not contribute to the spread.
 func (c *spreadCount) add(v *VM) {
 	if v.Rack >= 0 && v.Healthy() {
 		c.rack[v.Rack]++
@@ -128,6 +133,7 @@
 	}
 }
 
+// less compares two scores in lexicographic order.
 func less(a, b [4]int64) bool {
 	for i := range a {
 		if a[i] != b[i] {
--- a/internal/fleet/spares.go
+++ b/internal/fleet/spares.go
@@ -8,13 +8,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Spares is how many shared spares the site needs to absorb the loss of its
-// worst rack on top of what is away now, with the terms of the sum.
+// Spares holds how many shared spares the site needs to absorb the loss of its
+// worst rack in addition to the VMs that are unavailable now, and how this is
+// made up.
 type Spares struct {
-	// Needed is the sum of Terms; Have counts the ready spares outside the
-	// worst rack that fit a term.
+	// Needed is the sum of the shortfalls in Terms; Have counts the ready
+	// spares outside the worst rack that can cover them.
 	Needed, Have int
-	// Rack is the worst rack; empty when no loss leaves a pool short.
+	// Rack is the worst rack; empty when no loss of a rack adds to the shortfall.
 	Rack string
 	// Permits counts the permits in flight: their VMs are not ready, and so
 	// are part of the shortfalls.
@@ -25,15 +26,16 @@
 	Ready int
 }
 
-// SpareTerm is what one pool lacks when the rack is lost.
+// SpareTerm is the shortfall of one pool when the rack is lost.
 type SpareTerm struct {
 	Pool model.PoolID
-	// Hard is what instances and work that can't yield need, Ready what the
-	// pool has, InRack what it would lose, Shortfall what it would lack.
+	// All count VMs: Hard is the pool's Demand.Hard, Ready what the pool has,
+	// InRack what it would lose, Shortfall what would then be missing.
 	Hard, Ready, InRack, Shortfall int
 }
 
-// Balance is how many spares are missing; below 0 as many are left over.
+// Balance returns how many spares are missing. A negative value is the number
+// of spares beyond those needed.
 func (s *Spares) Balance() int {
 	if s.Needed > s.Have {
 		return s.Needed - s.Have
@@ -41,7 +43,7 @@
 	return s.Needed - s.Ready
 }
 
-// Words gives the arithmetic for status.
+// Words describes the calculation in one line for status.
 func (s *Spares) Words() string {
 	if s.Needed == 0 {
 		return fmt.Sprintf("0 spares needed: every pool holds the loss of any one rack by itself; %d ready", s.Ready)
@@ -54,13 +56,13 @@
 		s.Needed, s.Rack, strings.Join(terms, ", "), s.Permits, s.Have, s.Ready)
 }
 
-// SparesNeeded works out the spares for the worst single rack.
+// SparesNeeded computes the spares needed for the loss of the worst rack.
 func SparesNeeded(ix *Index, o Options) *Spares {
 	o = o.withDefaults()
 	return sparesNeeded(ix, o, Demands(ix, o))
 }
 
-// rackLoss is what the pools would lose with one rack.
+// rackLoss holds how many ready VMs each pool would lose with one rack.
 type rackLoss struct {
 	rack  int
 	pools []poolLoss
@@ -73,10 +75,10 @@
 
 func sparesNeeded(ix *Index, o Options, demands []*Demand) *Spares {
 	ready := slices.DeleteFunc(slices.Clone(ix.Spares), func(v *VM) bool { return !SpareReady(v) })
-	// The first loss is of no rack: what is short already.
-	worst := weighLoss(ix, rackLoss{rack: -1}, demands, ready)
+	// Start with the loss of no rack, which is the present shortfall.
+	worst := sparesForLoss(ix, rackLoss{rack: -1}, demands, ready)
 	for _, loss := range rackLosses(ix, demands) {
-		s := weighLoss(ix, loss, demands, ready)
+		s := sparesForLoss(ix, loss, demands, ready)
 		if s.Needed-s.Have > worst.Needed-worst.Have || s.Needed-s.Have == worst.Needed-worst.Have && s.Needed > worst.Needed {
 			worst = s
 		}
@@ -101,7 +103,7 @@
 	return losses
 }
 
-// add counts one VM of the pool; demands come pool by pool.
+// add counts one VM of the pool. Calls for the same pool must be consecutive.
 func (l *rackLoss) add(d *Demand) {
 	if n := len(l.pools); n > 0 && l.pools[n-1].demand == d {
 		l.pools[n-1].vms++
@@ -110,9 +112,9 @@
 	l.pools = append(l.pools, poolLoss{demand: d, vms: 1})
 }
 
-// weighLoss sums what the pools would lack, and how many ready spares outside
-// the rack could fill it.
-func weighLoss(ix *Index, loss rackLoss, demands []*Demand, ready []*VM) *Spares {
+// sparesForLoss adds up the shortfalls of the pools and counts the ready spares
+// outside the rack that could cover them.
+func sparesForLoss(ix *Index, loss rackLoss, demands []*Demand, ready []*VM) *Spares {
 	s := &Spares{}
 	if loss.rack >= 0 {
 		s.Rack = ix.Racks[loss.rack]
@@ -131,13 +133,14 @@
 		}
 		s.Needed += short
 		s.Terms = append(s.Terms, SpareTerm{d.Pool.Spec.ID, d.Hard, d.Ready, lost, short})
-		s.Have += fit(d.Pool.Spec, short, loss.rack, ready, taken)
+		s.Have += takeFitting(d.Pool.Spec, short, loss.rack, ready, taken)
 	}
 	return s
 }
 
-// fit takes up to n ready spares outside the rack for the pool.
-func fit(p *model.Pool, n, rack int, ready []*VM, taken []bool) int {
+// takeFitting takes up to n ready spares outside the rack that are eligible for
+// the pool, and returns their number.
+func takeFitting(p *model.Pool, n, rack int, ready []*VM, taken []bool) int {
 	got := 0
 	for i, v := range ready {
 		if got == n {
--- a/internal/fleet/vm.go
+++ b/internal/fleet/vm.go
@@ -7,27 +7,29 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Block says why a VM takes no new work. The zero value means that it does.
+// Block is the reason why a VM takes no new work; the zero value, Open, means
+// that it does.
 type Block uint8
 
 const (
 	// Open: the VM takes new work.
 	Open Block = iota
-	// BlockAbsent: it has an entry, but the platform does not list it.
+	// BlockAbsent: the VM has an entry, but the platform does not list it.
 	BlockAbsent
-	// BlockNoEntry: the platform lists it, but no entry says where it belongs.
+	// BlockNoEntry: the platform lists the VM, but no entry assigns it to a pool
+	// or to the spares.
 	BlockNoEntry
-	// BlockSpare: it is a shared spare.
+	// BlockSpare: the VM is a shared spare.
 	BlockSpare
-	// BlockMoving: it is on its way from one pool to another.
+	// BlockMoving: the VM is moving from one pool to another.
 	BlockMoving
-	// BlockPermit: it is under maintenance.
+	// BlockPermit: the VM is under maintenance.
 	BlockPermit
-	// BlockQuarantine: distinct jobs failed on it.
+	// BlockQuarantine: distinct jobs failed on the VM.
 	BlockQuarantine
-	// BlockDrained: the platform starts no task on it.
+	// BlockDrained: the platform starts no task on the VM.
 	BlockDrained
-	// BlockUnhealthy: it is down, rebooting, or its heartbeat is late.
+	// BlockUnhealthy: the VM is down or rebooting, or its heartbeat is late.
 	BlockUnhealthy
 	blockCount
 )
@@ -35,7 +37,7 @@
 var blockNames = [blockCount]string{"open", "not listed by the platform", "not entered in a pool", "shared spare",
 	"moving between pools", "under maintenance", "quarantined", "drained", "not healthy"}
 
-// String returns the words used in status.
+// String returns the text used in status.
 func (b Block) String() string {
 	if b >= blockCount {
 		return "invalid"
@@ -43,8 +45,8 @@
 	return blockNames[b]
 }
 
-// VM joins what is known about one VM. Its maps and records are shared with
-// the snapshot and must not be changed.
+// VM joins the records about one VM. They are shared with the snapshot and must
+// not be changed.
 type VM struct {
 	ID model.VMID
 	// Listed is nil when the platform does not list the VM.
@@ -55,41 +57,41 @@
 	Quarantine *model.Quarantine
 	// Tasks are the tasks recorded on the VM, in no order; see SortedTasks.
 	Tasks []*model.Task
-	// Running says more about each of Tasks, in the same order.
+	// Running holds details of each of Tasks, in the same order.
 	Running []Running
-	// Used is what its tasks are taken to need, as estimate.Charge says.
+	// Used is the sum of the charges of its tasks; see estimate.Charge.
 	Used model.Resources
-	// Block says why the VM takes no new work.
+	// Block is the reason why the VM takes no new work.
 	Block Block
-	// Zone and Rack number the failure domains of the site from 0; -1 when
-	// the VM is not listed.
+	// Zone and Rack are the numbers of the VM's failure domains, from 0; -1
+	// when the VM is not listed.
 	Zone, Rack int
-	// Maintained says that the VM went through the wave that is on in its pool.
+	// Maintained is set when the VM has been through its pool's current wave.
 	Maintained bool
-	// measured is the part of the VM's measured use that its tasks' charges,
-	// which sum up to explained, do not explain.
-	measured, explained model.Resources
-	// placed counts the tasks that Plan added in this round.
-	placed int
+	// attributed is the sum of the charges of the tasks that the VM's measured
+	// use covers; unattributed is the measured use beyond it.
+	unattributed, attributed model.Resources
+	// plannedStarts counts the tasks that Plan added in this round.
+	plannedStarts int
 }
 
-// Running is a task with what decisions ask of it again and again.
+// Running is a task with the details that decisions often need.
 type Running struct {
 	Task *model.Task
 	// Job is nil for an instance, or when the job is no longer recorded.
 	Job *model.Job
-	// Charge is what the task is taken to need, as estimate.Charge says.
+	// Charge is the estimated need of the task; see estimate.Charge.
 	Charge model.Resources
 }
 
 // Cancelled reports whether the task's job was cancelled.
 func (r *Running) Cancelled() bool { return r.Job != nil && r.Job.Cancelled }
 
-// Yields reports whether the task is of a job that can make room without a
-// loss that can't be undone.
+// Yields reports whether the task is of a job that can be preempted without
+// losing anything for good.
 func (r *Running) Yields() bool { return r.Job != nil && Yields(r.Job, r.Task) }
 
-// Capacity is what the VM offers; zero when it is not listed.
+// Capacity returns the capacity of the VM; it is zero when the VM is not listed.
 func (v *VM) Capacity() model.Resources {
 	if v.Listed == nil {
 		return model.Resources{}
@@ -97,8 +99,8 @@
 	return v.Listed.Capacity
 }
 
-// Free is what is left of the VM; members may be negative.
-func (v *VM) Free() model.Resources { return v.Capacity().Minus(v.Used).Minus(v.measured) }
+// Free returns the free capacity of the VM; single resources may be negative.
+func (v *VM) Free() model.Resources { return v.Capacity().Minus(v.Used).Minus(v.unattributed) }
 
 // Healthy reports whether the platform lists the VM as up.
 func (v *VM) Healthy() bool { return v.Listed != nil && v.Listed.Health == model.VMUp }
@@ -106,7 +108,8 @@
 // Idle reports whether no task is recorded on the VM.
 func (v *VM) Idle() bool { return len(v.Tasks) == 0 }
 
-// Pool is the pool of the VM's entry; empty for a spare or when it has none.
+// Pool returns the pool of the VM's entry; it is empty for a spare or without
+// an entry.
 func (v *VM) Pool() model.PoolID {
 	if v.Owner == nil {
 		return ""
@@ -114,10 +117,10 @@
 	return v.Owner.Pool
 }
 
-// Moving reports whether the VM is on its way to another pool.
+// Moving reports whether the VM is moving to another pool or to the spares.
 func (v *VM) Moving() bool { return v.Owner != nil && v.Owner.Moving }
 
-// Destination is the pool that the VM serves once its move, if any, is done.
+// Destination returns the pool that the VM serves once its move, if any, is done.
 func (v *VM) Destination() model.PoolID {
 	if v.Moving() {
 		return v.Owner.Target
@@ -125,14 +128,14 @@
 	return v.Pool()
 }
 
-// SortedTasks returns the VM's tasks by ID.
+// SortedTasks returns the VM's tasks in the order of their IDs.
 func (v *VM) SortedTasks() []*model.Task {
 	sorted := slices.Clone(v.Tasks)
 	slices.SortFunc(sorted, func(a, b *model.Task) int { return cmp.Compare(a.ID, b.ID) })
 	return sorted
 }
 
-// Generation is the generation of the VM's entry; 0 when it has none.
+// Generation returns the generation of the VM's entry; 0 when it has none.
 func (v *VM) Generation() uint64 {
 	if v.Owner == nil {
 		return 0
@@ -140,7 +143,8 @@
 	return v.Owner.Generation
 }
 
-// block works out why the VM takes no new work, the most lasting cause first.
+// block determines why the VM takes no new work. When several causes apply, the
+// one that is likely to last longest wins.
 func (v *VM) block() Block {
 	switch {
 	case v.Listed == nil:
