--- a/internal/wave/giveback.go
+++ b/internal/wave/giveback.go
@@ -8,29 +8,29 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// giveBack returns VMs that were not rebooted yet when failures left a
-// service short, those first that restore most.
+// returnVMs returns VMs that are not rebooted yet when failures leave a service
+// below its budget, starting with those that restore the most instances.
 //
 // A rack or availability zone may fail while VMs elsewhere are drained. The
-// permits were granted for one failure; if the drains went on, the services
-// would stay below their budgets for as long as the repair takes. One notices
-// by a pool whose account is below 0 while it has permits.
-func (d *decider) giveBack() {
+// budgets behind the permits reserve for one failure only; if the drains went
+// on, the services would stay below their budgets until the repair. The sign
+// is a pool that has permits and whose remaining budget is below 0.
+func (d *decider) returnVMs() {
 	for _, p := range d.ix.Pools {
 		if d.ledger.Short(p) && !d.o.Rules.IgnoreBudget {
-			d.giveBackPool(p)
+			d.returnPoolVMs(p)
 		}
 	}
 }
 
-func (d *decider) giveBackPool(p *fleet.Pool) {
+func (d *decider) returnPoolVMs(p *fleet.Pool) {
 	missing := 0
 	for _, s := range p.Services {
 		missing += max(-d.ledger.Left(s.Spec.ID), 0)
 	}
-	for _, v := range d.byRestored(p) {
+	for _, v := range d.returnCandidates(p) {
 		if v.Permit.Phase == model.PhaseGranted {
-			d.givenBack[v.ID] = true
+			d.returned[v.ID] = true
 			d.release(v, false, "failures left a service of the pool short")
 			missing -= d.ledger.Restores(v)
 			continue
@@ -38,7 +38,7 @@
 		if missing <= 0 {
 			continue
 		}
-		d.givenBack[v.ID] = true
+		d.returned[v.ID] = true
 		d.undrain = append(d.undrain, v.ID)
 		if d.facts.Returned[v.ID] && !v.Listed.Drained {
 			d.release(v, false, "failures left a service of the pool short")
@@ -47,9 +47,9 @@
 	}
 }
 
-// byRestored lists the VMs of the pool that can be given back: those which
-// restore the most instances first, then the largest.
-func (d *decider) byRestored(p *fleet.Pool) []*fleet.VM {
+// returnCandidates lists the VMs of the pool that can be returned: first those
+// that restore the most instances, then the largest.
+func (d *decider) returnCandidates(p *fleet.Pool) []*fleet.VM {
 	var vms []*fleet.VM
 	for _, v := range p.VMs {
 		if v.Permit != nil && v.Permit.Phase < model.PhaseRebooting && v.Healthy() && v.Listed.BootID == v.Permit.BootID {
--- a/internal/wave/grant.go
+++ b/internal/wave/grant.go
@@ -11,24 +11,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// run is the account of one wave in one round.
-type run struct {
+// waveState is the state of one wave in one round.
+type waveState struct {
 	wave *model.Wave
-	// next are the VMs that are yet to be drained, in the order of grants.
+	// next holds the VMs that are yet to be drained, in the order of grants.
 	next []*fleet.VM
-	// active are the VMs under a permit of the wave.
+	// active holds the VMs under a permit of the wave.
 	active []*fleet.VM
-	// zone is the availability zone that the wave works in; -1 for none.
+	// zone is the availability zone in which the wave drains VMs now; -1 for none.
 	zone  int
 	total int
 	done  int
 }
 
-// grantAll commits permits for the VMs that the budgets let go now.
+// grantAll grants permits for the VMs that may be drained now.
 func (d *decider) grantAll() {
 	site := d.ix.Snap.View.Site
-	held := d.correlated()
-	rooms := d.newRooms()
+	held := d.correlatedFailure()
+	accounts := d.newPoolAccounts()
 	for i := range site.Waves {
 		w := &site.Waves[i]
 		if w.Start > d.ix.Now() {
@@ -46,14 +46,15 @@
 			continue
 		}
 		d.order(r)
-		d.grantRun(r, rooms)
-		d.expect(r)
+		d.grantWave(r, accounts)
+		d.estimateDrains(r)
 	}
 }
 
-// survey finds which VMs of a wave are done, under way and yet to come.
-func (d *decider) survey(w *model.Wave) *run {
-	r := &run{wave: w, zone: -1}
+// survey counts the VMs of a wave that are done and collects those under a
+// permit and those yet to be drained.
+func (d *decider) survey(w *model.Wave) *waveState {
+	r := &waveState{wave: w, zone: -1}
 	for _, id := range w.Pools {
 		p := d.ix.Pool(id)
 		if p == nil {
@@ -63,14 +64,14 @@
 			d.surveyVM(r, v)
 		}
 	}
-	// Shared spares belong to no pool; every wave goes through them.
+	// Shared spares belong to no pool; every wave includes them.
 	for _, v := range d.ix.Spares {
 		d.surveyVM(r, v)
 	}
 	return r
 }
 
-func (d *decider) surveyVM(r *run, v *fleet.VM) {
+func (d *decider) surveyVM(r *waveState, v *fleet.VM) {
 	r.total++
 	switch {
 	case state.WaveDone(r.wave, d.ix.Snap.View.Maintained[v.ID]):
@@ -85,25 +86,25 @@
 	}
 }
 
-func (d *decider) grantRun(r *run, rooms *rooms) {
+func (d *decider) grantWave(r *waveState, accounts *poolAccounts) {
 	why := ""
 	for i, v := range r.next {
-		if reason := d.mayGrant(r, v, rooms); reason != "" {
+		if reason := d.mayGrant(r, v, accounts); reason != "" {
 			if why == "" {
 				why = reason
-				d.wantSurge(r.next[i:], rooms)
+				d.wantSurge(r.next[i:], accounts)
 			}
 			continue
 		}
-		d.grant(r, v, rooms)
+		d.grant(r, v, accounts)
 	}
 	if len(r.active) == 0 || why != "" {
 		d.waiting[r.wave.ID] = why
 	}
 }
 
-// mayGrant says why a VM may not be granted now; empty when it may.
-func (d *decider) mayGrant(r *run, v *fleet.VM, rooms *rooms) string {
+// mayGrant returns why a VM may not be granted a permit now; empty when it may.
+func (d *decider) mayGrant(r *waveState, v *fleet.VM, accounts *poolAccounts) string {
 	if !d.o.Ideas.LargestSet && len(r.active) > 0 {
 		return "one VM at a time"
 	}
@@ -119,12 +120,12 @@
 	if ok, why := d.ledger.MayTake(v); !ok {
 		return why
 	}
-	return rooms.mayTake(v)
+	return accounts.mayTake(v)
 }
 
-func (d *decider) grant(r *run, v *fleet.VM, rooms *rooms) {
+func (d *decider) grant(r *waveState, v *fleet.VM, accounts *poolAccounts) {
 	reason := fmt.Sprintf("wave %s: no budget forbids it; %d of %d done, %d under way", r.wave.ID, r.done, r.total, len(r.active))
-	rooms.take(v)
+	accounts.take(v)
 	d.ledger.Take(v)
 	d.add(state.Action{Reason: reason, GrantPermit: &state.GrantPermit{VM: v.ID, Wave: r.wave.ID, BootID: v.Listed.BootID}})
 	r.active = append(r.active, v)
@@ -132,7 +133,7 @@
 }
 
 // order sorts the VMs that are yet to be drained.
-func (d *decider) order(r *run) {
+func (d *decider) order(r *waveState) {
 	cost := d.costs(r)
 	zones := d.zoneRanks(r)
 	slices.SortStableFunc(r.next, func(a, b *fleet.VM) int {
@@ -149,10 +150,11 @@
 	})
 }
 
-// zoneRanks puts the availability zone that the wave works in first, then the
-// one with the most VMs to come. With all drained VMs in one zone, the loss of
-// that zone takes nothing more, and the loss of another finds all others whole.
-func (d *decider) zoneRanks(r *run) map[int]int {
+// zoneRanks puts the availability zone in which VMs are being drained first,
+// then the one with the most VMs to drain. With all drained VMs in one zone, a
+// loss of that zone overlaps with the drains; when another zone is lost, the
+// remaining ones have no VM drained.
+func (d *decider) zoneRanks(r *waveState) map[int]int {
 	if !d.o.Ideas.LargestSet {
 		return nil
 	}
@@ -166,8 +168,8 @@
 	return ranks
 }
 
-// rank puts spares first, because they carry nothing and are then ready to
-// take the work of others, and the VMs of pools with urgent services last.
+// rank puts spares first, because they run nothing and can then take the work
+// of other VMs, and the VMs of pools with urgent services last.
 func (d *decider) rank(v *fleet.VM) int {
 	p := d.ix.Pool(v.Pool())
 	switch {
@@ -182,28 +184,28 @@
 	return 1
 }
 
-// costs weighs what draining VMs would take.
+// costs holds the estimated cost of draining VMs.
 type costs struct {
-	// wait is how long a drain would wait for tasks that must not be cut, in
-	// steps of NearEnd.
+	// wait is how long a drain would wait for tasks, in steps of NearEnd.
 	wait map[*fleet.VM]int
-	// move is the work that would be displaced, in seconds; rack is its mean
-	// by rack, so that whole racks go first.
+	// move is the work that would be lost by stopping tasks, in seconds; rack is
+	// its mean by rack, so that the VMs of a rack are drained together.
 	move map[*fleet.VM]float64
 	rack map[int]float64
 }
 
-// costs are all 0 without the idea, which leaves the fixed order.
-func (d *decider) costs(r *run) costs {
+// costs estimates the costs of the VMs yet to be drained. They are all 0
+// without OrderByCost, which leaves the fixed order.
+func (d *decider) costs(r *waveState) costs {
 	c := costs{wait: map[*fleet.VM]int{}, move: map[*fleet.VM]float64{}, rack: map[int]float64{}}
 	if !d.o.Ideas.OrderByCost {
 		return c
 	}
 	count := map[int]float64{}
-	patience := d.patience(r.wave.ID)
+	waitThreshold := d.waitThreshold(r.wave.ID)
 	for _, v := range r.next {
 		for _, t := range v.Tasks {
-			wait, move := d.taskCost(t, patience)
+			wait, move := d.taskCost(t, waitThreshold)
 			c.wait[v] = max(c.wait[v], int(wait/d.o.NearEnd))
 			c.move[v] += move
 		}
@@ -217,25 +219,25 @@
 }
 
 const (
-	// instanceCost and checkpointCost stand, in seconds, for the restart of an
-	// instance and for going on from a checkpoint.
-	instanceCost   = 30
-	checkpointCost = 30
+	// instanceCostSeconds and checkpointCostSeconds are the costs of restarting
+	// an instance and of resuming a task from a checkpoint.
+	instanceCostSeconds   = 30
+	checkpointCostSeconds = 30
 )
 
-// taskCost is how long a drain would wait for a task, and the work in seconds
-// that would be lost if it were stopped.
-func (d *decider) taskCost(t *model.Task, patience time.Duration) (wait time.Duration, move float64) {
+// taskCost returns how long a drain would wait for a task, and the work in
+// seconds that stopping it would lose.
+func (d *decider) taskCost(t *model.Task, waitThreshold time.Duration) (wait time.Duration, move float64) {
 	job := d.ix.Job(t.Job)
 	if job == nil {
-		return 0, instanceCost
+		return 0, instanceCostSeconds
 	}
 	left := d.remaining(job, t)
 	switch {
-	case t.Priority == model.Urgent || !job.Spec.Idempotent || left <= patience:
+	case t.Priority == model.Urgent || !job.Spec.Idempotent || left <= waitThreshold:
 		return left, 0
 	case job.Spec.Checkpoints:
-		return 0, checkpointCost
+		return 0, checkpointCostSeconds
 	default:
 		return 0, d.ix.Now().Sub(t.Started).Seconds()
 	}
--- a/internal/wave/hold.go
+++ b/internal/wave/hold.go
@@ -8,20 +8,20 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// How many VMs of one rack, or of one availability zone, must fail within the
-// hold time to count as one correlated failure.
+// Numbers of VMs of one rack, or of one availability zone, that must fail within
+// the hold time to count as a correlated failure.
 const (
 	rackFailures = 2
 	zoneFailures = 3
 )
 
-// correlated says which failure domain lost several VMs lately; empty for
-// none. While a rack or zone goes down VM by VM, the budgets still show room;
-// a grant then takes what the next lost VM needs.
-func (d *decider) correlated() string {
+// correlatedFailure returns which failure domain lost several VMs recently;
+// empty for none. While a rack or zone fails VM by VM, the budgets still allow
+// grants, and a grant would use the reserve that the next lost VM needs.
+func (d *decider) correlatedFailure() string {
 	racks, zones := map[int]int{}, map[int]int{}
 	for _, v := range d.ix.VMs {
-		if !d.failedLately(v) {
+		if !d.failedRecently(v) {
 			continue
 		}
 		racks[v.Rack]++
@@ -40,7 +40,9 @@
 	return ""
 }
 
-func (d *decider) failedLately(v *fleet.VM) bool {
+// failedRecently reports whether a VM failed within the hold time. A VM that
+// reboots under its permit has not failed.
+func (d *decider) failedRecently(v *fleet.VM) bool {
 	if v.Listed == nil || v.Listed.HealthSince == 0 {
 		return false
 	}
@@ -48,9 +50,9 @@
 	return !ours && v.Listed.Health != model.VMUp && d.ix.Now().Sub(v.Listed.HealthSince) < d.o.Hold
 }
 
-// busy reports whether the pool's busy window is on, or would begin before
-// the maintenance of a VM granted now is over.
-func (d *decider) busy(p *fleet.Pool) bool {
+// inBusyWindow reports whether the pool is in a busy window, or will be when
+// the maintenance of a VM granted now is expected to end.
+func (d *decider) inBusyWindow(p *fleet.Pool) bool {
 	for _, w := range p.Spec.Busy {
 		if inWindow(w, d.ix.Now()) || inWindow(w, d.ix.Now().Add(d.o.Cycle)) {
 			return true
@@ -61,6 +63,8 @@
 
 const day = 24 * time.Hour
 
+// inWindow reports whether a daily window, which may span midnight, covers the
+// instant.
 func inWindow(w model.Window, at model.Instant) bool {
 	offset := time.Duration(at) * time.Millisecond % day
 	if w.From <= w.To {
--- a/internal/wave/options.go
+++ b/internal/wave/options.go
@@ -8,66 +8,66 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ideas switch the ways in which waves differ from the plain way. The zero
-// value is the plain way: racks in fixed order, one VM at a time, its work
+// Ideas switches the features on by which waves differ from the basic way. The
+// zero value is the basic way: racks in fixed order, one VM at a time, its work
 // stopped at once.
 type Ideas struct {
 	// SteerNew keeps new work off VMs that are yet to be drained.
 	SteerNew bool
-	// DisplaceToDone sends displaced jobs only to VMs already done, so that a
+	// DisplaceToDone sends displaced jobs only to VMs that are done, so that a
 	// wave moves a job at most once.
 	DisplaceToDone bool
-	// LargestSet drains the largest set that no budget forbids, within one
-	// availability zone, whole racks first.
+	// LargestSet drains as many VMs at the same time as the budgets allow, one
+	// availability zone after another and rack by rack.
 	LargestSet bool
-	// OrderByCost drains first what has the least work left, waits for tasks
-	// near their end, checkpoints long ones and never cuts urgent ones.
+	// OrderByCost drains the VMs with the lowest cost first, waits for tasks near
+	// their end, checkpoints long ones and never stops urgent ones.
 	OrderByCost bool
-	// RespectBusy leaves pools alone in their busy windows and drains pools
-	// with urgent services last.
+	// RespectBusy grants no permit in a pool's busy windows and drains the VMs
+	// of pools with urgent services last.
 	RespectBusy bool
 }
 
-// Chosen returns the ideas that the product uses: all of them.
+// Chosen returns the features used in production: all of them.
 func Chosen() Ideas {
 	return Ideas{SteerNew: true, DisplaceToDone: true, LargestSet: true, OrderByCost: true, RespectBusy: true}
 }
 
 // Rules switches single safety rules off. The zero value has every rule on
-// and is the only one that the product uses.
+// and is the only one used in production.
 type Rules struct {
 	// IgnoreBoot commands a reboot without comparing boot IDs.
 	IgnoreBoot bool
 	// IgnoreSoak ends a permit as soon as the VM is back.
 	IgnoreSoak bool
-	// IgnoreBudget grants without asking the budgets.
+	// IgnoreBudget grants permits without checking the budgets.
 	IgnoreBudget bool
-	// DrainUngranted treats the VMs next in line as if they were granted.
+	// DrainUngranted drains the VMs to be granted next as if they were granted.
 	DrainUngranted bool
 }
 
-// Options bound what a wave may do. A zero field takes its default.
+// Options bound what a wave may do. Zero fields take their defaults.
 type Options struct {
 	Ideas Ideas
 	Rules Rules
-	// Soak is used for a wave that names none. Default 2 min.
+	// Soak is the soak time of a wave that sets none. Default 2 min.
 	Soak time.Duration
-	// NearEnd is how much run time may be left of a task for which a drain
-	// always waits. Default 2 min.
+	// NearEnd is the remaining run time up to which a drain waits for a task
+	// when moves and buffer have equal weights. Default 2 min.
 	NearEnd time.Duration
-	// MaxWait is how long a drain waits for tasks that could be run again
-	// elsewhere. Default 20 min.
+	// MaxWait bounds how long a drain waits for tasks that could be run again
+	// elsewhere, unless the wave takes longer anyway. Default 20 min.
 	MaxWait time.Duration
 	// Hold is how long no permit is granted after several VMs of one rack or
 	// availability zone failed together. Default 5 min.
 	Hold time.Duration
 	// MaxShare bounds the VMs of a pool under maintenance, as a share of its
-	// members; at least one. Default 0.5.
+	// members; at least one is allowed. Default 0.5.
 	MaxShare float64
-	// Cycle is how long the maintenance of one VM is taken to last before
-	// any was measured. Default 5 min.
+	// Cycle is the assumed duration of the maintenance of one VM. The estimated
+	// end of a wave uses the measured rate once two VMs are done. Default 5 min.
 	Cycle time.Duration
-	// Fleet are the options by which the demand of pools is worked out.
+	// Fleet holds the options for computing the demand of pools.
 	Fleet fleet.Options
 }
 
@@ -90,11 +90,12 @@
 	return o
 }
 
-// Facts are what a decision needs to know beyond the index.
+// Facts is the input of a decision besides the index.
 type Facts struct {
-	// Returned holds the VMs for whose present permit the platform accepted
-	// an undrain or return: no earlier step of it has an effect any more.
+	// Returned holds the VMs for whose current permit the platform accepted an
+	// undrain or return. Earlier commands for the permit no longer take effect.
 	Returned map[model.VMID]bool
-	// Remaining estimates the run time left of a job's task.
+	// Remaining estimates the remaining run time of a job's task; nil uses the
+	// job's declared run time.
 	Remaining func(*model.Job, *model.Task) time.Duration
 }
--- a/internal/wave/phase.go
+++ b/internal/wave/phase.go
@@ -10,10 +10,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// advance moves every permit to the next phase whose condition holds.
+// advance moves every permit whose condition is met to its next phase.
 func (d *decider) advance() {
 	for _, v := range d.ix.VMs {
-		if v.Permit != nil && !d.givenBack[v.ID] {
+		if v.Permit != nil && !d.returned[v.ID] {
 			d.advanceVM(v)
 		}
 	}
@@ -35,9 +35,9 @@
 	}
 }
 
-// advanceAbsent ends the permit of a VM that the platform dropped. A partial
-// answer also lacks VMs: a permit that ended for it would leave a VM drained
-// that counts as available.
+// advanceAbsent ends the permit of a VM that the platform no longer lists, but
+// only after a while: a partial list lacks VMs too, and ending a permit because
+// of one would count a VM that is still drained as available.
 func (d *decider) advanceAbsent(v *fleet.VM) {
 	since, known := d.ix.Snap.Absent[v.ID]
 	if known && d.ix.Now().Sub(since) >= absentFor {
@@ -45,31 +45,32 @@
 	}
 }
 
-// absentFor is how long the platform must not list a VM before its permit ends.
+// absentFor is how long a VM must be missing from the platform's list before its
+// permit ends.
 const absentFor = 10 * time.Minute
 
 func (d *decider) advanceGranted(v *fleet.VM) {
-	if !d.covers(v) {
-		d.release(v, false, takenBack)
+	if !d.stillRequested(v) {
+		d.release(v, false, waveWithdrawn)
 		return
 	}
 	d.phase(v, model.PhaseDraining, "the permit is committed; the drain begins")
 }
 
-// advanceDraining waits until the platform drained the VM and nothing runs on
-// it. A VM that rebooted by itself meanwhile needs no second reboot.
+// advanceDraining waits until the platform has drained the VM and nothing runs
+// on it. A VM that rebooted on its own meanwhile needs no second reboot.
 func (d *decider) advanceDraining(v *fleet.VM) {
 	switch {
 	case d.facts.Returned[v.ID] && !v.Listed.Drained:
 		d.release(v, false, "the VM was given back before its reboot")
 	case d.rebooted(v):
 		d.phase(v, model.PhaseSoaking, "the VM rebooted while it was drained")
-	case !d.covers(v):
+	case !d.stillRequested(v):
 		d.undrain = append(d.undrain, v.ID)
-	case v.Listed.Drained && v.Idle() && v.Healthy() && !d.poolShort(v):
+	case v.Listed.Drained && v.Idle() && v.Healthy() && !d.belowBudget(v):
 		d.phase(v, model.PhaseRebooting, "nothing is left on the VM")
 	default:
-		d.drainWork(v)
+		d.drainTasks(v)
 	}
 }
 
@@ -78,15 +79,15 @@
 	case d.rebooted(v):
 		d.phase(v, model.PhaseSoaking, "the VM is back under another boot ID")
 	case v.Healthy() && d.facts.Returned[v.ID] && !v.Listed.Drained:
-		// An undrain that was late can arrive after the reboot was accepted.
-		// While the VM is away it would look as if it had not been rebooted,
-		// and the wave would reboot it a second time.
+		// A delayed undrain can arrive after the reboot was accepted. If the
+		// permit ended while the VM is down, the VM would count as not rebooted,
+		// and the wave would reboot it a second time. So the VM must be up.
 		d.release(v, false, "the VM was given back before its reboot")
 	}
 }
 
-// advanceSoaking ends the permit once the VM was up for the whole soak time
-// without a break and the platform starts tasks on it again.
+// advanceSoaking ends the permit once the VM has been up without a break for
+// the soak time and the platform starts tasks on it again.
 func (d *decider) advanceSoaking(v *fleet.VM) {
 	if !d.soaked(v) || v.Listed.Drained {
 		return
@@ -94,9 +95,9 @@
 	d.release(v, true, "the VM soaked and takes work again")
 }
 
-// rebooted reports whether the VM is up under another boot ID than the permit
-// names. Comparing boots rather than remembering commands keeps a new leader,
-// or one that lost an answer, from rebooting the VM a second time.
+// rebooted reports whether the VM is up with another boot ID than the permit
+// holds. Comparing boot IDs instead of recording commands keeps a new leader,
+// or one that missed a reply, from rebooting the VM a second time.
 func (d *decider) rebooted(v *fleet.VM) bool {
 	return v.Healthy() && v.Listed.BootID != v.Permit.BootID
 }
@@ -105,7 +106,7 @@
 	return Soaked(d.ix.Now(), d.ix.Snap.View.Site, v.Listed, v.Permit, d.o)
 }
 
-// Soaked reports whether a soaking VM was up, and under its permit's phase,
+// Soaked reports whether a soaking VM has been up, and in its permit's phase,
 // for the soak time of its wave.
 func Soaked(now model.Instant, site *model.Site, vm *model.VM, permit *model.Permit, o Options) bool {
 	if vm == nil || vm.Health != model.VMUp {
@@ -133,14 +134,15 @@
 	return waveOf(d.ix.Snap.View.Site, v.Permit.Wave)
 }
 
-// takenBack is why a VM that was not rebooted yet is returned.
-const takenBack = "the manifest took the wave back, or put it off, for the VM's pool"
+// waveWithdrawn is the reason for releasing the permit of a VM whose drain has
+// not begun.
+const waveWithdrawn = "the manifest took the wave back, or put it off, for the VM's pool"
 
-// covers reports whether the manifest in force still asks for the maintenance
-// that the VM's permit is for. Operators can stop a wave that goes wrong only
-// by a manifest without it; VMs that are drained would otherwise be rebooted
-// minutes after it was accepted.
-func (d *decider) covers(v *fleet.VM) bool {
+// stillRequested reports whether the manifest in force still has the wave of
+// the VM's permit, started and for its pool. Operators can only stop a faulty
+// wave by a manifest without it. Without this check, VMs being drained would be
+// rebooted minutes after that manifest was accepted.
+func (d *decider) stillRequested(v *fleet.VM) bool {
 	w := d.wave(v)
 	if w == nil || w.Start > d.ix.Now() {
 		return false
@@ -160,11 +162,11 @@
 	return nil
 }
 
-// drainWork decides what becomes of the tasks on a VM that is drained.
-// Instances go first: another one starts elsewhere at once, and the budget
-// has room again long before the VM is back.
-func (d *decider) drainWork(v *fleet.VM) {
-	if d.poolShort(v) {
+// drainTasks decides which tasks are stopped on a VM that is being drained.
+// Instances are stopped at once: replacements start elsewhere, and the budget
+// recovers long before the VM is back.
+func (d *decider) drainTasks(v *fleet.VM) {
+	if d.belowBudget(v) {
 		return
 	}
 	for _, t := range v.SortedTasks() {
@@ -177,6 +179,7 @@
 	}
 }
 
+// mayStop reports whether a drain stops the task now, and why.
 func (d *decider) mayStop(v *fleet.VM, t *model.Task) (bool, string) {
 	if t.Job == "" {
 		return true, "its instance starts elsewhere"
@@ -186,7 +189,7 @@
 	case job == nil:
 		return false, ""
 	case !job.Spec.Idempotent:
-		// A job that is not idempotent could never be started again.
+		// A job that is not idempotent must not be started again.
 		return false, ""
 	case !d.o.Ideas.OrderByCost:
 		return true, "its job is queued again"
@@ -196,14 +199,14 @@
 	return d.worthStopping(v, t, job)
 }
 
-// worthStopping reports whether to stop a task that can go on elsewhere. A
-// drain waits for it only while that does not hold up the wave by much:
-// waiting first and stopping then would cost both time and a move.
+// worthStopping reports whether to stop a task that can continue elsewhere. A
+// drain only waits for it when it will end soon enough not to delay the wave by
+// much: waiting first and stopping it later would cost both time and a move.
 func (d *decider) worthStopping(v *fleet.VM, t *model.Task, job *model.Job) (bool, string) {
 	waited := d.ix.Now().Sub(v.Permit.Since)
 	left := d.remaining(job, t)
 	wave := v.Permit.Wave
-	if left <= d.patience(wave) && waited < max(d.o.MaxWait, d.rest[wave]) {
+	if left <= d.waitThreshold(wave) && waited < max(d.o.MaxWait, d.timeLeft[wave]) {
 		return false, ""
 	}
 	if job.Spec.Checkpoints {
@@ -212,22 +215,23 @@
 	return true, fmt.Sprintf("its job, with %s left, is queued again", left.Round(time.Second))
 }
 
-// patience is how much run time may be left of a task that a drain waits for:
-// NearEnd at equal weights, more when moves weigh more; and as long as the
-// wave goes on without it in any case.
-func (d *decider) patience(id model.WaveID) time.Duration {
-	w := min(d.moveWeight(), mostWeight)
-	patience := time.Duration(float64(d.o.NearEnd) * w / (1 - w))
-	return max(patience, d.rest[id]-d.o.Cycle)
+// waitThreshold returns the remaining run time up to which a drain waits for a
+// task: NearEnd at equal weights, more when moves weigh more, and at least the
+// time that the wave takes anyway.
+func (d *decider) waitThreshold(id model.WaveID) time.Duration {
+	w := min(d.moveWeight(), maxMoveWeight)
+	threshold := time.Duration(float64(d.o.NearEnd) * w / (1 - w))
+	return max(threshold, d.timeLeft[id]-d.o.Cycle)
 }
 
-// mostWeight bounds the weight of moves: at 1 a drain would wait for ever.
-const mostWeight = 0.9
+// maxMoveWeight bounds the weight of moves: at 1 a drain would wait forever.
+const maxMoveWeight = 0.9
 
-// planRest works out how long each wave goes on: for the VMs that no permit
-// covers yet, at the number that is under maintenance now, and until the tasks
-// that must not be cut have ended and their VMs went through.
-func (d *decider) planRest() {
+// estimateTimeLeft estimates how long each wave still takes: the time for all
+// VMs not done, at the present number of VMs under maintenance, and at least
+// until the tasks that must not be interrupted have ended and their VMs went
+// through maintenance.
+func (d *decider) estimateTimeLeft() {
 	site := d.ix.Snap.View.Site
 	for i := range site.Waves {
 		w := &site.Waves[i]
@@ -238,14 +242,15 @@
 		rounds := (len(r.next) + len(r.active)) / max(len(r.active), 1)
 		rest := time.Duration(rounds) * d.o.Cycle
 		for _, v := range append(r.next, r.active...) {
-			rest = max(rest, d.uncuttable(v)+d.o.Cycle)
+			rest = max(rest, d.uninterruptibleTime(v)+d.o.Cycle)
 		}
-		d.rest[w.ID] = rest
+		d.timeLeft[w.ID] = rest
 	}
 }
 
-// uncuttable is how long the tasks of a VM that must not be cut still run.
-func (d *decider) uncuttable(v *fleet.VM) time.Duration {
+// uninterruptibleTime returns how long the tasks of a VM that must not be
+// interrupted still run.
+func (d *decider) uninterruptibleTime(v *fleet.VM) time.Duration {
 	longest := time.Duration(0)
 	for _, t := range v.Tasks {
 		job := d.ix.Job(t.Job)
@@ -263,14 +268,16 @@
 	return d.facts.Remaining(job, t)
 }
 
-// moveWeight is the share of moves in the policy, from 0 to 1.
+// moveWeight returns the weight of moves as a share of the weights of moves and
+// buffer, from 0 to 1.
 func (d *decider) moveWeight() float64 {
 	p := d.ix.Policy()
 	total := p.MoveWeight + p.BufferWeight
 	if total <= 0 {
-		return evenWeight
+		return defaultMoveWeight
 	}
 	return p.MoveWeight / total
 }
 
-const evenWeight = 0.5
+// defaultMoveWeight applies when the manifest has no weights.
+const defaultMoveWeight = 0.5
--- a/internal/wave/room.go
+++ b/internal/wave/room.go
@@ -10,42 +10,44 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// rooms keeps account of how many VMs each pool needs, so that a wave leaves
-// room for the work that it displaces.
-type rooms struct {
+// poolAccounts tracks how many VMs each pool needs, so that a wave leaves enough
+// capacity for the work that it displaces.
+type poolAccounts struct {
 	d     *decider
-	pools map[model.PoolID]*room
+	pools map[model.PoolID]*poolAccount
 }
 
-// room is the account of one pool.
-type room struct {
-	// members counts the VMs, out those under a permit that run no job any
-	// more, ready those that take work; keep is how many have to stay.
-	members, out, ready, keep int
+// poolAccount holds the numbers of VMs of one pool.
+type poolAccount struct {
+	// members counts the VMs of the pool, unavailable those under a permit that
+	// run no job any more, ready those that take work; minReady is how many of
+	// the latter must stay.
+	members, unavailable, ready, minReady int
 }
 
 const (
-	// keepSpare is how many VMs each pool keeps beyond what its running work
-	// needs, and keepUrgent how many more a pool with an urgent service does:
-	// work that comes while VMs are away must not wait for one.
-	keepSpare  = 1
-	keepUrgent = 1
+	// keepSpareVMs is how many VMs each pool keeps beyond what its work needs;
+	// keepUrgentVMs is how many more a pool with an urgent service keeps. Work
+	// that arrives while VMs are under maintenance must not wait for one.
+	keepSpareVMs  = 1
+	keepUrgentVMs = 1
 )
 
-func (d *decider) newRooms() *rooms {
-	r := &rooms{d: d, pools: map[model.PoolID]*room{}}
+func (d *decider) newPoolAccounts() *poolAccounts {
+	r := &poolAccounts{d: d, pools: map[model.PoolID]*poolAccount{}}
 	for _, demand := range fleet.Demands(d.ix, d.o.Fleet) {
-		account := &room{ready: demand.Ready, keep: demand.Hard + keepSpare}
+		account := &poolAccount{ready: demand.Ready, minReady: demand.Hard + keepSpareVMs}
 		if urgent(demand.Pool) {
-			account.keep += keepUrgent
+			account.minReady += keepUrgentVMs
 		}
 		for _, v := range demand.Pool.VMs {
 			account.add(v)
 		}
 		r.pools[demand.Pool.Spec.ID] = account
 	}
-	// Spares need no work to be carried; some of them stay ready for failures.
-	spares := &room{}
+	// Spares run no work, so that no minimum applies; MaxShare keeps some of
+	// them ready for failures.
+	spares := &poolAccount{}
 	for _, v := range d.ix.Spares {
 		spares.add(v)
 	}
@@ -53,13 +55,13 @@
 	return r
 }
 
-func (r *room) add(v *fleet.VM) {
+func (r *poolAccount) add(v *fleet.VM) {
 	if v.Moving() {
 		return
 	}
 	r.members++
 	if v.Permit != nil && !runsJob(v) {
-		r.out++
+		r.unavailable++
 	}
 }
 
@@ -67,50 +69,51 @@
 	return slices.ContainsFunc(v.Tasks, func(t *model.Task) bool { return t.Job != "" })
 }
 
-// mayTake says why the pool can't do without the VM now; empty when it can.
-// Batch work that yields needs no room: it waits, which is what it is for.
-func (r *rooms) mayTake(v *fleet.VM) string {
+// mayTake returns why the pool can't do without the VM now; empty when it can.
+// No capacity is kept for batch work that can be preempted: it waits.
+func (r *poolAccounts) mayTake(v *fleet.VM) string {
 	account := r.pools[v.Pool()]
 	if account == nil {
 		return ""
 	}
 	most := max(1, int(float64(account.members)*r.d.o.MaxShare))
-	if account.out >= most {
-		return fmt.Sprintf("%d of %d VMs of pool %q are under maintenance", account.out, account.members, v.Pool())
+	if account.unavailable >= most {
+		return fmt.Sprintf("%d of %d VMs of pool %q are under maintenance", account.unavailable, account.members, v.Pool())
 	}
-	if v.Block == fleet.Open && account.ready <= account.keep {
+	if v.Block == fleet.Open && account.ready <= account.minReady {
 		r.d.borrow[v.Pool()] = true
-		return fmt.Sprintf("pool %s keeps %d VMs for its work and has %d", v.Pool(), account.keep, account.ready)
+		return fmt.Sprintf("pool %s keeps %d VMs for its work and has %d", v.Pool(), account.minReady, account.ready)
 	}
 	return ""
 }
 
+// urgent reports whether a service of the pool is urgent.
 func urgent(p *fleet.Pool) bool {
 	return slices.ContainsFunc(p.Services, func(s *fleet.Service) bool { return s.Spec.Priority == model.Urgent })
 }
 
-func (r *rooms) take(v *fleet.VM) {
+func (r *poolAccounts) take(v *fleet.VM) {
 	account := r.pools[v.Pool()]
 	if account == nil {
 		return
 	}
 	if !runsJob(v) {
-		account.out++
+		account.unavailable++
 	}
 	if v.Block == fleet.Open {
 		account.ready--
 	}
 }
 
-// wantSurge asks for instances beyond the number of their service where only
-// a budget keeps the next VM from being drained: they start elsewhere first,
-// and the VM's own can then be spared.
-func (d *decider) wantSurge(next []*fleet.VM, rooms *rooms) {
+// wantSurge requests extra instances where only a budget keeps the next VM from
+// being drained. They start elsewhere first, and the instances on the VM can
+// then be stopped.
+func (d *decider) wantSurge(next []*fleet.VM, accounts *poolAccounts) {
 	if !d.o.Ideas.LargestSet {
 		next = next[:1]
 	}
 	for _, v := range next {
-		if rooms.mayTake(v) != "" || d.poolBusy(v) {
+		if accounts.mayTake(v) != "" || d.poolBusy(v) {
 			continue
 		}
 		for service, n := range d.ledger.Missing(v) {
@@ -130,14 +133,16 @@
 	return all
 }
 
+// poolBusy reports whether no VM of the pool may be drained because of a busy
+// window.
 func (d *decider) poolBusy(v *fleet.VM) bool {
 	p := d.ix.Pool(v.Pool())
-	return p != nil && d.o.Ideas.RespectBusy && d.busy(p)
+	return p != nil && d.o.Ideas.RespectBusy && d.inBusyWindow(p)
 }
 
-// expect says when the VMs yet to come will be drained, from how many are
-// under maintenance at a time.
-func (d *decider) expect(r *run) {
+// estimateDrains estimates when the VMs yet to be drained will be, from the
+// number of VMs under maintenance at the same time.
+func (d *decider) estimateDrains(r *waveState) {
 	if !d.o.Ideas.SteerNew {
 		return
 	}
@@ -147,6 +152,6 @@
 			continue
 		}
 		rounds := 1 + i/parallel
-		d.soon[v.ID] = d.ix.Now().Add(time.Duration(rounds) * d.o.Cycle)
+		d.expectedDrains[v.ID] = d.ix.Now().Add(time.Duration(rounds) * d.o.Cycle)
 	}
 }
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -17,8 +17,9 @@
 // now is 08:00 UTC.
 const now = model.Instant(1_800_000_000_000)
 
-// newSnapshot is pool p of 12 VMs in 3 zones, two to a rack, with 6 instances
-// of service s spread over the zones, least 3, and a wave over the pool.
+// newSnapshot returns a snapshot of pool p with 12 VMs in 3 zones, two to a rack,
+// 6 instances of service s spread over the zones, of which 3 must be available,
+// and a wave over the pool.
 func newSnapshot() *fleet.Snapshot {
 	size := model.Resources{MilliCPU: 1000, MemoryMB: 1000}
 	site := &model.Site{
@@ -47,7 +48,7 @@
 	return s
 }
 
-// runJob puts a job on a VM.
+// runJob adds a job that has been running on a VM for the given time.
 func runJob(s *fleet.Snapshot, vm model.VMID, spec model.JobSpec, ran time.Duration) *model.Task {
 	spec.ID = model.JobID("job-" + vm)
 	spec.Pool = "p"
@@ -65,7 +66,7 @@
 	return Decide(ix, budget.NewLedger(ix, budget.Options{}), f, o)
 }
 
-// granted lists the VMs granted, in order.
+// granted lists the VMs that were granted permits, in order.
 func granted(d Decision) []model.VMID {
 	var vms []model.VMID
 	for _, a := range d.Actions {
@@ -82,7 +83,7 @@
 	return p
 }
 
-func TestPlainWayIsOneAtATimeInOrder(t *testing.T) {
+func TestBasicWaveIsOneVMAtATimeInOrder(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
 	is.Equal(granted(decide(s, Options{}, Facts{})), []model.VMID{"v00"})
@@ -96,15 +97,15 @@
 	is := is.New(t)
 	s := newSnapshot()
 	set := granted(decide(s, Options{Ideas: Ideas{LargestSet: true}}, Facts{}))
-	// Of z0, v00 and v01 carry an instance each; the budget spares one: with
-	// two out, the loss of another zone would leave 2, least 3. The next zone
-	// adds the VMs that carry none.
+	// In z0, v00 and v01 run an instance each; the budget allows one of them to
+	// be drained: with both out, the loss of another zone would leave 2 of the 3
+	// that must be available. The next zones add VMs that run none.
 	is.Equal(set, []model.VMID{"v00", "v02", "v03", "v06", "v07", "v10"})
 	s.View.Site.Waves[0].MaxParallel = 2
 	is.Equal(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))), 2)
 }
 
-func TestOrderAndWhatBecomesOfTasks(t *testing.T) {
+func TestDrainOrderAndStoppedTasks(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
 	s.View.Site.Waves[0].MaxParallel = 1
@@ -115,11 +116,11 @@
 	}
 	is.Equal(granted(decide(s, Options{Ideas: Chosen()}, Facts{})), []model.VMID{"v11"}) // nothing to wait for
 	cases := []struct {
-		spec       model.JobSpec
-		ran        time.Duration
-		plain, now bool
+		spec          model.JobSpec
+		ran           time.Duration
+		basic, chosen bool
 	}{
-		{model.JobSpec{Runtime: time.Hour}, 0, false, false},                                                           // must not be cut
+		{model.JobSpec{Runtime: time.Hour}, 0, false, false},                                                           // must not be interrupted
 		{model.JobSpec{Runtime: time.Hour, Idempotent: true, Priority: model.Urgent}, 0, true, false},                  // urgent
 		{model.JobSpec{Runtime: time.Hour, Idempotent: true, Priority: model.Batch, Checkpoints: true}, 0, true, true}, // long
 		{model.JobSpec{Runtime: time.Hour, Idempotent: true, Priority: model.Batch}, 59 * time.Minute, true, false},    // near its end
@@ -134,19 +135,19 @@
 			}
 		}
 		runJob(s, "v03", c.spec, c.ran)
-		is.Equal(len(decide(s, Options{}, Facts{}).Stops) == 1, c.plain)
-		is.Equal(len(decide(s, Options{Ideas: Chosen()}, Facts{}).Stops) == 1, c.now)
+		is.Equal(len(decide(s, Options{}, Facts{}).Stops) == 1, c.basic)
+		is.Equal(len(decide(s, Options{Ideas: Chosen()}, Facts{}).Stops) == 1, c.chosen)
 	}
 }
 
-// Symptom: a VM is rebooted twice, or left half way.
-// Sequence: a new leader finds a permit in any phase.
-// Cause: it does not know which commands were sent.
-func TestPermitGoesOnFromWhatIsSeen(t *testing.T) {
+// Guards against rebooting a VM twice or leaving its maintenance unfinished when
+// a new leader finds a permit in any phase: it can't tell which commands were
+// sent.
+func TestNewLeaderResumesPermitFromObservedState(t *testing.T) {
 	cases := []struct {
 		name     string
 		phase    model.MaintenancePhase
-		seen     func(v *model.VM)
+		observed func(v *model.VM)
 		returned bool
 		next     model.MaintenancePhase
 		released string
@@ -154,10 +155,10 @@
 		{"granted", model.PhaseGranted, nil, false, model.PhaseDraining, ""},
 		{"not drained yet", model.PhaseDraining, nil, false, 0, ""},
 		{"drained and idle", model.PhaseDraining, func(v *model.VM) { v.Drained = true }, false, model.PhaseRebooting, ""},
-		{"rebooted by itself", model.PhaseDraining, func(v *model.VM) { v.BootID = "b2" }, false, model.PhaseSoaking, ""},
+		{"rebooted on its own", model.PhaseDraining, func(v *model.VM) { v.BootID = "b2" }, false, model.PhaseSoaking, ""},
 		{"given back", model.PhaseDraining, nil, true, 0, "back"},
-		{"on its way", model.PhaseRebooting, func(v *model.VM) { v.Health = model.VMRebooting }, false, 0, ""},
-		{"late undrain while away", model.PhaseRebooting, func(v *model.VM) { v.Health = model.VMRebooting }, true, 0, ""},
+		{"reboot under way", model.PhaseRebooting, func(v *model.VM) { v.Health = model.VMRebooting }, false, 0, ""},
+		{"late undrain while down", model.PhaseRebooting, func(v *model.VM) { v.Health = model.VMRebooting }, true, 0, ""},
 		{"undrained before", model.PhaseRebooting, nil, true, 0, "back"},
 		{"old boot", model.PhaseRebooting, nil, false, 0, ""},
 		{"other boot", model.PhaseRebooting, func(v *model.VM) { v.BootID = "b2" }, false, model.PhaseSoaking, ""},
@@ -170,8 +171,8 @@
 			is := is.New(t)
 			s := newSnapshot()
 			permit(s, "v03", c.phase)
-			if c.seen != nil {
-				c.seen(s.VMs["v03"])
+			if c.observed != nil {
+				c.observed(s.VMs["v03"])
 			}
 			d := decide(s, Options{Ideas: Chosen()}, Facts{Returned: map[model.VMID]bool{"v03": c.returned}})
 			i := slices.IndexFunc(d.Actions, func(a state.Action) bool { return a.SetPhase != nil || a.ReleasePermit != nil })
@@ -187,11 +188,11 @@
 	}
 }
 
-func TestGivesBackWhatRestoresMost(t *testing.T) {
+func TestReturnsVMsThatRestoreMostInstances(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
-	permit(s, "v01", model.PhaseDraining) // carries an instance
-	permit(s, "v02", model.PhaseDraining) // carries none
+	permit(s, "v01", model.PhaseDraining) // runs an instance
+	permit(s, "v02", model.PhaseDraining) // runs none
 	permit(s, "v03", model.PhaseRebooting)
 	permit(s, "v07", model.PhaseGranted)
 	for _, vm := range []model.VMID{"v08", "v09"} {
@@ -200,16 +201,16 @@
 	d := decide(s, Options{Ideas: Chosen()}, Facts{})
 	is.Equal(d.Undrain, []model.VMID{"v01", "v02"})
 	is.Equal(granted(d), nil)
-	is.Equal(d.Actions[0].ReleasePermit.VM, model.VMID("v07")) // nothing was sent for it
+	is.Equal(d.Actions[0].ReleasePermit.VM, model.VMID("v07")) // no command was sent for it
 	is.Equal(len(d.Stops), 0)
 }
 
 func TestBusyWindowsAndCorrelatedFailures(t *testing.T) {
 	is := is.New(t)
 	for _, w := range []model.Window{
-		{From: 7 * time.Hour, To: 9 * time.Hour},                 // on
+		{From: 7 * time.Hour, To: 9 * time.Hour},                 // in the window
 		{From: 8*time.Hour + 3*time.Minute, To: 9 * time.Hour},   // begins too soon
-		{From: 22 * time.Hour, To: 8*time.Hour + 30*time.Minute}, // on, over midnight
+		{From: 22 * time.Hour, To: 8*time.Hour + 30*time.Minute}, // in the window, over midnight
 		{From: 9 * time.Hour, To: 10 * time.Hour},                // later
 		{From: 10 * time.Hour, To: 7*time.Hour + 59*time.Minute}, // begins later, over midnight
 	} {
@@ -217,7 +218,7 @@
 		s.View.Site.Pools[0].Busy = []model.Window{w}
 		free := w.From >= 9*time.Hour && w.From < 22*time.Hour
 		is.Equal(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))) > 0, free)
-		is.True(len(granted(decide(s, Options{Ideas: Ideas{LargestSet: true}}, Facts{}))) > 0) // without the idea
+		is.True(len(granted(decide(s, Options{Ideas: Ideas{LargestSet: true}}, Facts{}))) > 0) // without RespectBusy
 	}
 	s := newSnapshot()
 	for _, vm := range []model.VMID{"v02", "v03"} { // a rack without instances
@@ -228,13 +229,13 @@
 	is.Equal(granted(d), nil)
 	is.Equal(d.Waiting["w"], "2 VMs of rack z0/r1 failed in the last 5m0s")
 	s.Now = now.Add(5 * time.Minute)
-	is.True(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))) > 0) // the budgets decide alone then
+	is.True(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))) > 0) // after the hold time only the budgets decide
 }
 
 func TestProgressEstimatesTheEnd(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
-	s.View.Site.Waves[0].Start = now.Add(-10 * time.Minute) // before what it did
+	s.View.Site.Waves[0].Start = now.Add(-10 * time.Minute) // before the first VM was done
 	permit(s, "v06", model.PhaseDraining)
 	runJob(s, "v06", model.JobSpec{}, 0)
 	for i := range 4 {
@@ -242,7 +243,7 @@
 		s.View.Maintained[id] = &model.Maintained{VM: id, Wave: "w", At: now.Add(time.Duration(i-6) * time.Minute)}
 	}
 	p := ProgressOf(fleet.NewIndex(s), map[model.WaveID]string{"w": "why"}, Options{})
-	// 4 were done 6 min ago to 3 min ago: one each 2 min, 8 are left.
+	// 4 were done, from 6 min to 3 min ago: one every 2 min; 8 are left.
 	is.Equal(p, []Progress{{Wave: "w", Total: 12, Done: 4, Active: 1, Waiting: "why", End: now.Add(16 * time.Minute), VMs: []Maintenance{{
 		VM: "v06", Pool: "p", Phase: "draining", Since: now.Add(-time.Minute),
 		Waits: "1 tasks to end, among them job job-v06: it must not be cut",
