--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Cover names the failure domain whose loss a service's budget absorbs.
+// Cover is the kind of failure domain whose loss a service's budget absorbs.
 type Cover uint8
 
 const (
@@ -22,53 +22,54 @@
 	CoverZone
 )
 
-// Ledger is the account of all budgets in one round of decisions. What the
-// round decides is entered by Take, so that later decisions see it.
+// Ledger holds all budgets during one round of decisions. Take and Stop enter
+// what the round decides, so that later decisions see it.
 type Ledger struct {
-	ix      *fleet.Index
-	now     model.Instant
-	options Options
-	lines   []*line
-	byID    map[model.ServiceID]*line
+	ix       *fleet.Index
+	now      model.Instant
+	options  Options
+	accounts []*serviceAccount
+	byID     map[model.ServiceID]*serviceAccount
 	// onVM lists the available instances of each VM.
-	onVM map[model.VMID][]*line
-	// taken are the VMs that this round took out.
+	onVM map[model.VMID][]*serviceAccount
+	// taken holds the VMs that were taken out in this round.
 	taken map[model.VMID]bool
 }
 
-// line is the account of one service.
-type line struct {
+// serviceAccount holds the budget of one service.
+type serviceAccount struct {
 	service   *fleet.Service
 	cover     Cover
 	available int
 	lost      [lossCount]int
-	// byDomain counts the available instances by failure domain of the cover.
+	// byDomain counts the available instances by failure domain at the level of
+	// the cover.
 	byDomain map[string]int
 }
 
-// NewLedger opens the account from a snapshot.
+// NewLedger computes the budgets from an index.
 func NewLedger(ix *fleet.Index, o Options) *Ledger {
 	o.Soak = cmp.Or(o.Soak, DefaultSoak)
 	l := &Ledger{
 		ix:      ix,
 		now:     ix.Now(),
 		options: o,
-		byID:    make(map[model.ServiceID]*line, len(ix.Services)),
-		onVM:    make(map[model.VMID][]*line, len(ix.VMs)),
+		byID:    make(map[model.ServiceID]*serviceAccount, len(ix.Services)),
+		onVM:    make(map[model.VMID][]*serviceAccount, len(ix.VMs)),
 		taken:   make(map[model.VMID]bool),
 	}
 	for _, p := range ix.Pools {
 		domains := countDomains(p)
 		for _, s := range p.Services {
-			l.open(s, coverOf(s.Spec, domains))
+			l.addService(s, coverOf(s.Spec, domains))
 		}
 	}
 	return l
 }
 
-// domains counts the failure domains over which a pool lies and may lie: while
-// it leaves a zone that the manifest no longer allows, no reserve for a whole
-// zone can be kept, and one that was asked for would keep the last VM there.
+// domains counts the failure domains of a pool's VMs, without the zones that
+// the manifest no longer allows for the pool. While the pool leaves such a
+// zone, a reserve for the loss of a zone would keep its last VM there.
 type domains struct{ vms, racks, zones int }
 
 func countDomains(p *fleet.Pool) domains {
@@ -86,38 +87,40 @@
 	return d
 }
 
-// coverOf is the largest domain whose loss leaves the service its least
-// number of instances when they lie evenly and nothing else is out.
+// coverOf returns the largest domain whose loss leaves the service its minimum
+// of available instances, provided that they are spread evenly and nothing else
+// is out.
 func coverOf(s *model.Service, d domains) Cover {
 	spare := s.Instances - s.MinAvailable
 	switch {
 	case spare <= 0:
 		return CoverNothing
-	case d.zones > 1 && share(s.Instances, d.zones) <= spare:
+	case d.zones > 1 && maxPerDomain(s.Instances, d.zones) <= spare:
 		return CoverZone
-	case d.racks > 1 && share(s.Instances, d.racks) <= spare:
+	case d.racks > 1 && maxPerDomain(s.Instances, d.racks) <= spare:
 		return CoverRack
 	default:
 		return CoverVM
 	}
 }
 
-// share is what the fullest of n even domains holds.
-func share(instances, n int) int { return (instances + n - 1) / n }
+// maxPerDomain returns the number of instances on the fullest of n domains when
+// they are spread evenly.
+func maxPerDomain(instances, n int) int { return (instances + n - 1) / n }
 
-func (l *Ledger) open(s *fleet.Service, cover Cover) {
-	e := &line{service: s, cover: cover, byDomain: map[string]int{}}
-	l.lines = append(l.lines, e)
+func (l *Ledger) addService(s *fleet.Service, cover Cover) {
+	e := &serviceAccount{service: s, cover: cover, byDomain: map[string]int{}}
+	l.accounts = append(l.accounts, e)
 	l.byID[s.Spec.ID] = e
 	for _, t := range s.Tasks {
-		l.enter(e, t)
+		l.addTask(e, t)
 	}
 	for _, t := range s.Extra {
-		l.enter(e, t)
+		l.addTask(e, t)
 	}
 }
 
-func (l *Ledger) enter(e *line, t *model.Task) {
+func (l *Ledger) addTask(e *serviceAccount, t *model.Task) {
 	loss := l.taskLoss(t)
 	e.lost[loss]++
 	if loss != Available {
@@ -128,7 +131,8 @@
 	l.onVM[v.ID] = append(l.onVM[v.ID], e)
 }
 
-// taskLoss says why an instance does not count; t is nil where none runs.
+// taskLoss returns why an instance does not count as available; t is nil where
+// none runs.
 func (l *Ledger) taskLoss(t *model.Task) Loss {
 	if t == nil {
 		return Starting
@@ -145,12 +149,12 @@
 	return Available
 }
 
-func (l *Ledger) count(e *line, v *fleet.VM, n int) {
+func (l *Ledger) count(e *serviceAccount, v *fleet.VM, n int) {
 	e.available += n
 	e.byDomain[l.domain(e.cover, v)] += n
 }
 
-// domain names the failure domain of a listed VM at the level of a cover.
+// domain returns the name of a listed VM's failure domain at the level of a cover.
 func (l *Ledger) domain(c Cover, v *fleet.VM) string {
 	switch c {
 	case CoverZone:
@@ -162,9 +166,9 @@
 	}
 }
 
-// worst is how many available instances the worst next failure would take,
-// and where.
-func (e *line) worst() (count int, domain string) {
+// worstFailure returns how many available instances the worst next failure
+// would take, and its failure domain.
+func (e *serviceAccount) worstFailure() (count int, domain string) {
 	if e.cover == CoverNothing {
 		return 0, ""
 	}
@@ -176,15 +180,16 @@
 	return count, domain
 }
 
-func (e *line) left(r Rules) int {
-	reserve, _ := e.worst()
+// left returns the remaining budget of the service.
+func (e *serviceAccount) left(r Rules) int {
+	reserve, _ := e.worstFailure()
 	if r.SkipReserve {
 		reserve = 0
 	}
 	return e.available - reserve - e.service.Spec.MinAvailable
 }
 
-// Available counts the available instances of a service.
+// Available returns the number of available instances of a service.
 func (l *Ledger) Available(id model.ServiceID) int {
 	if e := l.byID[id]; e != nil {
 		return e.available
@@ -198,8 +203,8 @@
 	return e != nil && e.available == len(e.service.Tasks)+len(e.service.Extra)
 }
 
-// Domain names the failure domain of a listed VM whose loss the budget of a
-// service absorbs.
+// Domain returns the name of a listed VM's failure domain, at the level whose
+// loss the budget of the service absorbs.
 func (l *Ledger) Domain(id model.ServiceID, v *fleet.VM) string {
 	if e := l.byID[id]; e != nil && v.Listed != nil {
 		return l.domain(e.cover, v)
@@ -207,7 +212,8 @@
 	return ""
 }
 
-// Left is what is left of a service's budget; below 0 it is short.
+// Left returns the remaining budget of a service; it is negative when the
+// service has too few available instances.
 func (l *Ledger) Left(id model.ServiceID) int {
 	if e := l.byID[id]; e != nil {
 		return e.left(l.options.Rules)
@@ -215,10 +221,10 @@
 	return 0
 }
 
-// LeastLeft is what is left of the budget that has least; 0 without services.
+// LeastLeft returns the smallest remaining budget; 0 without services.
 func (l *Ledger) LeastLeft() int {
 	least := 0
-	for i, e := range l.lines {
+	for i, e := range l.accounts {
 		if left := e.left(l.options.Rules); i == 0 || left < least {
 			least = left
 		}
@@ -226,10 +232,12 @@
 	return least
 }
 
-// Short reports whether a service of the pool has less than nothing left.
+// Short reports whether the remaining budget of a service of the pool is
+// negative.
 func (l *Ledger) Short(p *fleet.Pool) bool {
 	return slices.ContainsFunc(p.Services, func(s *fleet.Service) bool { return l.Left(s.Spec.ID) < 0 })
 }
 
-// Down reports whether a VM does not count for any budget, and why.
+// Down returns why the instances on a VM do not count for any budget; Available
+// when they do.
 func (l *Ledger) Down(v *fleet.VM) Loss { return l.vmLoss(v) }
--- a/internal/budget/loss.go
+++ b/internal/budget/loss.go
@@ -7,34 +7,34 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Loss says why an instance does not count as available.
+// Loss is the reason why an instance does not count as available.
 type Loss uint8
 
 const (
-	// Available: it counts.
+	// Available: the instance counts.
 	Available Loss = iota
-	// Starting: it has a task but has not announced itself, or has no task.
+	// Starting: it has no task, or its task has not announced itself.
 	Starting
-	// Stopping: it was told to stop.
+	// Stopping: it is being stopped.
 	Stopping
 	// UnderPermit: its VM may be taken down for maintenance at any moment.
 	UnderPermit
-	// Failed: its VM is down, reboots unasked or is no longer listed.
+	// Failed: its VM is down, reboots without a permit or is no longer listed.
 	Failed
-	// Unknown: the heartbeat of its VM is late.
+	// Unknown: the heartbeat of its VM is late, or the platform's list is stale.
 	Unknown
-	// Soaking: its VM came back a short while ago.
+	// Soaking: its VM came back recently.
 	Soaking
-	// Quarantined: jobs fail on its VM.
+	// Quarantined: its VM is quarantined because jobs fail on it.
 	Quarantined
-	// Moving: its VM leaves the pool.
+	// Moving: its VM is leaving the pool.
 	Moving
 	lossCount
 )
 
 var lossNames = [lossCount]string{"available", "starting", "stopping", "under permit", "failed", "unknown", "soaking", "quarantined", "moving"}
 
-// String returns the words used in status.
+// String returns the text used in status.
 func (l Loss) String() string {
 	if l >= lossCount {
 		return "invalid"
@@ -43,36 +43,36 @@
 }
 
 // Rules switches single safety rules off. The zero value has every rule on
-// and is the only one that the product uses; tests switch a rule off to see
-// that the invariants notice.
+// and is the only one used in production; tests switch a rule off to check that
+// the invariants detect it.
 type Rules struct {
 	// TrustUnknown counts VMs whose heartbeat is late as available.
 	TrustUnknown bool
 	// SkipSoak counts a VM as available as soon as it is back.
 	SkipSoak bool
-	// SkipReserve leaves nothing for the next failure.
+	// SkipReserve keeps no reserve for the next failure.
 	SkipReserve bool
 }
 
-// DefaultSoak is how long a VM that came back by itself or from a repair is
-// not yet counted as available.
+// DefaultSoak is how long a VM that came back on its own or after a repair does
+// not count as available yet.
 const DefaultSoak = 2 * time.Minute
 
 // Options set up a Ledger.
 type Options struct {
-	// Soak is how long a VM must be up before it counts; 0 stands for DefaultSoak.
+	// Soak is how long a VM must be up before it counts; 0 means DefaultSoak.
 	Soak time.Duration
-	// Stale says that the platform's list is too old to be believed: every VM
-	// counts as unknown.
+	// Stale is set when the platform's list is too old to rely on: every VM
+	// that it lists as up counts as unknown.
 	Stale bool
 	Rules Rules
 }
 
-// vmLoss says why no instance on a VM counts.
+// vmLoss returns why no instance on a VM counts.
 //
-// A second VM is often lost right after a repair. If the repaired VM counted
-// at once, the next grant would spend what it just gave back, and its second
-// failure would break the budget. So it counts only after it soaked.
+// A VM often fails again right after a repair. If it counted at once, the next
+// grant would use up the budget that it restored, and its second failure would
+// break the budget. So it counts only after the soak time.
 func (l *Ledger) vmLoss(v *fleet.VM) Loss {
 	switch {
 	case v == nil:
@@ -94,8 +94,8 @@
 	}
 }
 
-// unknown reports whether nobody knows that the VM is up. It may be dead
-// already: if it counted, a drain elsewhere could take the last instance.
+// unknown reports whether it is unknown if the VM is up. It may have failed
+// already; if it counted, a drain elsewhere could take the last instance.
 func (l *Ledger) unknown(v *fleet.VM) bool {
 	if l.options.Rules.TrustUnknown {
 		return false
--- a/internal/budget/report.go
+++ b/internal/budget/report.go
@@ -7,46 +7,48 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Report is the account of all budgets as status shows it.
+// Report holds all budgets as status shows them.
 type Report struct {
 	Services []ServiceReport `json:"services"`
 }
 
-// ServiceReport is the account of one service.
+// ServiceReport holds the budget of one service.
 type ServiceReport struct {
 	Service model.ServiceID `json:"service"`
 	Pool    model.PoolID    `json:"pool"`
 	// Wanted and Least are the manifest's instances and min_available.
 	Wanted int `json:"wanted"`
 	Least  int `json:"least"`
-	// Available counts; Lost tells, by cause, why the others do not.
+	// Available is the number of available instances; Lost counts the others by
+	// cause.
 	Available int            `json:"available"`
 	Lost      map[string]int `json:"lost,omitempty"`
-	// Reserve is what the worst next failure, of Domain, would take.
+	// Reserve is how many instances the worst next failure, that of Domain,
+	// would take.
 	Reserve int    `json:"reserve"`
 	Domain  string `json:"domain,omitempty"`
-	// Left is Available - Reserve - Least.
+	// Left is the remaining budget, Available - Reserve - Least.
 	Left int `json:"left"`
-	// Words is the arithmetic in words.
+	// Words describes the calculation.
 	Words string `json:"words"`
 }
 
-// Report gives the account of all budgets.
+// Report returns all budgets for status.
 func (l *Ledger) Report() Report {
-	r := Report{Services: make([]ServiceReport, 0, len(l.lines))}
-	for _, e := range l.lines {
-		r.Services = append(r.Services, l.reportLine(e))
+	r := Report{Services: make([]ServiceReport, 0, len(l.accounts))}
+	for _, e := range l.accounts {
+		r.Services = append(r.Services, l.reportService(e))
 	}
 	return r
 }
 
-func (l *Ledger) reportLine(e *line) ServiceReport {
-	reserve, domain := e.worst()
+func (l *Ledger) reportService(e *serviceAccount) ServiceReport {
+	reserve, domain := e.worstFailure()
 	spec := e.service.Spec
 	report := ServiceReport{
 		Service: spec.ID, Pool: spec.Pool, Wanted: spec.Instances, Least: spec.MinAvailable,
 		Available: e.available, Reserve: reserve, Domain: domain, Left: e.left(l.options.Rules),
-		Words: l.words(e),
+		Words: l.describe(e),
 	}
 	var causes []string
 	for loss := Starting; loss < lossCount; loss++ {
--- a/internal/budget/take.go
+++ b/internal/budget/take.go
@@ -7,35 +7,35 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// MayTake reports whether a VM may be taken out on purpose now. Otherwise
-// why is the arithmetic of the service that forbids it.
+// MayTake reports whether a VM may be taken out on purpose now. If not, why
+// describes the budget that forbids it.
 func (l *Ledger) MayTake(v *fleet.VM) (ok bool, why string) {
 	if p := l.ix.Pool(v.Pool()); p != nil {
-		if short := l.shortLine(p); short != nil {
-			return false, l.words(short)
+		if short := l.shortAccount(p); short != nil {
+			return false, l.describe(short)
 		}
 	}
 	for _, t := range v.Tasks {
-		// Not every service with an instance here is of the VM's pool: the
+		// A service with an instance here may belong to another pool: the
 		// manifest may have moved it.
 		if e := l.byID[t.Service]; e != nil && e.left(l.options.Rules) < 0 {
-			return false, l.words(e)
+			return false, l.describe(e)
 		}
 	}
 	defer l.without(v)()
 	for _, e := range l.onVM[v.ID] {
 		if e.left(l.options.Rules) < 0 {
-			return false, "without VM " + string(v.ID) + ": " + l.words(e)
+			return false, "without VM " + string(v.ID) + ": " + l.describe(e)
 		}
 	}
 	return true, ""
 }
 
-// Take enters that a VM is taken out: none of its instances counts any more.
+// Take records that a VM is taken out: none of its instances counts any more.
 func (l *Ledger) Take(v *fleet.VM) {
-	lines := l.onVM[v.ID]
-	l.shift(v, lines, -1)
-	for _, e := range lines {
+	accounts := l.onVM[v.ID]
+	l.shift(v, accounts, -1)
+	for _, e := range accounts {
 		e.lost[Available]--
 		e.lost[UnderPermit]++
 	}
@@ -53,12 +53,12 @@
 	l.count(e, v, -1)
 	defer l.count(e, v, 1)
 	if e.left(l.options.Rules) < 0 {
-		return false, l.words(e)
+		return false, l.describe(e)
 	}
 	return true, ""
 }
 
-// Stop enters that one instance is stopped.
+// Stop records that one instance is stopped.
 func (l *Ledger) Stop(t *model.Task) {
 	e := l.byID[t.Service]
 	if e == nil || l.taken[t.VM] || l.taskLoss(t) != Available {
@@ -68,11 +68,12 @@
 	l.count(e, v, -1)
 	e.lost[Available]--
 	e.lost[Stopping]++
-	l.onVM[v.ID] = withoutOne(l.onVM[v.ID], e)
+	l.onVM[v.ID] = removeOne(l.onVM[v.ID], e)
 }
 
-// Missing counts, for each service of the VM's pool, how many more instances
-// must be available before the VM may be taken. It is empty when it may.
+// Missing returns, for each service of the VM's pool, how many more instances
+// must be available before the VM may be taken out. It is empty when the VM
+// may be taken out now.
 func (l *Ledger) Missing(v *fleet.VM) map[model.ServiceID]int {
 	missing := map[model.ServiceID]int{}
 	p := l.ix.Pool(v.Pool())
@@ -88,16 +89,17 @@
 	return missing
 }
 
-// Lacks counts how many more instances of a service must be available before
-// the VM, with all that it carries of the service, may be taken.
+// Lacks returns how many more instances of a service must be available before
+// the VM, with all of the service's instances on it, may be taken out.
 func (l *Ledger) Lacks(id model.ServiceID, v *fleet.VM) int {
 	defer l.without(v)()
 	return max(-l.Left(id), 0)
 }
 
-// Helps reports whether one more instance of a service on the place would
-// leave more of its budget once the target, nil for none, is taken out. One in
-// a failure domain that is then the fullest does not: the reserve grows with it.
+// Helps reports whether one more instance of a service on the VM place would
+// increase the service's remaining budget once the target, which may be nil, is
+// taken out. An instance in what is then the fullest failure domain does not,
+// because the reserve grows with it.
 func (l *Ledger) Helps(id model.ServiceID, target, place *fleet.VM) bool {
 	e := l.byID[id]
 	if e == nil || place.Listed == nil || place == target {
@@ -110,8 +112,9 @@
 	return e.left(l.options.Rules) > before
 }
 
-// Useless reports whether as much would be left of the service's budget
-// without the available instance, once the target, nil for none, is taken out.
+// Useless reports whether the remaining budget of the service would be no
+// smaller without the available instance, once the target, which may be nil, is
+// taken out.
 func (l *Ledger) Useless(t *model.Task, target *fleet.VM) bool {
 	e := l.byID[t.Service]
 	if e == nil || l.taken[t.VM] || l.taskLoss(t) != Available || target != nil && t.VM == target.ID {
@@ -125,8 +128,9 @@
 	return e.left(l.options.Rules) >= before
 }
 
-// Restores counts the instances on a VM under permit that would count again
-// if the VM were given back now and that a short service needs.
+// Restores returns how many instances on a VM under a permit would be available
+// again if the VM were returned now, of services whose remaining budget is
+// negative.
 func (l *Ledger) Restores(v *fleet.VM) int {
 	if v.Listed == nil || v.Listed.Health != model.VMUp {
 		return 0
@@ -141,23 +145,24 @@
 	return restored
 }
 
-// without takes a VM out until the function that it returns is called.
+// without takes a VM out of the counts until the returned function is called.
 func (l *Ledger) without(v *fleet.VM) (undo func()) {
 	if v == nil {
 		return func() {}
 	}
-	lines := l.onVM[v.ID]
-	l.shift(v, lines, -1)
-	return func() { l.shift(v, lines, 1) }
+	accounts := l.onVM[v.ID]
+	l.shift(v, accounts, -1)
+	return func() { l.shift(v, accounts, 1) }
 }
 
-func (l *Ledger) shift(v *fleet.VM, lines []*line, n int) {
-	for _, e := range lines {
+// shift adds n to the available instances on a VM for each of the accounts.
+func (l *Ledger) shift(v *fleet.VM, accounts []*serviceAccount, n int) {
+	for _, e := range accounts {
 		l.count(e, v, n)
 	}
 }
 
-func (l *Ledger) shortLine(p *fleet.Pool) *line {
+func (l *Ledger) shortAccount(p *fleet.Pool) *serviceAccount {
 	for _, s := range p.Services {
 		if e := l.byID[s.Spec.ID]; e != nil && e.left(l.options.Rules) < 0 {
 			return e
@@ -166,9 +171,9 @@
 	return nil
 }
 
-// words is the arithmetic of one service.
-func (l *Ledger) words(e *line) string {
-	reserve, domain := e.worst()
+// describe returns the calculation of one service's remaining budget.
+func (l *Ledger) describe(e *serviceAccount) string {
+	reserve, domain := e.worstFailure()
 	where := ""
 	if domain != "" {
 		where = " (" + domain + ")"
@@ -177,11 +182,11 @@
 	return fmt.Sprintf("service %s: %d available - %d worst next failure%s - %d least = %d", spec.ID, e.available, reserve, where, spec.MinAvailable, e.left(l.options.Rules))
 }
 
-func withoutOne(lines []*line, e *line) []*line {
-	for i, other := range lines {
+func removeOne(accounts []*serviceAccount, e *serviceAccount) []*serviceAccount {
+	for i, other := range accounts {
 		if other == e {
-			return append(append([]*line(nil), lines[:i]...), lines[i+1:]...)
+			return append(append([]*serviceAccount(nil), accounts[:i]...), accounts[i+1:]...)
 		}
 	}
-	return lines
+	return accounts
 }
