--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -1,5 +1,5 @@
-// Package workers is what the product says to workers and hears from them:
-// orders, refusals and lists, and the calls that carry them.
+// Package workers defines the calls to workers: orders, replies, refusals and
+// lists of runs.
 package workers
 
 import (
@@ -11,39 +11,39 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Target is the incarnation of a worker that a call is meant for.
+// Target is the incarnation of a worker to which a call is addressed.
 type Target struct {
 	ID      workload.WorkerID
 	Address string
 }
 
-// Refusal is why a worker did nothing.
+// Refusal is the reason why a worker did not carry out an order.
 type Refusal uint8
 
 // The refusals of a worker.
 const (
-	// Accepted: it was done.
+	// Accepted: the order was carried out.
 	Accepted Refusal = iota
-	// RefusedFence: it has seen the fence of a later leader.
+	// RefusedFence: the worker has seen the fence of a later leader.
 	RefusedFence
-	// RefusedOld: this attempt, or a later one, was stopped or has ended there.
+	// RefusedOld: this attempt, or a later one, was stopped or ended on the worker.
 	RefusedOld
-	// RefusedLate: the lease of the order had passed.
+	// RefusedLate: the lease of the order had expired.
 	RefusedLate
-	// RefusedRoom: it has no room.
+	// RefusedRoom: the worker has too little free capacity.
 	RefusedRoom
-	// RefusedTicket: the permission is not valid any more.
+	// RefusedTicket: the ticket of the order is no longer valid.
 	RefusedTicket
-	// RefusedBusy: it is not well and did nothing.
+	// RefusedBusy: the worker is not able to carry out orders and did nothing.
 	RefusedBusy
-	// RefusedForm: it does not understand the order.
+	// RefusedForm: the worker does not understand the order.
 	RefusedForm
-	// RefusedIncarnation: another incarnation answers at the address; the one
-	// that was meant is over.
+	// RefusedIncarnation: another incarnation replies at the address; the one
+	// that was addressed has ended.
 	RefusedIncarnation
 )
 
-// String names the refusal for log lines.
+// String returns the name of the refusal for log lines.
 func (r Refusal) String() string {
 	names := [...]string{"accepted", "fence", "old", "late", "room", "ticket", "busy", "form", "incarnation"}
 	if int(r) < len(names) {
@@ -52,10 +52,11 @@
 	return fmt.Sprintf("refusal %d", uint8(r))
 }
 
-// Answer is what a worker says to an order.
+// Answer is a worker's reply to an order.
 type Answer struct {
 	Refusal Refusal
-	// ClockMS is the worker's steady clock; 0 when it did not say.
+	// ClockMS is the reading of the worker's steady clock; 0 when the reply has
+	// none.
 	ClockMS int64
 }
 
@@ -65,47 +66,48 @@
 	Payload    string
 	Checkpoint string
 	Ticket     string
-	// LeaseUntilMS is on the worker's clock.
+	// LeaseUntilMS is the end of the lease by the worker's clock.
 	LeaseUntilMS int64
 	Fence        uint64
 }
 
-// HoldOrder renews the lease of everything on a worker and asks for its lists.
+// HoldOrder renews the lease of all runs on a worker and requests its lists.
 type HoldOrder struct {
-	// LeaseUntilMS is on the worker's clock; 0 renews nothing.
+	// LeaseUntilMS is the end of the lease by the worker's clock; 0 renews
+	// nothing.
 	LeaseUntilMS int64
 	Fence        uint64
 	// Acked is the number of the last end that is committed.
 	Acked uint64
-	// WaitMS is how long the worker may wait for an end before it answers.
+	// WaitMS is how long the worker may wait for an end before it replies.
 	WaitMS int64
 }
 
-// Running is a run as its worker lists it.
+// Running is a run as listed by its worker.
 type Running struct {
 	Run        workload.RunRef
 	Checkpoint string
-	// Percent is the progress; a lasting task is at work at 100.
+	// Percent is the progress; a long-running task is at 100 once it is working.
 	Percent int
 	// Load is the tail latency in milliseconds for a task that serves users,
 	// and the processor time in use, in thousandths of a core, for any other.
 	Load int64
 }
 
-// List is what a worker says of its runs.
+// List holds the runs and ends that a worker lists.
 type List struct {
 	Answer
 	Running []Running
 	Ends    []workload.End
-	// EndsAfterGap counts the last of Ends, those that were listed behind an end
-	// that could not be read.
+	// EndsAfterGap is how many of the last Ends were listed after an end that
+	// could not be read.
 	EndsAfterGap int
-	// Unread counts the rows that could not be read. While there is one, a run
-	// that is not listed may be running all the same.
+	// Unread counts the rows that could not be read. If there are any, a run
+	// that is not listed may still be running.
 	Unread int
 }
 
-// Calls are the calls to workers. An error is a *CallError.
+// Calls makes calls to workers. Every error is a *CallError.
 type Calls interface {
 	Start(ctx context.Context, to Target, o StartOrder) (Answer, error)
 	Stop(ctx context.Context, to Target, run workload.RunRef, fence uint64) (Answer, error)
@@ -113,20 +115,20 @@
 	Pace(ctx context.Context, to Target, run workload.RunRef, percent int, fence uint64) (Answer, error)
 }
 
-// CallError is a call that was not answered.
+// CallError is the error of a call that got no reply.
 type CallError struct {
-	// Verdict says whether the call may have been carried out.
+	// Verdict is whether the call was, or may have been, carried out.
 	Verdict model.Verdict
 	Err     error
 }
 
-// Error implements error.
+// Error returns the verdict and the cause.
 func (e *CallError) Error() string { return fmt.Sprintf("%s: %v", e.Verdict, e.Err) }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// NotSent reports whether a call certainly did not reach the worker.
+// NotSent reports whether the call is certain not to have reached the worker.
 func NotSent(err error) bool {
 	var call *CallError
 	return errors.As(err, &call) && call.Verdict == model.NotRun
--- a/internal/workers/standin/worker.go
+++ b/internal/workers/standin/worker.go
@@ -1,6 +1,7 @@
-// Package standin is a worker as the published protocol describes it, for
-// tests: leases on its own clock, fences, attempts, ends that are listed until
-// they are acknowledged. It has no goroutine, socket or clock of its own.
+// Package standin provides a worker for tests that follows the published
+// protocol: leases by its own clock, fences, attempts, and ends that are listed
+// until they are acknowledged. It has no goroutine, socket or clock of its own;
+// callers pass the time.
 package standin
 
 import (
@@ -15,61 +16,65 @@
 	ID       workload.WorkerID
 	Address  string
 	Capacity workload.Resources
-	// Speed is the share at which its clock runs, 0.98 at the slowest.
+	// Speed is the rate of its clock relative to the time that is passed in; it
+	// is 0.98 at the slowest.
 	Speed float64
-	// Born is the time of its start; its clock begins there at BornMS.
+	// Born is the time at which it started, and BornMS the reading of its clock
+	// at that time.
 	Born   time.Duration
 	BornMS int64
-	// Dead: the incarnation is over.
+	// Dead is set when the incarnation has ended.
 	Dead bool
-	// Fails makes every run end failed.
+	// Fails makes every run end as failed; nothing in this package reads it.
 	Fails bool
-	// Hangs keeps the progress of every run where it is, at HangsAt percent.
+	// Hangs keeps the progress of every run at HangsAt percent.
 	Hangs   bool
 	HangsAt int
-	// Acked is told of each end that was acknowledged, and whether the lease
-	// held since the end: otherwise the end does not count as taken note of.
+	// Acked is called for each acknowledged end, with whether the lease was held
+	// from the end until its acknowledgement. If it was not, the
+	// acknowledgement does not count.
 	Acked func(end workload.End, held bool)
-	// Ended is told of each end.
+	// Ended is called for each end.
 	Ended func(workload.End)
 
-	fence   uint64
-	until   int64
-	runs    map[workload.RunRef]*run
-	highest map[workload.TaskRef]int
-	ends    []workload.End
-	next    uint64
-	// lapsed is the number of the last end that was listed when the lease lapsed.
-	lapsed uint64
+	fence          uint64
+	leaseUntilMS   int64
+	runs           map[workload.RunRef]*run
+	highestAttempt map[workload.TaskRef]int
+	ends           []workload.End
+	lastEnd        uint64
+	// lastLapsedEnd is the number of the last end that was listed when Expire
+	// last found the lease expired.
+	lastLapsedEnd uint64
 }
 
 type run struct{ started time.Duration }
 
-// New returns a worker that was just started.
+// New returns a worker that starts now.
 func New(id workload.WorkerID, address string, capacity workload.Resources, speed float64, now time.Duration) *Worker {
 	return &Worker{
 		ID: id, Address: address, Capacity: capacity, Speed: speed, Born: now, BornMS: 1000,
-		runs: map[workload.RunRef]*run{}, highest: map[workload.TaskRef]int{},
+		runs: map[workload.RunRef]*run{}, highestAttempt: map[workload.TaskRef]int{},
 	}
 }
 
-// ClockMS reads the worker's clock.
+// ClockMS returns the reading of the worker's clock.
 func (w *Worker) ClockMS(now time.Duration) int64 {
 	return w.BornMS + int64(float64((now-w.Born).Milliseconds())*w.Speed)
 }
 
-// Expire ends what has lapsed.
+// Expire ends all runs if the lease has expired.
 func (w *Worker) Expire(now time.Duration) {
-	if w.ClockMS(now) < w.until {
+	if w.ClockMS(now) < w.leaseUntilMS {
 		return
 	}
-	w.lapsed = w.next
+	w.lastLapsedEnd = w.lastEnd
 	for r := range w.runs {
 		w.End(r, workload.EndLapsed)
 	}
 }
 
-// Running returns the runs that run now.
+// Running returns the present runs; none once the incarnation has ended.
 func (w *Worker) Running() []workload.RunRef {
 	var all []workload.RunRef
 	if w.Dead {
@@ -81,7 +86,7 @@
 	return all
 }
 
-// Age returns for how long a run has been running, 0 when it is not there.
+// Age returns how long a run has been running; 0 when the worker does not run it.
 func (w *Worker) Age(r workload.RunRef, now time.Duration) time.Duration {
 	if w.runs[r] == nil {
 		return 0
@@ -89,22 +94,22 @@
 	return now - w.runs[r].started
 }
 
-// End ends a run.
+// End ends a run and lists its end.
 func (w *Worker) End(r workload.RunRef, kind workload.EndKind) {
 	delete(w.runs, r)
-	w.next++
-	end := workload.End{Worker: w.ID, Number: w.next, Run: r, Kind: kind}
+	w.lastEnd++
+	end := workload.End{Worker: w.ID, Number: w.lastEnd, Run: r, Kind: kind}
 	w.ends = append(w.ends, end)
 	if w.Ended != nil {
 		w.Ended(end)
 	}
-	w.highest[r.Task] = max(w.highest[r.Task], r.Attempt)
+	w.highestAttempt[r.Task] = max(w.highestAttempt[r.Task], r.Attempt)
 }
 
-// Listed returns the ends that are not acknowledged.
+// Listed returns the ends that are not acknowledged yet.
 func (w *Worker) Listed() []workload.End { return w.ends }
 
-// Start carries out a start.
+// Start carries out a start order.
 func (w *Worker) Start(o workers.StartOrder, now time.Duration) workers.Answer {
 	w.Expire(now)
 	answer := workers.Answer{ClockMS: w.ClockMS(now)}
@@ -117,18 +122,18 @@
 		return answer
 	case o.LeaseUntilMS <= answer.ClockMS:
 		answer.Refusal = workers.RefusedLate
-	case o.Run.Attempt <= w.highest[o.Run.Task]:
+	case o.Run.Attempt <= w.highestAttempt[o.Run.Task]:
 		answer.Refusal = workers.RefusedOld
 	}
 	w.fence = o.Fence
-	w.until = max(w.until, o.LeaseUntilMS)
+	w.leaseUntilMS = max(w.leaseUntilMS, o.LeaseUntilMS)
 	if answer.Refusal == workers.Accepted {
 		w.runs[o.Run] = &run{started: now}
 	}
 	return answer
 }
 
-// Stop carries out a stop.
+// Stop carries out a stop order.
 func (w *Worker) Stop(r workload.RunRef, fence uint64, now time.Duration) workers.Answer {
 	w.Expire(now)
 	answer := workers.Answer{ClockMS: w.ClockMS(now)}
@@ -137,14 +142,14 @@
 		return answer
 	}
 	w.fence = fence
-	w.highest[r.Task] = max(w.highest[r.Task], r.Attempt)
+	w.highestAttempt[r.Task] = max(w.highestAttempt[r.Task], r.Attempt)
 	if w.runs[r] != nil {
 		w.End(r, workload.EndStopped)
 	}
 	return answer
 }
 
-// Hold carries out a hold.
+// Hold carries out a hold order.
 func (w *Worker) Hold(o workers.HoldOrder, now time.Duration) workers.List {
 	w.Expire(now)
 	list := workers.List{Answer: workers.Answer{ClockMS: w.ClockMS(now)}}
@@ -153,10 +158,10 @@
 		return list
 	}
 	w.fence = o.Fence
-	w.until = max(w.until, o.LeaseUntilMS)
+	w.leaseUntilMS = max(w.leaseUntilMS, o.LeaseUntilMS)
 	for len(w.ends) > 0 && w.ends[0].Number <= o.Acked {
 		if w.Acked != nil {
-			w.Acked(w.ends[0], w.ends[0].Number > w.lapsed)
+			w.Acked(w.ends[0], w.ends[0].Number > w.lastLapsedEnd)
 		}
 		w.ends = w.ends[1:]
 	}
