--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -58,7 +58,7 @@
 	for _, s := range status.Budgets.Services {
 		statuses = append(statuses, operator.BudgetStatus{
 			Service: s.Service, Pool: s.Pool, Instances: s.Wanted, Least: s.Least,
-			Available: s.Available, Reserve: s.Reserve, Left: s.Left, Why: s.Words,
+			Available: s.Available, Reserve: s.Reserve, Left: s.Left, Why: s.Description,
 		})
 	}
 	return statuses
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -152,7 +152,7 @@
 	config := controller.Config{
 		Self: a.settings.Node.Name, Region: a.settings.Node.Region, Log: a.log, Platform: client,
 		Serving: func() map[model.TaskID]bool { return serving(a.registry) },
-		Wave:    wave.Options{Ideas: wave.Chosen()},
+		Wave:    wave.Options{Features: wave.AllFeatures()},
 		Metrics: a.metrics, Logger: a.logger,
 	}
 	if o.Tune != nil {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -118,13 +118,13 @@
 	is := is.New(t)
 	s := newSnapshot(6, 3, 6, 4)
 	l, ix := newLedger(s, Options{})
-	is.Equal(l.Report().Services[0].Words, "service s: 6 available - 2 worst next failure (z0) - 4 least = 0")
+	is.Equal(l.Report().Services[0].Description, "service s: 6 available - 2 worst next failure (z0) - 4 least = 0")
 	_, why := l.MayTake(ix.VM("v1"))
 	is.Equal(why, "without VM v1: service s: 5 available - 2 worst next failure (z0) - 4 least = -1")
 	// One more instance in v1's zone makes up for v1; one elsewhere does not.
-	is.Equal(l.Missing(ix.VM("v1")), map[model.ServiceID]int{"s": 1})
-	is.True(l.Helps("s", ix.VM("v1"), ix.VM("v4")))
-	is.True(!l.Helps("s", ix.VM("v1"), ix.VM("v0")))
+	is.Equal(l.Shortfalls(ix.VM("v1")), map[model.ServiceID]int{"s": 1})
+	is.True(l.ImprovesBudget("s", ix.VM("v1"), ix.VM("v4")))
+	is.True(!l.ImprovesBudget("s", ix.VM("v1"), ix.VM("v0")))
 }
 
 // Whatever fails and whichever VMs are taken out in turn as MayTake allows, the
@@ -156,7 +156,7 @@
 				total++
 			}
 		}
-		served := len(out) > 0 && l.Left("s") >= 0
+		served := len(out) > 0 && l.Remaining("s") >= 0
 		for domain, n := range left {
 			if served && e.cover != CoverNothing && total-n < e.service.Spec.MinAvailable {
 				t.Fatalf("%d VMs are out; the loss of %s leaves %d instances, the minimum is %d", len(out), domain, total-n, e.service.Spec.MinAvailable)
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -140,7 +140,7 @@
 	if loss := l.vmLoss(l.ix.VM(t.VM)); loss != Available {
 		return loss
 	}
-	if t.State == model.TaskStopping || l.ix.Ending(t.ID) {
+	if t.State == model.TaskStopping || l.ix.EndPlanned(t.ID) {
 		return Stopping
 	}
 	if !l.ix.Snap.Serving[t.ID] {
@@ -180,8 +180,8 @@
 	return count, domain
 }
 
-// left returns the remaining budget of the service.
-func (e *serviceAccount) left(r Rules) int {
+// remaining returns the remaining budget of the service.
+func (e *serviceAccount) remaining(r Rules) int {
 	reserve, _ := e.worstFailure()
 	if r.SkipReserve {
 		reserve = 0
@@ -197,8 +197,8 @@
 	return 0
 }
 
-// Whole reports whether every instance of a service is available.
-func (l *Ledger) Whole(id model.ServiceID) bool {
+// AllAvailable reports whether every instance of a service is available.
+func (l *Ledger) AllAvailable(id model.ServiceID) bool {
 	e := l.byID[id]
 	return e != nil && e.available == len(e.service.Tasks)+len(e.service.Extra)
 }
@@ -212,32 +212,32 @@
 	return ""
 }
 
-// Left returns the remaining budget of a service; it is negative when the
+// Remaining returns the remaining budget of a service; it is negative when the
 // service has too few available instances.
-func (l *Ledger) Left(id model.ServiceID) int {
+func (l *Ledger) Remaining(id model.ServiceID) int {
 	if e := l.byID[id]; e != nil {
-		return e.left(l.options.Rules)
+		return e.remaining(l.options.Rules)
 	}
 	return 0
 }
 
-// LeastLeft returns the smallest remaining budget; 0 without services.
-func (l *Ledger) LeastLeft() int {
+// MinRemaining returns the smallest remaining budget; 0 without services.
+func (l *Ledger) MinRemaining() int {
 	least := 0
 	for i, e := range l.accounts {
-		if left := e.left(l.options.Rules); i == 0 || left < least {
+		if left := e.remaining(l.options.Rules); i == 0 || left < least {
 			least = left
 		}
 	}
 	return least
 }
 
-// Short reports whether the remaining budget of a service of the pool is
+// BelowBudget reports whether the remaining budget of a service of the pool is
 // negative.
-func (l *Ledger) Short(p *fleet.Pool) bool {
-	return slices.ContainsFunc(p.Services, func(s *fleet.Service) bool { return l.Left(s.Spec.ID) < 0 })
+func (l *Ledger) BelowBudget(p *fleet.Pool) bool {
+	return slices.ContainsFunc(p.Services, func(s *fleet.Service) bool { return l.Remaining(s.Spec.ID) < 0 })
 }
 
-// Down returns why the instances on a VM do not count for any budget; Available
+// VMLoss returns why the instances on a VM do not count for any budget; Available
 // when they do.
-func (l *Ledger) Down(v *fleet.VM) Loss { return l.vmLoss(v) }
+func (l *Ledger) VMLoss(v *fleet.VM) Loss { return l.vmLoss(v) }
--- a/internal/budget/report.go
+++ b/internal/budget/report.go
@@ -29,8 +29,8 @@
 	Domain  string `json:"domain,omitempty"`
 	// Left is the remaining budget, Available - Reserve - Least.
 	Left int `json:"left"`
-	// Words describes the calculation.
-	Words string `json:"words"`
+	// Description describes the calculation.
+	Description string `json:"words"`
 }
 
 // Report returns all budgets for status.
@@ -47,8 +47,8 @@
 	spec := e.service.Spec
 	report := ServiceReport{
 		Service: spec.ID, Pool: spec.Pool, Wanted: spec.Instances, Least: spec.MinAvailable,
-		Available: e.available, Reserve: reserve, Domain: domain, Left: e.left(l.options.Rules),
-		Words: l.describe(e),
+		Available: e.available, Reserve: reserve, Domain: domain, Left: e.remaining(l.options.Rules),
+		Description: l.describe(e),
 	}
 	var causes []string
 	for loss := Starting; loss < lossCount; loss++ {
@@ -58,7 +58,7 @@
 		}
 	}
 	if len(causes) > 0 {
-		report.Words += " (not available: " + strings.Join(causes, ", ") + ")"
+		report.Description += " (not available: " + strings.Join(causes, ", ") + ")"
 	}
 	return report
 }
--- a/internal/budget/take.go
+++ b/internal/budget/take.go
@@ -18,13 +18,13 @@
 	for _, t := range v.Tasks {
 		// A service with an instance here may belong to another pool: the
 		// manifest may have moved it.
-		if e := l.byID[t.Service]; e != nil && e.left(l.options.Rules) < 0 {
+		if e := l.byID[t.Service]; e != nil && e.remaining(l.options.Rules) < 0 {
 			return false, l.describe(e)
 		}
 	}
 	defer l.without(v)()
 	for _, e := range l.onVM[v.ID] {
-		if e.left(l.options.Rules) < 0 {
+		if e.remaining(l.options.Rules) < 0 {
 			return false, "without VM " + string(v.ID) + ": " + l.describe(e)
 		}
 	}
@@ -52,7 +52,7 @@
 	v := l.ix.VM(t.VM)
 	l.count(e, v, -1)
 	defer l.count(e, v, 1)
-	if e.left(l.options.Rules) < 0 {
+	if e.remaining(l.options.Rules) < 0 {
 		return false, l.describe(e)
 	}
 	return true, ""
@@ -71,10 +71,10 @@
 	l.onVM[v.ID] = removeOne(l.onVM[v.ID], e)
 }
 
-// Missing returns, for each service of the VM's pool, how many more instances
+// Shortfalls returns, for each service of the VM's pool, how many more instances
 // must be available before the VM may be taken out. It is empty when the VM
 // may be taken out now.
-func (l *Ledger) Missing(v *fleet.VM) map[model.ServiceID]int {
+func (l *Ledger) Shortfalls(v *fleet.VM) map[model.ServiceID]int {
 	missing := map[model.ServiceID]int{}
 	p := l.ix.Pool(v.Pool())
 	if p == nil {
@@ -82,63 +82,63 @@
 	}
 	defer l.without(v)()
 	for _, s := range p.Services {
-		if left := l.Left(s.Spec.ID); left < 0 {
+		if left := l.Remaining(s.Spec.ID); left < 0 {
 			missing[s.Spec.ID] = -left
 		}
 	}
 	return missing
 }
 
-// Lacks returns how many more instances of a service must be available before
+// Shortfall returns how many more instances of a service must be available before
 // the VM, with all of the service's instances on it, may be taken out.
-func (l *Ledger) Lacks(id model.ServiceID, v *fleet.VM) int {
+func (l *Ledger) Shortfall(id model.ServiceID, v *fleet.VM) int {
 	defer l.without(v)()
-	return max(-l.Left(id), 0)
+	return max(-l.Remaining(id), 0)
 }
 
-// Helps reports whether one more instance of a service on the VM place would
+// ImprovesBudget reports whether one more instance of a service on the VM place would
 // increase the service's remaining budget once the target, which may be nil, is
 // taken out. An instance in what is then the fullest failure domain does not,
 // because the reserve grows with it.
-func (l *Ledger) Helps(id model.ServiceID, target, place *fleet.VM) bool {
+func (l *Ledger) ImprovesBudget(id model.ServiceID, target, place *fleet.VM) bool {
 	e := l.byID[id]
 	if e == nil || place.Listed == nil || place == target {
 		return false
 	}
 	defer l.without(target)()
-	before := e.left(l.options.Rules)
+	before := e.remaining(l.options.Rules)
 	l.count(e, place, 1)
 	defer l.count(e, place, -1)
-	return e.left(l.options.Rules) > before
+	return e.remaining(l.options.Rules) > before
 }
 
-// Useless reports whether the remaining budget of the service would be no
+// Redundant reports whether the remaining budget of the service would be no
 // smaller without the available instance, once the target, which may be nil, is
 // taken out.
-func (l *Ledger) Useless(t *model.Task, target *fleet.VM) bool {
+func (l *Ledger) Redundant(t *model.Task, target *fleet.VM) bool {
 	e := l.byID[t.Service]
 	if e == nil || l.taken[t.VM] || l.taskLoss(t) != Available || target != nil && t.VM == target.ID {
 		return false
 	}
 	defer l.without(target)()
-	before := e.left(l.options.Rules)
+	before := e.remaining(l.options.Rules)
 	v := l.ix.VM(t.VM)
 	l.count(e, v, -1)
 	defer l.count(e, v, 1)
-	return e.left(l.options.Rules) >= before
+	return e.remaining(l.options.Rules) >= before
 }
 
-// Restores returns how many instances on a VM under a permit would be available
+// RestoredInstances returns how many instances on a VM under a permit would be available
 // again if the VM were returned now, of services whose remaining budget is
 // negative.
-func (l *Ledger) Restores(v *fleet.VM) int {
+func (l *Ledger) RestoredInstances(v *fleet.VM) int {
 	if v.Listed == nil || v.Listed.Health != model.VMUp {
 		return 0
 	}
 	restored := 0
 	for _, t := range v.Tasks {
 		serves := t.Service != "" && t.State != model.TaskStopping && l.ix.Snap.Serving[t.ID]
-		if e := l.byID[t.Service]; serves && e != nil && e.left(l.options.Rules) < 0 {
+		if e := l.byID[t.Service]; serves && e != nil && e.remaining(l.options.Rules) < 0 {
 			restored++
 		}
 	}
@@ -164,7 +164,7 @@
 
 func (l *Ledger) shortAccount(p *fleet.Pool) *serviceAccount {
 	for _, s := range p.Services {
-		if e := l.byID[s.Spec.ID]; e != nil && e.left(l.options.Rules) < 0 {
+		if e := l.byID[s.Spec.ID]; e != nil && e.remaining(l.options.Rules) < 0 {
 			return e
 		}
 	}
@@ -179,7 +179,7 @@
 		where = " (" + domain + ")"
 	}
 	spec := e.service.Spec
-	return fmt.Sprintf("service %s: %d available - %d worst next failure%s - %d least = %d", spec.ID, e.available, reserve, where, spec.MinAvailable, e.left(l.options.Rules))
+	return fmt.Sprintf("service %s: %d available - %d worst next failure%s - %d least = %d", spec.ID, e.available, reserve, where, spec.MinAvailable, e.remaining(l.options.Rules))
 }
 
 func removeOne(accounts []*serviceAccount, e *serviceAccount) []*serviceAccount {
--- a/internal/controller/borrow.go
+++ b/internal/controller/borrow.go
@@ -14,7 +14,7 @@
 // VM otherwise. A spare runs nothing, so the move relocates no work; package
 // fleet returns it when the pool has more VMs than it needs.
 func (c *Controller) decideBorrow(d *roundDecision) {
-	if !c.config.Wave.Ideas.LargestSet {
+	if !c.config.Wave.Features.LargestSet {
 		return
 	}
 	spares := readySpares(d.ix)
@@ -44,7 +44,7 @@
 	}
 	need, found := d.unmetSurges[p.Spec.ID]
 	target := d.ix.VM(need.Target)
-	return found && target != nil && d.ledger.Helps(need.Service, target, spare)
+	return found && target != nil && d.ledger.ImprovesBudget(need.Service, target, spare)
 }
 
 // readySpares returns the spares that can join a pool now, those maintained
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -115,7 +115,7 @@
 	}
 	k := &checker{}
 	for _, s := range ix.Services {
-		left := ledger.Left(s.Spec.ID)
+		left := ledger.Remaining(s.Spec.ID)
 		k.expect(!affected[s.Spec.ID] || left >= 0, "budget-kept", "service %s has %d left after a planned step", s.Spec.ID, left)
 	}
 	return k.violations
@@ -153,7 +153,7 @@
 // checkDecision checks a round's decisions before they are committed.
 func (c *Controller) checkDecision(d *roundDecision) {
 	var violations []Violation
-	for _, b := range d.ix.Broken() {
+	for _, b := range d.ix.Violations() {
 		violations = append(violations, Violation(b))
 	}
 	c.reportViolations(violations)
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -83,7 +83,7 @@
 	if v.Health != model.VMUp {
 		return
 	}
-	if v.BootID != p.BootID && !m.controller.config.Rules.Wave.IgnoreBoot {
+	if v.BootID != p.BootID && !m.controller.config.Rules.Wave.IgnoreBootID {
 		return
 	}
 	m.addVMCommand(platform.Reboot, p, v.BootID)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -71,7 +71,7 @@
 	Fleet      fleet.Options
 	Placement  placement.Options
 	Health     health.Options
-	// Wave configures waves. Production sets Wave.Ideas to wave.Chosen().
+	// Wave configures waves. Production sets Wave.Features to wave.AllFeatures().
 	Wave    wave.Options
 	Metrics metrics.Registry
 	Logger  log.Interface
@@ -87,7 +87,7 @@
 	c.RebootTimeout = cmp.Or(c.RebootTimeout, defaultRebootTimeout)
 	c.RepairSoak = cmp.Or(c.RepairSoak, budget.DefaultSoak)
 	c.Wave.Rules = c.Rules.Wave
-	c.Placement.IgnoreWaves = !c.Wave.Ideas.SteerNew
+	c.Placement.IgnoreWaves = !c.Wave.Features.SteerNew
 	if c.Clock == nil {
 		c.Clock = func() model.Instant { return model.InstantOf(time.Now()) }
 	}
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -50,7 +50,7 @@
 // setGauges updates the gauges from a round.
 func (c *counters) setGauges(d *roundDecision) {
 	c.permits.Update(int64(len(d.ix.Snap.View.Permits)))
-	c.leastLeft.Update(int64(d.ledger.LeastLeft()))
+	c.leastLeft.Update(int64(d.ledger.MinRemaining()))
 	c.stale.Update(0)
 	if d.stale {
 		c.stale.Update(1)
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -185,7 +185,7 @@
 	if d.at.Sub(job.Changed) > maxSteerWait(t.Priority) {
 		return true
 	}
-	ideas := c.config.Wave.Ideas
+	ideas := c.config.Wave.Features
 	displaced := ideas.DisplaceToDone && job.Moves > 0
 	return !displaced && !(ideas.SteerNew && c.outlastsDrain(d, t, job))
 }
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -109,7 +109,7 @@
 	s.platform.Repair(standin.OneVM(victim))
 	for range 60 {
 		s.step(time.Second)
-		is.True(s.node("a").lastRound.ledger.Down(s.node("a").lastRound.ix.VM(victim)) != budget.Available)
+		is.True(s.node("a").lastRound.ledger.VMLoss(s.node("a").lastRound.ix.VM(victim)) != budget.Available)
 	}
 	s.platform.Fail(standin.OneVM(victim))
 	for range 120 {
--- a/internal/controller/path_test.go
+++ b/internal/controller/path_test.go
@@ -20,8 +20,8 @@
 	if o.platform.VMs == nil {
 		o.platform.VMs = siteVMs(3, 16, 2, cores(16))
 	}
-	if o.config.Wave.Ideas == (wave.Ideas{}) {
-		o.config.Wave.Ideas = wave.Chosen()
+	if o.config.Wave.Features == (wave.Features{}) {
+		o.config.Wave.Features = wave.AllFeatures()
 	}
 	return newSim(o)
 }
--- a/internal/controller/policy_test.go
+++ b/internal/controller/policy_test.go
@@ -45,15 +45,15 @@
 
 var policyVariants = []struct {
 	name  string
-	ideas wave.Ideas
+	ideas wave.Features
 }{
-	{"plain", wave.Ideas{}},
-	{"SteerNew", wave.Ideas{SteerNew: true}},
-	{"DisplaceToDone", wave.Ideas{DisplaceToDone: true}},
-	{"LargestSet", wave.Ideas{LargestSet: true}},
-	{"OrderByCost", wave.Ideas{OrderByCost: true}},
-	{"RespectBusy", wave.Ideas{RespectBusy: true}},
-	{"chosen", wave.Chosen()},
+	{"plain", wave.Features{}},
+	{"SteerNew", wave.Features{SteerNew: true}},
+	{"DisplaceToDone", wave.Features{DisplaceToDone: true}},
+	{"LargestSet", wave.Features{LargestSet: true}},
+	{"OrderByCost", wave.Features{OrderByCost: true}},
+	{"RespectBusy", wave.Features{RespectBusy: true}},
+	{"chosen", wave.AllFeatures()},
 }
 
 // BenchmarkPolicy runs a wave through each site under load, with misdeclared
@@ -72,7 +72,7 @@
 	}
 }
 
-func reportPolicy(b *testing.B, p policySite, ideas wave.Ideas, seeds uint64) {
+func reportPolicy(b *testing.B, p policySite, ideas wave.Features, seeds uint64) {
 	var ratio, minutes, reserved, maxReserved, wait, total, most, vmMoves, jobs, preemptions float64
 	violations, shortfall, wrong := 0, 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -118,7 +118,7 @@
 		for seed := uint64(1); seed <= 6; seed++ {
 			b.Run(fmt.Sprint(p.name, "/", seed), func(b *testing.B) {
 				for range b.N {
-					r := newPolicyRun(p, wave.Chosen(), seed)
+					r := newPolicyRun(p, wave.AllFeatures(), seed)
 					r.withoutFailures = true
 					r.run()
 					moves, _, most := r.jobMoves()
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -257,7 +257,7 @@
 func TestInvariantsDetectDisabledRules(t *testing.T) {
 	for name, o := range map[string]simOptions{
 		"commit before command": {config: Config{Rules: Rules{SkipCommit: true}}},
-		"compare boots":         {config: Config{Rules: Rules{Wave: wave.Rules{IgnoreBoot: true}}}},
+		"compare boots":         {config: Config{Rules: Rules{Wave: wave.Rules{IgnoreBootID: true}}}},
 		"wait for leases":       {config: Config{Rules: Rules{SkipLeaseWait: true}}, state: state.Rules{SkipLease: true}},
 		"soak after repair":     {config: Config{Rules: Rules{Budget: budget.Rules{SkipSoak: true}}}},
 		"unknown counts":        {config: Config{Rules: Rules{Budget: budget.Rules{TrustUnknown: true}}}},
--- a/internal/controller/replace.go
+++ b/internal/controller/replace.go
@@ -44,7 +44,7 @@
 // as many elsewhere, spread as they are to be afterwards. If that is not
 // enough, it requests more surge instances, as a wave does.
 func (d *roundDecision) replace(s *fleet.Service, v *fleet.VM) {
-	shortfall := d.ledger.Lacks(s.Spec.ID, v)
+	shortfall := d.ledger.Shortfall(s.Spec.ID, v)
 	if d.wave.KeepSurge == nil {
 		return
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -38,7 +38,7 @@
 	}
 	site.Waves = []model.Wave{w}
 	s := newSim(simOptions{
-		seed: 1, site: site, config: Config{Wave: wave.Options{Ideas: wave.Chosen()}},
+		seed: 1, site: site, config: Config{Wave: wave.Options{Features: wave.AllFeatures()}},
 		platform: standin.Config{
 			VMs: siteVMs(8, n, 4, cores(32)), RebootTime: 2 * time.Minute,
 			Behaviour: func(s platform.TaskSpec) standin.Work { return standin.Work{Runtime: runtime, Used: s.Size} },
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -19,7 +19,7 @@
 		if t == nil || t.State == model.TaskStopping || d.stopped[t.ID] {
 			continue
 		}
-		if v := d.ix.VM(t.VM); v != nil && d.ledger.Down(v) != budget.Failed {
+		if v := d.ix.VM(t.VM); v != nil && d.ledger.VMLoss(v) != budget.Failed {
 			counts[d.ledger.Domain(s.Spec.ID, v)]++
 		}
 	}
@@ -88,7 +88,7 @@
 // unless the budget is exceeded, which blocks the wave too.
 func (c *Controller) rebalance(d *roundDecision) {
 	for _, s := range d.ix.Services {
-		waveActive := d.wave.KeepSurge[s.Spec.Pool] && d.ledger.Left(s.Spec.ID) >= 0
+		waveActive := d.wave.KeepSurge[s.Spec.Pool] && d.ledger.Remaining(s.Spec.ID) >= 0
 		if d.leaveQuarantined(s) || waveActive {
 			continue
 		}
@@ -106,7 +106,7 @@
 			continue
 		}
 		d.unevenServices[s.Spec.ID] = true
-		if d.ledger.Whole(s.Spec.ID) {
+		if d.ledger.AllAvailable(s.Spec.ID) {
 			d.rebalanceOne(s, t, place)
 		}
 	}
@@ -152,7 +152,7 @@
 		return
 	}
 	for i := range s.Spec.MaxSurge() {
-		if ordinal := s.Spec.Instances + i; !hasOrdinal(s, ordinal) && d.ledger.Helps(s.Spec.ID, nil, place) {
+		if ordinal := s.Spec.Instances + i; !hasOrdinal(s, ordinal) && d.ledger.ImprovesBudget(s.Spec.ID, nil, place) {
 			d.startSurgeOn(s, ordinal, place, "its instances lie too close together")
 			return
 		}
@@ -165,7 +165,7 @@
 	if ok, _ := d.ledger.MayStop(t); ok {
 		return true
 	}
-	return d.ledger.Useless(t, nil) && d.ledger.Available(s.Spec.ID) > s.Spec.MinAvailable
+	return d.ledger.Redundant(t, nil) && d.ledger.Available(s.Spec.ID) > s.Spec.MinAvailable
 }
 
 // taskInFullestDomain returns an instance in the domain with the most.
--- a/internal/controller/standstill.go
+++ b/internal/controller/standstill.go
@@ -23,7 +23,7 @@
 		s, target := d.ix.Service(need.Service), d.ix.VM(need.Target)
 		// Two surge instances must be available, or one would be started and
 		// stopped again and again.
-		if len(s.Extra)+2 > s.Spec.MaxSurge() || !d.ledger.Whole(s.Spec.ID) {
+		if len(s.Extra)+2 > s.Spec.MaxSurge() || !d.ledger.AllAvailable(s.Spec.ID) {
 			continue
 		}
 		d.startElsewhere(s, target, 1)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -45,10 +45,10 @@
 	s.At, s.Term, s.Stale = d.at, d.term, d.stale
 	s.Budgets = d.ledger.Report()
 	s.Waves = wave.ProgressOf(d.ix, d.wave.Waiting, c.config.Wave)
-	s.Spares = fleet.SparesNeeded(d.ix, c.config.Fleet).Words()
+	s.Spares = fleet.SparesNeeded(d.ix, c.config.Fleet).Describe()
 	s.Spared = d.spared
 	for _, demand := range fleet.Demands(d.ix, c.config.Fleet) {
-		s.Pools = append(s.Pools, PoolStatus{demand.Pool.Spec.ID, len(demand.Pool.VMs), demand.Words()})
+		s.Pools = append(s.Pools, PoolStatus{demand.Pool.Spec.ID, len(demand.Pool.VMs), demand.Describe()})
 	}
 	return s
 }
--- a/internal/controller/surge.go
+++ b/internal/controller/surge.go
@@ -43,7 +43,7 @@
 func (c *Controller) replaceLost(d *roundDecision, s *fleet.Service) {
 	lost := 0
 	for _, t := range s.Tasks {
-		if t != nil && d.ledger.Down(d.ix.VM(t.VM)) == budget.Failed && !d.ix.Ending(t.ID) {
+		if t != nil && d.ledger.VMLoss(d.ix.VM(t.VM)) == budget.Failed && !d.ix.EndPlanned(t.ID) {
 			lost++
 		}
 	}
@@ -105,10 +105,10 @@
 // permit that was just granted may depend on an instance that helps no target.
 func (c *Controller) stopUnhelpful(d *roundDecision, s *fleet.Service, target *fleet.VM) {
 	for _, t := range s.Extra {
-		if t.State == model.TaskStopping || t.VM != target.ID && !d.ledger.Useless(t, target) {
+		if t.State == model.TaskStopping || t.VM != target.ID && !d.ledger.Redundant(t, target) {
 			continue
 		}
-		if ok, _ := d.ledger.MayStop(t); !ok && !d.ledger.Useless(t, nil) {
+		if ok, _ := d.ledger.MayStop(t); !ok && !d.ledger.Redundant(t, nil) {
 			continue
 		}
 		d.ledger.Stop(t)
@@ -128,7 +128,7 @@
 		// If it stayed, its VM could never leave the pool.
 		return false
 	}
-	return d.lostInstances[t.Service] > 0 || d.wave.KeepSurge[s.Spec.Pool] || d.unevenServices[t.Service] && !d.ledger.Useless(t, nil)
+	return d.lostInstances[t.Service] > 0 || d.wave.KeepSurge[s.Spec.Pool] || d.unevenServices[t.Service] && !d.ledger.Redundant(t, nil)
 }
 
 func hasOrdinal(s *fleet.Service, ordinal int) bool {
@@ -177,7 +177,7 @@
 	var best *fleet.VM
 	var bestScore int
 	for _, v := range p.VMs {
-		if v.Block != fleet.Open || !s.Spec.Size.Fits(v.Free()) || !d.ledger.Helps(s.Spec.ID, target, v) {
+		if v.Block != fleet.Open || !s.Spec.Size.Fits(v.Free()) || !d.ledger.ImprovesBudget(s.Spec.ID, target, v) {
 			continue
 		}
 		score := closeness(v)
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -48,7 +48,7 @@
 // crash ends a worker without notice. The next incarnation starts seconds
 // later.
 func (sim *simulation) crash(f *fakeWorker) {
-	f.worker.Dead = true
+	f.worker.Terminated = true
 	f.restartAt = sim.now + time.Duration(500+sim.random.IntN(2500))*time.Millisecond
 }
 
@@ -109,7 +109,7 @@
 		for _, run := range f.worker.Running() {
 			job := t.Jobs[run.Task.Job]
 			longRunning := job.Spec.Steps != nil && job.Spec.Steps[run.Task.Step].LongRunning
-			switch age, complete := f.worker.Age(run, sim.now), sim.isComplete(job, run); {
+			switch age, complete := f.worker.RunAge(run, sim.now), sim.isComplete(job, run); {
 			case !complete && age >= gangTimeout:
 				f.worker.End(run, workload.EndGangIncomplete)
 			case complete && !longRunning && age >= taskDuration:
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 	Self    string
 	Log     control.Log
 	Machine *workload.Machine
-	Workers workers.Calls
+	Workers workers.Client
 	Fleet   Fleet
 	Advisor Advisor
 	// Lease is the length of a worker's lease. It is well below LeaseMax, the
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -44,13 +44,13 @@
 // startIncarnation replaces the incarnation at an address.
 func (sim *simulation) startIncarnation(f *fakeWorker) {
 	if f.worker != nil {
-		f.worker.Dead = true
+		f.worker.Terminated = true
 	}
 	sim.incarnations++
 	id := workload.WorkerID(fmt.Sprintf("i-%d", sim.incarnations))
 	f.worker = standin.New(id, f.address, workload.Resources{CPU: 2000, MemoryMB: 1000}, 0.98+0.02*sim.random.Float64(), sim.now)
 	f.sequence, f.restartAt = 0, 0
-	f.worker.Acked = func(e workload.End, held bool) {
+	f.worker.OnAck = func(e workload.End, held bool) {
 		switch e.Kind {
 		case workload.EndDone:
 			sim.done[e.Run.Task] = sim.done[e.Run.Task] || held
@@ -63,7 +63,7 @@
 // fakeNet carries calls to the workers, and loses or delays some.
 type fakeNet struct{ sim *simulation }
 
-var _ workers.Calls = fakeNet{}
+var _ workers.Client = fakeNet{}
 
 // deliver finds the incarnation that a call reaches. It returns an error if the
 // call gets no answer.
@@ -107,8 +107,8 @@
 	return nil
 }
 
-func (n fakeNet) Start(_ context.Context, to workers.Target, o workers.StartOrder) (workers.Answer, error) {
-	start := func(worker *standin.Worker) workers.Answer {
+func (n fakeNet) Start(_ context.Context, to workers.Target, o workers.StartOrder) (workers.Reply, error) {
+	start := func(worker *standin.Worker) workers.Reply {
 		before := len(worker.Running())
 		a := worker.Start(o, n.sim.now)
 		if len(worker.Running()) > before {
@@ -119,19 +119,19 @@
 	}
 	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { start(worker) })
 	if err != nil || refusal != workers.Accepted {
-		return workers.Answer{Refusal: refusal}, err
+		return workers.Reply{Refusal: refusal}, err
 	}
 	answer := start(worker)
-	if worker.Dead && n.sim.chance(50) {
-		return workers.Answer{}, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
+	if worker.Terminated && n.sim.chance(50) {
+		return workers.Reply{}, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 	}
 	return answer, n.lostAnswer()
 }
 
-func (n fakeNet) Stop(_ context.Context, to workers.Target, run workload.RunRef, fence uint64) (workers.Answer, error) {
+func (n fakeNet) Stop(_ context.Context, to workers.Target, run workload.RunRef, fence uint64) (workers.Reply, error) {
 	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Stop(run, fence, n.sim.now) })
 	if err != nil || refusal != workers.Accepted {
-		return workers.Answer{Refusal: refusal}, err
+		return workers.Reply{Refusal: refusal}, err
 	}
 	if n.sim.onStop != nil && slices.Contains(worker.Running(), run) {
 		n.sim.onStop(worker, run)
@@ -142,7 +142,7 @@
 func (n fakeNet) Hold(_ context.Context, to workers.Target, o workers.HoldOrder) (workers.List, error) {
 	worker, refusal, err := n.deliver(to, func(worker *standin.Worker) { worker.Hold(o, n.sim.now) })
 	if err != nil || refusal != workers.Accepted {
-		return workers.List{Answer: workers.Answer{Refusal: refusal}}, err
+		return workers.List{Reply: workers.Reply{Refusal: refusal}}, err
 	}
 	list := worker.Hold(o, n.sim.now)
 	if n.sim.unreadablePercent > 0 && n.sim.chance(n.sim.unreadablePercent) {
@@ -154,7 +154,7 @@
 // corruptRow makes one row of a list unreadable, in the form in which the
 // adapter passes it on.
 func (sim *simulation) corruptRow(list *workers.List) {
-	list.Unread = 1
+	list.UnreadableRows = 1
 	row := sim.random.IntN(len(list.Running) + len(list.Ends) + 1)
 	switch {
 	case row < len(list.Running):
@@ -166,8 +166,8 @@
 	}
 }
 
-func (n fakeNet) Pace(context.Context, workers.Target, workload.RunRef, int, uint64) (workers.Answer, error) {
-	return workers.Answer{}, nil
+func (n fakeNet) Pace(context.Context, workers.Target, workload.RunRef, int, uint64) (workers.Reply, error) {
+	return workers.Reply{}, nil
 }
 
 // checkStart checks a start when its worker carries it out.
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	// The worker read its clock when it wrote the answer, after its wait.
-	l.recordAnswer(list.Answer, l.d.now()-time.Millisecond)
+	l.recordAnswer(list.Reply, l.d.now()-time.Millisecond)
 	if list.Refusal != workers.Accepted {
 		return true
 	}
@@ -152,13 +152,13 @@
 func (l *link) recordList(list workers.List, sentAt time.Duration) {
 	now := l.d.now()
 	before := l.running
-	if list.Unread > 0 && l.unreadableRows == 0 {
-		l.d.logUnread(l, list.Unread)
+	if list.UnreadableRows > 0 && l.unreadableRows == 0 {
+		l.d.logUnread(l, list.UnreadableRows)
 	}
-	l.unreadableRows = list.Unread
+	l.unreadableRows = list.UnreadableRows
 	l.running = make(map[workload.RunRef]*observedRun, len(list.Running))
 	for _, r := range list.Running {
-		seen := &observedRun{Running: r, firstListed: now, progressSinceMS: list.ClockMS, listedMS: list.ClockMS}
+		seen := &observedRun{RunStatus: r, firstListed: now, progressSinceMS: list.ClockMS, listedMS: list.ClockMS}
 		if old := before[r.Run]; old != nil {
 			seen.firstListed = old.firstListed
 			if old.Percent == r.Percent {
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -85,7 +85,7 @@
 
 // observedRun is a run that the worker listed.
 type observedRun struct {
-	workers.Running
+	workers.RunStatus
 	// firstListed is when it was first listed.
 	firstListed time.Duration
 	// progressSinceMS and listedMS are readings of the worker's clock: when the
@@ -118,7 +118,7 @@
 // certainlyRefused reports whether the start was refused and can't be carried
 // out later.
 func (o *order) certainlyRefused() bool {
-	return o.start.answered && !o.uncertain && o.refusal != workers.Accepted && o.refusal != workers.RefusedOld
+	return o.start.answered && !o.uncertain && o.refusal != workers.Accepted && o.refusal != workers.RefusedStale
 }
 
 // callState is the state of one call.
@@ -197,7 +197,7 @@
 }
 
 // recordAnswer records an answer of the worker.
-func (l *link) recordAnswer(a workers.Answer, sentAt time.Duration) {
+func (l *link) recordAnswer(a workers.Reply, sentAt time.Duration) {
 	now := l.d.now()
 	l.dirty = true
 	if a.Refusal == workers.RefusedIncarnation {
@@ -210,7 +210,7 @@
 	switch a.Refusal {
 	case workers.RefusedFence:
 		l.fenced = true
-	case workers.RefusedBusy, workers.RefusedRoom:
+	case workers.RefusedBusy, workers.RefusedCapacity:
 		l.refusedUntil = now + refusalBackoff
 	}
 }
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -103,7 +103,7 @@
 	return d.config.Logger.WithFields(fields)
 }
 
-func (d *Dispatcher) logRefusal(to workers.Target, run workload.RunRef, a workers.Answer) {
+func (d *Dispatcher) logRefusal(to workers.Target, run workload.RunRef, a workers.Reply) {
 	d.counters.refusal(a.Refusal).Inc(1)
 	d.config.Logger.WithField("worker", string(to.ID)).WithField("task", run.Task.String()).
 		WithField("attempt", run.Attempt).WithField("refusal", a.Refusal.String()).Info("start refused")
--- a/internal/dispatch/pace_test.go
+++ b/internal/dispatch/pace_test.go
@@ -32,8 +32,8 @@
 		l.queue = nil
 		sim.now += 2 * paceInterval
 		l.running = map[workload.RunRef]*observedRun{
-			ref("serve"): {Running: workers.Running{Run: ref("serve"), Percent: 100, Load: load}},
-			ref("fill"):  {Running: workers.Running{Run: ref("fill"), Percent: 5}},
+			ref("serve"): {RunStatus: workers.RunStatus{Run: ref("serve"), Percent: 100, Load: load}},
+			ref("fill"):  {RunStatus: workers.RunStatus{Run: ref("fill"), Percent: 5}},
 		}
 		sim.machine.Read(func(t *workload.Tables) { l.adjustPace(t, sim.now) })
 		if len(l.queue) == 0 {
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -51,7 +51,7 @@
 				continue
 			}
 			used += job.Spec.Steps[run.Task.Step].Need.CPU
-			if f.worker.Age(run, sim.now) <= tickInterval {
+			if f.worker.RunAge(run, sim.now) <= tickInterval {
 				latest++
 			}
 		}
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -33,11 +33,11 @@
 // observe records which tasks are available now.
 func (b *budgetMonitor) observe() {
 	for _, f := range b.sim.workers {
-		if f.worker.Hangs {
+		if f.worker.HangRuns {
 			continue
 		}
 		for _, run := range f.worker.Running() {
-			if f.worker.Age(run, b.sim.now) >= warmUpTime {
+			if f.worker.RunAge(run, b.sim.now) >= warmUpTime {
 				b.availableAt[run.Task.Index], b.stopped[run.Task.Index] = b.sim.now, false
 			}
 		}
@@ -46,7 +46,7 @@
 
 // recordStop records that a run is stopped by an order of the leader.
 func (b *budgetMonitor) recordStop(worker *standin.Worker, run workload.RunRef) {
-	available := !worker.Hangs && worker.Age(run, b.sim.now) >= warmUpTime
+	available := !worker.HangRuns && worker.RunAge(run, b.sim.now) >= warmUpTime
 	b.stopped[run.Task.Index] = true
 	if !available {
 		return
@@ -80,7 +80,7 @@
 		f := sim.workers[sim.random.IntN(len(sim.workers))]
 		switch n := sim.random.IntN(1000); {
 		case n < 12:
-			f.worker.Hangs, f.worker.HangsAt = !f.worker.Hangs, 60
+			f.worker.HangRuns, f.worker.HangAtPercent = !f.worker.HangRuns, 60
 		case n < 20 && f.restartAt == 0:
 			sim.crash(f)
 		case n < 40:
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -48,7 +48,7 @@
 func TestHangingTaskIsStopped(t *testing.T) {
 	is := is.New(t)
 	sim := newLongRunningSite(t)
-	sim.workers[0].worker.Hangs, sim.workers[0].worker.HangsAt = true, 18
+	sim.workers[0].worker.HangRuns, sim.workers[0].worker.HangAtPercent = true, 18
 	sim.run(100 * time.Millisecond)
 	sim.run(3 * time.Second)
 	is.True(len(sim.workers[0].worker.Running()) == 0 || sim.workers[0].worker.Running()[0].Attempt > 1)
@@ -63,7 +63,7 @@
 	is.Equal(sim.attempts(), []int{1, 1})
 	sim.crash(sim.workers[1])
 	sim.workers[1].restartAt = sim.now + 6*time.Second
-	sim.workers[0].worker.Hangs, sim.workers[0].worker.HangsAt = true, 60
+	sim.workers[0].worker.HangRuns, sim.workers[0].worker.HangAtPercent = true, 60
 	sim.run(5500 * time.Millisecond)
 	is.Equal(sim.workers[0].worker.Running()[0].Attempt, 1)
 	sim.run(6 * time.Second)
@@ -80,11 +80,11 @@
 	sim := newLongRunningSite(t)
 	sim.run(200 * time.Millisecond)
 	for _, f := range sim.workers {
-		f.worker.Hangs, f.worker.HangsAt = true, 18
+		f.worker.HangRuns, f.worker.HangAtPercent = true, 18
 	}
 	sim.run(4 * time.Second)
 	for _, f := range sim.workers { // the one that was stopped makes progress where it is now
-		f.worker.Hangs = f.worker.Running()[0].Attempt == 1
+		f.worker.HangRuns = f.worker.Running()[0].Attempt == 1
 	}
 	sim.run(6 * time.Second)
 	got := sim.attempts()
--- a/internal/fleet/decide_test.go
+++ b/internal/fleet/decide_test.go
@@ -143,14 +143,14 @@
 	// are outside it.
 	s := newSnapshot("a", "a", "a", "b", "b", "-", "-")
 	sp := fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{})
-	is.Equal(sp.Words(), "2 spares needed if rack z0/k0 is lost (pool a 3-(3-2)=2; 0 permits in flight); 2 of 2 ready spares fit")
-	is.Equal(sp.Balance(), 0)
+	is.Equal(sp.Describe(), "2 spares needed if rack z0/k0 is lost (pool a 3-(3-2)=2; 0 permits in flight); 2 of 2 ready spares fit")
+	is.Equal(sp.Shortage(), 0)
 	s.View.Owners["vm05"].Pool = "b"
-	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Balance(), 1) // one spare is missing
+	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Shortage(), 1) // one spare is missing
 	// A spare in the worst rack is lost too and does not count.
 	s = newSnapshot("a", "-", "a", "b", "a", "b")
 	s.View.Site.Services[1].Instances = 1
-	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Balance(), 1)
+	is.Equal(fleet.SparesNeeded(fleet.NewIndex(s), fleet.Options{}).Shortage(), 1)
 	s = newSnapshot("a", "a", "a", "b", "b")
 	s.View.Site.Policy = model.Policy{MoveWeight: 1}
 	d := fleet.Demands(fleet.NewIndex(s), fleet.Options{})
@@ -171,5 +171,5 @@
 	}
 	is.Equal(len(racks), 3) // one VM of the pool in each rack
 	is.Equal(len(ix.Spares), 5)
-	is.Equal(len(ix.Broken()), 0)
+	is.Equal(len(ix.Violations()), 0)
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -23,8 +23,8 @@
 	// Running is what running jobs use that can't be preempted: all but batch
 	// jobs which can be throttled, checkpointed or run again.
 	Running model.Resources
-	// Yielding is what running batch jobs use that can be preempted.
-	Yielding model.Resources
+	// Preemptible is what running batch jobs use that can be preempted.
+	Preemptible model.Resources
 	// Urgent and Waiting are what queued urgent and normal jobs need.
 	Urgent, Waiting model.Resources
 	// Hard is the number of VMs that instances and urgent jobs need; Floor is
@@ -34,11 +34,11 @@
 	// Headroom is the part of Want that is reserved for failures.
 	Headroom int
 	// Ready counts the VMs that take work now, Returning those that are
-	// expected back without a repair, Coming those moving into the pool.
-	Ready, Returning, Coming int
-	// Patient is the part of Returning that a pool may wait for instead of
+	// expected back without a repair, Incoming those moving into the pool.
+	Ready, Returning, Incoming int
+	// ReturningSoon is the part of Returning that a pool may wait for instead of
 	// taking another VM; see returnWait.
-	Patient int
+	ReturningSoon int
 	// Lost counts the VMs that have been down for longer than Options.LostAfter
 	// or are quarantined.
 	Lost int
@@ -47,10 +47,10 @@
 	staying int
 }
 
-// Words describes the demand in one line for status and reasons.
-func (d *Demand) Words() string {
+// Describe summarizes the demand in one line for status and reasons.
+func (d *Demand) Describe() string {
 	return fmt.Sprintf("needs %d (least %d, for instances and urgent jobs %d, headroom %d); has %d ready, %d returning, %d coming, %d lost",
-		d.Want, d.Pool.Spec.MinVMs, d.Hard, d.Headroom, d.Ready, d.Returning, d.Coming, d.Lost)
+		d.Want, d.Pool.Spec.MinVMs, d.Hard, d.Headroom, d.Ready, d.Returning, d.Incoming, d.Lost)
 }
 
 // Surplus returns how many ready VMs the pool has beyond what it wants.
@@ -84,8 +84,8 @@
 		}
 		d.countVM(ix, v, o)
 	}
-	d.Coming = len(d.Pool.Incoming)
-	d.staying += d.Coming
+	d.Incoming = len(d.Pool.Incoming)
+	d.staying += d.Incoming
 	d.Unit = d.Pool.Spec.Shape
 	if listed > 0 {
 		d.Unit = model.Resources{MilliCPU: total.MilliCPU / listed, MemoryMB: total.MemoryMB / listed, Accelerators: total.Accelerators / listed}
@@ -105,7 +105,7 @@
 	default:
 		d.Returning++
 		if v.Permit != nil || v.Listed != nil && ix.Snap.Now.Sub(v.Listed.HealthSince) < o.returnWait(ix) {
-			d.Patient++
+			d.ReturningSoon++
 		}
 	}
 }
@@ -148,20 +148,20 @@
 	}
 }
 
-func (d *Demand) addTask(r *Running) {
+func (d *Demand) addTask(r *RunningTask) {
 	switch {
 	case r.Task.Job == "":
-	case r.Yields():
-		d.Yielding = d.Yielding.Plus(r.Task.Size)
+	case r.Preemptible():
+		d.Preemptible = d.Preemptible.Plus(r.Task.Size)
 	default:
 		d.Running = d.Running.Plus(r.Task.Size)
 	}
 }
 
-// Yields reports whether a running job can be preempted without losing
+// Preemptible reports whether a running job can be preempted without losing
 // anything for good: it is batch work that can be throttled, checkpointed, or
 // stopped and run again.
-func Yields(job *model.Job, t *model.Task) bool {
+func Preemptible(job *model.Job, t *model.Task) bool {
 	return t.Priority == model.Batch && (job.Spec.Throttleable || job.Spec.Checkpoints || job.Spec.Idempotent)
 }
 
@@ -170,7 +170,7 @@
 func addQueue(ix *Index, byPool map[model.PoolID]*Demand, o Options) {
 	for _, j := range ix.Queue {
 		d := byPool[j.Spec.Pool]
-		if d == nil || ix.Started(j.Spec.ID) {
+		if d == nil || ix.StartPlanned(j.Spec.ID) {
 			continue
 		}
 		size := d.Pool.jobDemand(o.size(&j.Spec), d.Unit)
@@ -188,15 +188,15 @@
 // however large its estimate has become.
 func (p *Pool) jobDemand(size, unit model.Resources) model.Resources {
 	size.MilliCPU, size.MemoryMB = min(size.MilliCPU, unit.MilliCPU), min(size.MemoryMB, unit.MemoryMB)
-	if p.NeedsClearVM(size, unit) {
+	if p.NeedsVMWithoutInstances(size, unit) {
 		return size.Max(scale(unit, fillLimit))
 	}
 	return size
 }
 
-// NeedsClearVM reports whether a job is so large that no instance of the
+// NeedsVMWithoutInstances reports whether a job is so large that no instance of the
 // pool's services fits beside it on a VM of the given capacity.
-func (p *Pool) NeedsClearVM(size, capacity model.Resources) bool {
+func (p *Pool) NeedsVMWithoutInstances(size, capacity model.Resources) bool {
 	for _, s := range p.Services {
 		if size.Plus(s.Spec.Size).Fits(capacity) {
 			return false
@@ -213,7 +213,7 @@
 	d.Instances = instances.vms
 	d.Hard = min(max(instances.vmsFor(jobs, d.Unit), d.minSpread()), limit)
 	d.Floor = max(d.Hard, min(d.Pool.Spec.MinVMs, limit))
-	kept := scale(d.Yielding, o.moveShare(ix))
+	kept := scale(d.Preemptible, o.moveShare(ix))
 	wanted := max(instances.vmsFor(jobs.Plus(d.Waiting).Plus(kept), d.Unit), d.Floor)
 	d.Headroom = d.headroom(ix, o)
 	d.Want = min(wanted+d.Headroom, limit)
--- a/internal/fleet/fill.go
+++ b/internal/fleet/fill.go
@@ -24,10 +24,10 @@
 
 // shortage returns how many VMs the pool is short of, and how severe that is.
 func (d *Demand) shortage() (int, level) {
-	here := d.Ready + d.Coming
+	here := d.Ready + d.Incoming
 	expected := here + d.Returning
 	if d.canWait() {
-		here += d.Patient
+		here += d.ReturningSoon
 	}
 	switch {
 	case here < d.Hard:
@@ -86,7 +86,7 @@
 		return d.removeLostVM(demand, lvl)
 	}
 	if v := s.takeNew(demand.Pool); v != nil {
-		d.move(v, spec.ID, fmt.Sprintf("pool %s %s", spec.ID, demand.Words()))
+		d.move(v, spec.ID, fmt.Sprintf("pool %s %s", spec.ID, demand.Describe()))
 		demand.Ready++
 		return true
 	}
@@ -94,7 +94,7 @@
 		return false
 	}
 	if v := s.takeSpare(demand.Pool); v != nil {
-		d.move(v, spec.ID, fmt.Sprintf("spare for pool %s, which %s", spec.ID, demand.Words()))
+		d.move(v, spec.ID, fmt.Sprintf("spare for pool %s, which %s", spec.ID, demand.Describe()))
 		demand.Ready++
 		return true
 	}
@@ -115,7 +115,7 @@
 			continue
 		}
 		spec := demand.Pool.Spec
-		reason := fmt.Sprintf("the move is called off: pool %s %s", spec.ID, demand.Words())
+		reason := fmt.Sprintf("the move is called off: pool %s %s", spec.ID, demand.Describe())
 		d.add(state.Action{Reason: reason, BeginMove: &state.BeginMove{VM: v.ID, Target: spec.ID, Generation: v.Generation()}})
 		demand.Ready++
 		return true
@@ -127,7 +127,7 @@
 // failure is left for a pool whose shortage is levelWant, and counts it as used.
 func (d *decider) useSurplusSpare(s *sources) bool {
 	if s.surplusSpares < 0 {
-		s.surplusSpares = max(0, -sparesNeeded(d.ix, d.o, d.demands).Balance())
+		s.surplusSpares = max(0, -sparesNeeded(d.ix, d.o, d.demands).Shortage())
 	}
 	if s.surplusSpares == 0 {
 		return false
@@ -176,13 +176,13 @@
 	}
 	idle := best.Idle()
 	d.move(best, demand.Pool.Spec.ID, fmt.Sprintf("pool %s has %d to spare; pool %s %s",
-		donor.Pool.Spec.ID, max(donor.Surplus(), 0), demand.Pool.Spec.ID, demand.Words()))
+		donor.Pool.Spec.ID, max(donor.Surplus(), 0), demand.Pool.Spec.ID, demand.Describe()))
 	donor.Ready--
 	donor.staying--
 	if idle {
 		demand.Ready++
 	} else {
-		demand.Coming++
+		demand.Incoming++
 	}
 	return true
 }
@@ -202,7 +202,7 @@
 		switch r := &v.Running[i]; {
 		case r.Task.Job == "":
 			cost += instanceMoveCost
-		case !r.Yields():
+		case !r.Preemptible():
 			return 0, false
 		default:
 			cost++
--- a/internal/fleet/guard.go
+++ b/internal/fleet/guard.go
@@ -10,7 +10,7 @@
 
 // The guards check each action when it is planned. They read only the tables,
 // not how the decision was made, and change nothing. A violated invariant is a
-// bug in this program; the callers of Broken count and log it.
+// bug in this program; the callers of Violations count and log it.
 
 // Names of the invariants that the guards check.
 const (
@@ -47,9 +47,9 @@
 	ix.violations = append(ix.violations, state.Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
-// Broken returns the invariants that the actions planned in this round would
+// Violations returns the invariants that the actions planned in this round would
 // violate. It is empty unless this program has a bug.
-func (ix *Index) Broken() []state.Violation { return ix.violations }
+func (ix *Index) Violations() []state.Violation { return ix.violations }
 
 func (ix *Index) guardStart(t *model.Task, pool model.PoolID) {
 	v := ix.vms[t.VM]
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -24,8 +24,8 @@
 	Spares []*VM
 	// Total is the sum of the capacities of all listed VMs.
 	Total model.Resources
-	// Strays are the tasks on VMs that are neither listed nor have an entry.
-	Strays []*model.Task
+	// UnknownVMTasks are the tasks on VMs that are neither listed nor have an entry.
+	UnknownVMTasks []*model.Task
 	// Queue holds the queued jobs in the order of Submitted, then ID.
 	Queue []*model.Job
 	// Zones and Racks are the names of the failure domains by number; the name
@@ -130,9 +130,9 @@
 	return ix.Snap.View.Jobs[id]
 }
 
-// Arrive adds jobs that were submitted after the snapshot was taken, so that
+// AddNewJobs adds jobs that were submitted after the snapshot was taken, so that
 // decisions about them need no new index.
-func (ix *Index) Arrive(jobs ...*model.Job) {
+func (ix *Index) AddNewJobs(jobs ...*model.Job) {
 	for _, j := range jobs {
 		ix.newJobs[j.Spec.ID] = j
 	}
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// Started reports whether an action planned in this round starts the job.
-func (ix *Index) Started(id model.JobID) bool { return ix.planned.jobs[id] }
+// StartPlanned reports whether an action planned in this round starts the job.
+func (ix *Index) StartPlanned(id model.JobID) bool { return ix.planned.jobs[id] }
 
 // InstanceAvailable reports whether a task counts as an available instance.
 func (ix *Index) InstanceAvailable(t *model.Task) bool {
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -51,7 +51,7 @@
 func (ix *Index) addTasks() {
 	for _, v := range ix.VMs {
 		v.Tasks = make([]*model.Task, 0, initialTaskCapacity)
-		v.Running = make([]Running, 0, initialTaskCapacity)
+		v.Running = make([]RunningTask, 0, initialTaskCapacity)
 	}
 	for _, t := range ix.Snap.View.Tasks {
 		ix.addTask(t)
@@ -65,7 +65,7 @@
 const initialTaskCapacity = 8
 
 func (ix *Index) addTask(t *model.Task) {
-	r := Running{Task: t, Charge: ix.Charge(t)}
+	r := RunningTask{Task: t, Charge: ix.Charge(t)}
 	if t.Job != "" {
 		r.Job = ix.Job(t.Job)
 		ix.chargeTeam(&r)
@@ -76,7 +76,7 @@
 		v.addTask(r)
 		return
 	}
-	ix.Strays = append(ix.Strays, t)
+	ix.UnknownVMTasks = append(ix.UnknownVMTasks, t)
 }
 
 func (ix *Index) addInstance(t *model.Task) {
@@ -93,7 +93,7 @@
 // addTask adds a task and its charge. Measured use of the VM beyond the charges
 // of its tasks reduces its free capacity. The measurement does not cover tasks
 // that started after it was taken.
-func (v *VM) addTask(r Running) {
+func (v *VM) addTask(r RunningTask) {
 	v.Tasks = append(v.Tasks, r.Task)
 	v.Running = append(v.Running, r)
 	v.Used = v.Used.Plus(r.Charge)
@@ -107,7 +107,7 @@
 	v.unattributed.Accelerators = 0
 }
 
-func (ix *Index) chargeTeam(r *Running) {
+func (ix *Index) chargeTeam(r *RunningTask) {
 	if r.Job == nil {
 		return
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Ending reports whether an action planned in this round ends the task.
-func (ix *Index) Ending(id model.TaskID) bool { return ix.planned.ended[id] }
+// EndPlanned reports whether an action planned in this round ends the task.
+func (ix *Index) EndPlanned(id model.TaskID) bool { return ix.planned.ended[id] }
 
 func (ix *Index) planMove(m *state.BeginMove) {
 	v := ix.vms[m.VM]
@@ -117,9 +117,9 @@
 	v.Block = v.block()
 }
 
-// PlacedNow returns the number of tasks that actions planned in this round
+// PlannedStarts returns the number of tasks that actions planned in this round
 // start on the VM.
-func (v *VM) PlacedNow() int { return v.plannedStarts }
+func (v *VM) PlannedStarts() int { return v.plannedStarts }
 
 // Members returns the VMs of the pool that are not moving out.
 func (p *Pool) Members() []*VM {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -35,9 +35,9 @@
 	// platform's list, as returned by Absence.Observe. No entry is dropped
 	// while it is empty.
 	Absent map[model.VMID]model.Instant
-	// Gone holds the recorded tasks that the platform reports as not running.
+	// NotRunning holds the recorded tasks that the platform reports as not running.
 	// Their leases are not renewed, so that they lapse and free their capacity.
-	Gone map[model.TaskID]bool
+	NotRunning map[model.TaskID]bool
 }
 
 // Usage is the measured use of a task at an instant.
--- a/internal/fleet/spares.go
+++ b/internal/fleet/spares.go
@@ -12,9 +12,9 @@
 // worst rack in addition to the VMs that are unavailable now, and how this is
 // made up.
 type Spares struct {
-	// Needed is the sum of the shortfalls in Terms; Have counts the ready
+	// Needed is the sum of the shortfalls in Terms; Fitting counts the ready
 	// spares outside the worst rack that can cover them.
-	Needed, Have int
+	Needed, Fitting int
 	// Rack is the worst rack; empty when no loss of a rack adds to the shortfall.
 	Rack string
 	// Permits counts the permits in flight: their VMs are not ready, and so
@@ -34,17 +34,17 @@
 	Hard, Ready, InRack, Shortfall int
 }
 
-// Balance returns how many spares are missing. A negative value is the number
+// Shortage returns how many spares are missing. A negative value is the number
 // of spares beyond those needed.
-func (s *Spares) Balance() int {
-	if s.Needed > s.Have {
-		return s.Needed - s.Have
+func (s *Spares) Shortage() int {
+	if s.Needed > s.Fitting {
+		return s.Needed - s.Fitting
 	}
 	return s.Needed - s.Ready
 }
 
-// Words describes the calculation in one line for status.
-func (s *Spares) Words() string {
+// Describe summarizes the calculation in one line for status.
+func (s *Spares) Describe() string {
 	if s.Needed == 0 {
 		return fmt.Sprintf("0 spares needed: every pool holds the loss of any one rack by itself; %d ready", s.Ready)
 	}
@@ -53,7 +53,7 @@
 		terms[i] = fmt.Sprintf("pool %s %d-(%d-%d)=%d", t.Pool, t.Hard, t.Ready, t.InRack, t.Shortfall)
 	}
 	return fmt.Sprintf("%d spares needed if rack %s is lost (%s; %d permits in flight); %d of %d ready spares fit",
-		s.Needed, s.Rack, strings.Join(terms, ", "), s.Permits, s.Have, s.Ready)
+		s.Needed, s.Rack, strings.Join(terms, ", "), s.Permits, s.Fitting, s.Ready)
 }
 
 // SparesNeeded computes the spares needed for the loss of the worst rack.
@@ -79,7 +79,7 @@
 	worst := sparesForLoss(ix, rackLoss{rack: -1}, demands, ready)
 	for _, loss := range rackLosses(ix, demands) {
 		s := sparesForLoss(ix, loss, demands, ready)
-		if s.Needed-s.Have > worst.Needed-worst.Have || s.Needed-s.Have == worst.Needed-worst.Have && s.Needed > worst.Needed {
+		if s.Needed-s.Fitting > worst.Needed-worst.Fitting || s.Needed-s.Fitting == worst.Needed-worst.Fitting && s.Needed > worst.Needed {
 			worst = s
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 		s.Needed += short
 		s.Terms = append(s.Terms, SpareTerm{d.Pool.Spec.ID, d.Hard, d.Ready, lost, short})
-		s.Have += takeFitting(d.Pool.Spec, short, loss.rack, ready, taken)
+		s.Fitting += takeFitting(d.Pool.Spec, short, loss.rack, ready, taken)
 	}
 	return s
 }
--- a/internal/fleet/vm.go
+++ b/internal/fleet/vm.go
@@ -58,7 +58,7 @@
 	// Tasks are the tasks recorded on the VM, in no order; see SortedTasks.
 	Tasks []*model.Task
 	// Running holds details of each of Tasks, in the same order.
-	Running []Running
+	Running []RunningTask
 	// Used is the sum of the charges of its tasks; see estimate.Charge.
 	Used model.Resources
 	// Block is the reason why the VM takes no new work.
@@ -75,8 +75,8 @@
 	plannedStarts int
 }
 
-// Running is a task with the details that decisions often need.
-type Running struct {
+// RunningTask is a task with the details that decisions often need.
+type RunningTask struct {
 	Task *model.Task
 	// Job is nil for an instance, or when the job is no longer recorded.
 	Job *model.Job
@@ -85,11 +85,11 @@
 }
 
 // Cancelled reports whether the task's job was cancelled.
-func (r *Running) Cancelled() bool { return r.Job != nil && r.Job.Cancelled }
+func (r *RunningTask) Cancelled() bool { return r.Job != nil && r.Job.Cancelled }
 
-// Yields reports whether the task is of a job that can be preempted without
+// Preemptible reports whether the task is of a job that can be preempted without
 // losing anything for good.
-func (r *Running) Yields() bool { return r.Job != nil && Yields(r.Job, r.Task) }
+func (r *RunningTask) Preemptible() bool { return r.Job != nil && Preemptible(r.Job, r.Task) }
 
 // Capacity returns the capacity of the VM; it is zero when the VM is not listed.
 func (v *VM) Capacity() model.Resources {
--- a/internal/health/decide.go
+++ b/internal/health/decide.go
@@ -241,7 +241,7 @@
 // say nothing about the job.
 func (d *decider) holdJobs() {
 	for _, j := range d.ix.Queue {
-		if len(j.FailedOn) == 0 || d.ix.Started(j.Spec.ID) {
+		if len(j.FailedOn) == 0 || d.ix.StartPlanned(j.Spec.ID) {
 			continue
 		}
 		if reason := d.holdReason(j); reason != "" {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -47,7 +47,7 @@
 	// Callers answers callers on an entry VM, Operators operators and workers on a core VM.
 	Callers   func(*Member) http.Handler
 	Operators func(*Member) http.Handler
-	Workers   workers.Calls
+	Workers   workers.Client
 	Fleet     dispatch.Fleet
 	Advisor   dispatch.Advisor
 }
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -154,7 +154,7 @@
 	s.Now = now.Add(61 * time.Second)
 	is.Equal(len(placement.Leases(fleet.NewIndex(s), placement.Options{})), 0) // its worker stopped it
 	s.Now = now.Add(50 * time.Second)
-	s.Gone = map[model.TaskID]bool{"t-r": true}
+	s.NotRunning = map[model.TaskID]bool{"t-r": true}
 	is.Equal(len(placement.Leases(fleet.NewIndex(s), placement.Options{})), 0)
 }
 
--- a/internal/placement/evacuate.go
+++ b/internal/placement/evacuate.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		for _, t := range v.SortedTasks() {
-			if t.State == model.TaskStopping || ix.Ending(t.ID) {
+			if t.State == model.TaskStopping || ix.EndPlanned(t.ID) {
 				continue
 			}
 			if a, ok := evacuateTask(ix, v, t, margins); ok {
@@ -177,7 +177,7 @@
 
 func instanceOnCrowdedVM(ix *fleet.Index, s *fleet.Service, count *spread, maxUnavailable int) *model.Task {
 	for _, t := range s.Tasks {
-		if t == nil || t.State != model.TaskRunning || ix.Ending(t.ID) {
+		if t == nil || t.State != model.TaskRunning || ix.EndPlanned(t.ID) {
 			continue
 		}
 		if v := ix.VM(t.VM); v != nil && v.Block == fleet.Open && count.vm[v] > maxUnavailable {
--- a/internal/placement/hold.go
+++ b/internal/placement/hold.go
@@ -141,7 +141,7 @@
 			if held.size.Fits(left) {
 				break
 			}
-			if t.Job != "" || s == nil || t.State == model.TaskStopping || ix.Ending(t.ID) {
+			if t.Job != "" || s == nil || t.State == model.TaskStopping || ix.EndPlanned(t.ID) {
 				continue
 			}
 			other, _ := newSpread(ix, s).pick(p, t.Size, held.vm)
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -61,10 +61,10 @@
 	if ix.Snap.View.Site == nil {
 		return nil, nil
 	}
-	ix.Arrive(jobs...)
+	ix.AddNewJobs(jobs...)
 	p := newPlanner(ix, o.withDefaults(), nil)
 	for _, j := range jobs {
-		if !ix.Started(j.Spec.ID) {
+		if !ix.StartPlanned(j.Spec.ID) {
 			p.place(j, j.Spec.Priority == model.Urgent)
 		}
 	}
--- a/internal/placement/lease.go
+++ b/internal/placement/lease.go
@@ -29,8 +29,8 @@
 			l.classify(v, &v.Running[i])
 		}
 	}
-	for _, t := range ix.Strays {
-		l.classify(nil, &fleet.Running{Task: t})
+	for _, t := range ix.UnknownVMTasks {
+		l.classify(nil, &fleet.RunningTask{Task: t})
 	}
 	slices.SortFunc(l.actions, func(a, b state.Action) int { return cmp.Compare(a.EndTask.Task, b.EndTask.Task) })
 	if l.due {
@@ -51,7 +51,7 @@
 	due bool
 }
 
-func (l *leases) classify(v *fleet.VM, r *fleet.Running) {
+func (l *leases) classify(v *fleet.VM, r *fleet.RunningTask) {
 	t := r.Task
 	switch {
 	case l.ix.Now() > t.LeaseUntil.Add(l.margin):
@@ -90,9 +90,9 @@
 //
 // A lease that has already ended is not renewed either: its worker stopped the
 // task, so a renewal would keep the record for ever while nothing runs.
-func renewable(ix *fleet.Index, v *fleet.VM, r *fleet.Running) bool {
+func renewable(ix *fleet.Index, v *fleet.VM, r *fleet.RunningTask) bool {
 	t := r.Task
-	if ix.Now() >= t.LeaseUntil || t.State == model.TaskStopping || r.Cancelled() || ix.Snap.Gone[t.ID] {
+	if ix.Now() >= t.LeaseUntil || t.State == model.TaskStopping || r.Cancelled() || ix.Snap.NotRunning[t.ID] {
 		return false
 	}
 	if v == nil || v.Listed == nil {
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -58,7 +58,7 @@
 		byTeam[i] = make(map[model.TeamID]*lane)
 	}
 	for _, j := range ix.Queue {
-		if ix.Started(j.Spec.ID) {
+		if ix.StartPlanned(j.Spec.ID) {
 			continue
 		}
 		level := levelOf(ix, o, j)
--- a/internal/placement/policy_bench_test.go
+++ b/internal/placement/policy_bench_test.go
@@ -61,7 +61,7 @@
 	for range 4 {
 		sim.round(5 * time.Minute)
 	}
-	if fleet.SparesNeeded(sim.lastIndex, sim.fleet).Balance() > 0 {
+	if fleet.SparesNeeded(sim.lastIndex, sim.fleet).Shortage() > 0 {
 		return false
 	}
 	for _, d := range fleet.Demands(sim.lastIndex, sim.fleet) {
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -200,7 +200,7 @@
 	}
 	for _, s := range sim.lastIndex.Services {
 		if s.Available < s.Spec.Instances {
-			t.Fatalf("service %s has %d of %d instances; spares: %v", s.Spec.ID, s.Available, s.Spec.Instances, fleet.SparesNeeded(sim.lastIndex, sim.fleet).Words())
+			t.Fatalf("service %s has %d of %d instances; spares: %v", s.Spec.ID, s.Available, s.Spec.Instances, fleet.SparesNeeded(sim.lastIndex, sim.fleet).Describe())
 		}
 	}
 	for _, j := range sim.lastIndex.Queue {
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -134,7 +134,7 @@
 func (sim *simulation) snapshot() *fleet.Snapshot {
 	view := sim.machine.View()
 	s := &fleet.Snapshot{Now: sim.now, View: view, VMs: make(map[model.VMID]*model.VM), Region: "r1", Lease: sim.lease,
-		Serving: make(map[model.TaskID]bool), Usage: make(map[model.TaskID]fleet.Usage), Gone: make(map[model.TaskID]bool)}
+		Serving: make(map[model.TaskID]bool), Usage: make(map[model.TaskID]fleet.Usage), NotRunning: make(map[model.TaskID]bool)}
 	busy := sim.usageByVM()
 	for _, r := range sim.runs {
 		use := sim.usage(r)
@@ -150,7 +150,7 @@
 	}
 	for id, task := range view.Tasks {
 		if sim.runs[id] == nil && sim.now.Sub(task.Started) >= time.Minute {
-			s.Gone[id] = true
+			s.NotRunning[id] = true
 		}
 	}
 	s.Absent = sim.absence.Observe(sim.now, s.VMs, view.Owners)
@@ -201,7 +201,7 @@
 		actions = append(actions, sim.extraDecision(ix)...)
 	}
 	result := placement.Decide(ix, sim.placing)
-	for _, b := range ix.Broken() {
+	for _, b := range ix.Violations() {
 		sim.violation("%s: %s", b.Invariant, b.Detail)
 	}
 	sim.lastIndex = ix
--- a/internal/placement/yield.go
+++ b/internal/placement/yield.go
@@ -155,7 +155,7 @@
 		switch t := &vs.vm.Running[i]; {
 		case t.Task.State == model.TaskStopping:
 			vs.releasing = vs.releasing.Plus(t.Charge)
-		case t.Yields():
+		case t.Preemptible():
 			vs.victims = append(vs.victims, victim{t.Task, t.Job, t.Charge})
 		}
 	}
--- a/internal/wave/decide.go
+++ b/internal/wave/decide.go
@@ -100,5 +100,5 @@
 // belowBudget reports whether a service of the VM's pool is below its budget.
 func (d *decider) belowBudget(v *fleet.VM) bool {
 	p := d.ix.Pool(v.Pool())
-	return p != nil && d.ledger.Short(p) && !d.o.Rules.IgnoreBudget
+	return p != nil && d.ledger.BelowBudget(p) && !d.o.Rules.IgnoreBudget
 }
--- a/internal/wave/giveback.go
+++ b/internal/wave/giveback.go
@@ -17,7 +17,7 @@
 // is a pool that has permits and whose remaining budget is below 0.
 func (d *decider) returnVMs() {
 	for _, p := range d.ix.Pools {
-		if d.ledger.Short(p) && !d.o.Rules.IgnoreBudget {
+		if d.ledger.BelowBudget(p) && !d.o.Rules.IgnoreBudget {
 			d.returnPoolVMs(p)
 		}
 	}
@@ -26,13 +26,13 @@
 func (d *decider) returnPoolVMs(p *fleet.Pool) {
 	missing := 0
 	for _, s := range p.Services {
-		missing += max(-d.ledger.Left(s.Spec.ID), 0)
+		missing += max(-d.ledger.Remaining(s.Spec.ID), 0)
 	}
 	for _, v := range d.returnCandidates(p) {
 		if v.Permit.Phase == model.PhaseGranted {
 			d.returned[v.ID] = true
 			d.release(v, false, "failures left a service of the pool short")
-			missing -= d.ledger.Restores(v)
+			missing -= d.ledger.RestoredInstances(v)
 			continue
 		}
 		if missing <= 0 {
@@ -43,7 +43,7 @@
 		if d.facts.Returned[v.ID] && !v.Listed.Drained {
 			d.release(v, false, "failures left a service of the pool short")
 		}
-		missing -= max(d.ledger.Restores(v), 1)
+		missing -= max(d.ledger.RestoredInstances(v), 1)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	slices.SortStableFunc(vms, func(a, b *fleet.VM) int {
 		return cmp.Or(
-			cmp.Compare(d.ledger.Restores(b), d.ledger.Restores(a)),
+			cmp.Compare(d.ledger.RestoredInstances(b), d.ledger.RestoredInstances(a)),
 			cmp.Compare(b.Capacity().MilliCPU, a.Capacity().MilliCPU),
 			cmp.Compare(a.ID, b.ID),
 		)
--- a/internal/wave/grant.go
+++ b/internal/wave/grant.go
@@ -105,7 +105,7 @@
 
 // mayGrant returns why a VM may not be granted a permit now; empty when it may.
 func (d *decider) mayGrant(r *waveState, v *fleet.VM, accounts *poolAccounts) string {
-	if !d.o.Ideas.LargestSet && len(r.active) > 0 {
+	if !d.o.Features.LargestSet && len(r.active) > 0 {
 		return "one VM at a time"
 	}
 	if r.wave.MaxParallel > 0 && len(r.active) >= r.wave.MaxParallel {
@@ -155,7 +155,7 @@
 // loss of that zone overlaps with the drains; when another zone is lost, the
 // remaining ones have no VM drained.
 func (d *decider) zoneRanks(r *waveState) map[int]int {
-	if !d.o.Ideas.LargestSet {
+	if !d.o.Features.LargestSet {
 		return nil
 	}
 	ranks := map[int]int{}
@@ -173,9 +173,9 @@
 func (d *decider) rank(v *fleet.VM) int {
 	p := d.ix.Pool(v.Pool())
 	switch {
-	case p == nil && d.o.Ideas.OrderByCost:
+	case p == nil && d.o.Features.OrderByCost:
 		return 0
-	case p == nil || !d.o.Ideas.RespectBusy:
+	case p == nil || !d.o.Features.RespectBusy:
 		return 1
 	}
 	if urgent(p) {
@@ -198,7 +198,7 @@
 // without OrderByCost, which leaves the fixed order.
 func (d *decider) costs(r *waveState) costs {
 	c := costs{wait: map[*fleet.VM]int{}, move: map[*fleet.VM]float64{}, rack: map[int]float64{}}
-	if !d.o.Ideas.OrderByCost {
+	if !d.o.Features.OrderByCost {
 		return c
 	}
 	count := map[int]float64{}
--- a/internal/wave/options.go
+++ b/internal/wave/options.go
@@ -8,10 +8,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ideas switches the features on by which waves differ from the basic way. The
-// zero value is the basic way: racks in fixed order, one VM at a time, its work
-// stopped at once.
-type Ideas struct {
+// Features switches on what waves do beyond the basic way. The zero value is
+// the basic way: racks in fixed order, one VM at a time, its work stopped at
+// once.
+type Features struct {
 	// SteerNew keeps new work off VMs that are yet to be drained.
 	SteerNew bool
 	// DisplaceToDone sends displaced jobs only to VMs that are done, so that a
@@ -28,16 +28,16 @@
 	RespectBusy bool
 }
 
-// Chosen returns the features used in production: all of them.
-func Chosen() Ideas {
-	return Ideas{SteerNew: true, DisplaceToDone: true, LargestSet: true, OrderByCost: true, RespectBusy: true}
+// AllFeatures returns the features used in production: all of them.
+func AllFeatures() Features {
+	return Features{SteerNew: true, DisplaceToDone: true, LargestSet: true, OrderByCost: true, RespectBusy: true}
 }
 
 // Rules switches single safety rules off. The zero value has every rule on
 // and is the only one used in production.
 type Rules struct {
-	// IgnoreBoot commands a reboot without comparing boot IDs.
-	IgnoreBoot bool
+	// IgnoreBootID commands a reboot without comparing boot IDs.
+	IgnoreBootID bool
 	// IgnoreSoak ends a permit as soon as the VM is back.
 	IgnoreSoak bool
 	// IgnoreBudget grants permits without checking the budgets.
@@ -48,8 +48,8 @@
 
 // Options bound what a wave may do. Zero fields take their defaults.
 type Options struct {
-	Ideas Ideas
-	Rules Rules
+	Features Features
+	Rules    Rules
 	// Soak is the soak time of a wave that sets none. Default 2 min.
 	Soak time.Duration
 	// NearEnd is the remaining run time up to which a drain waits for a task
--- a/internal/wave/phase.go
+++ b/internal/wave/phase.go
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, t := range v.SortedTasks() {
-		if t.State == model.TaskStopping || d.ix.Ending(t.ID) {
+		if t.State == model.TaskStopping || d.ix.EndPlanned(t.ID) {
 			continue
 		}
 		if stop, why := d.mayStop(v, t); stop {
@@ -191,7 +191,7 @@
 	case !job.Spec.Idempotent:
 		// A job that is not idempotent must not be started again.
 		return false, ""
-	case !d.o.Ideas.OrderByCost:
+	case !d.o.Features.OrderByCost:
 		return true, "its job is queued again"
 	case t.Priority == model.Urgent:
 		return false, ""
--- a/internal/wave/room.go
+++ b/internal/wave/room.go
@@ -109,14 +109,14 @@
 // being drained. They start elsewhere first, and the instances on the VM can
 // then be stopped.
 func (d *decider) wantSurge(next []*fleet.VM, accounts *poolAccounts) {
-	if !d.o.Ideas.LargestSet {
+	if !d.o.Features.LargestSet {
 		next = next[:1]
 	}
 	for _, v := range next {
 		if accounts.mayTake(v) != "" || d.poolBusy(v) {
 			continue
 		}
-		for service, n := range d.ledger.Missing(v) {
+		for service, n := range d.ledger.Shortfalls(v) {
 			if _, other := d.surge[service]; !other {
 				d.surge[service] = Surge{Service: service, Target: v.ID, Count: n}
 			}
@@ -137,13 +137,13 @@
 // window.
 func (d *decider) poolBusy(v *fleet.VM) bool {
 	p := d.ix.Pool(v.Pool())
-	return p != nil && d.o.Ideas.RespectBusy && d.inBusyWindow(p)
+	return p != nil && d.o.Features.RespectBusy && d.inBusyWindow(p)
 }
 
 // estimateDrains estimates when the VMs yet to be drained will be, from the
 // number of VMs under maintenance at the same time.
 func (d *decider) estimateDrains(r *waveState) {
-	if !d.o.Ideas.SteerNew {
+	if !d.o.Features.SteerNew {
 		return
 	}
 	parallel := max(len(r.active), 1)
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -96,13 +96,13 @@
 func TestLargestSetInOneZone(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
-	set := granted(decide(s, Options{Ideas: Ideas{LargestSet: true}}, Facts{}))
+	set := granted(decide(s, Options{Features: Features{LargestSet: true}}, Facts{}))
 	// In z0, v00 and v01 run an instance each; the budget allows one of them to
 	// be drained: with both out, the loss of another zone would leave 2 of the 3
 	// that must be available. The next zones add VMs that run none.
 	is.Equal(set, []model.VMID{"v00", "v02", "v03", "v06", "v07", "v10"})
 	s.View.Site.Waves[0].MaxParallel = 2
-	is.Equal(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))), 2)
+	is.Equal(len(granted(decide(s, Options{Features: AllFeatures()}, Facts{}))), 2)
 }
 
 func TestDrainOrderAndStoppedTasks(t *testing.T) {
@@ -114,7 +114,7 @@
 			runJob(s, vm, model.JobSpec{Priority: model.Urgent, Runtime: 20 * time.Minute}, 0)
 		}
 	}
-	is.Equal(granted(decide(s, Options{Ideas: Chosen()}, Facts{})), []model.VMID{"v11"}) // nothing to wait for
+	is.Equal(granted(decide(s, Options{Features: AllFeatures()}, Facts{})), []model.VMID{"v11"}) // nothing to wait for
 	cases := []struct {
 		spec          model.JobSpec
 		ran           time.Duration
@@ -136,7 +136,7 @@
 		}
 		runJob(s, "v03", c.spec, c.ran)
 		is.Equal(len(decide(s, Options{}, Facts{}).Stops) == 1, c.basic)
-		is.Equal(len(decide(s, Options{Ideas: Chosen()}, Facts{}).Stops) == 1, c.chosen)
+		is.Equal(len(decide(s, Options{Features: AllFeatures()}, Facts{}).Stops) == 1, c.chosen)
 	}
 }
 
@@ -174,7 +174,7 @@
 			if c.observed != nil {
 				c.observed(s.VMs["v03"])
 			}
-			d := decide(s, Options{Ideas: Chosen()}, Facts{Returned: map[model.VMID]bool{"v03": c.returned}})
+			d := decide(s, Options{Features: AllFeatures()}, Facts{Returned: map[model.VMID]bool{"v03": c.returned}})
 			i := slices.IndexFunc(d.Actions, func(a state.Action) bool { return a.SetPhase != nil || a.ReleasePermit != nil })
 			switch {
 			case c.next != 0:
@@ -198,7 +198,7 @@
 	for _, vm := range []model.VMID{"v08", "v09"} {
 		s.VMs[vm].Health = model.VMDown
 	}
-	d := decide(s, Options{Ideas: Chosen()}, Facts{})
+	d := decide(s, Options{Features: AllFeatures()}, Facts{})
 	is.Equal(d.Undrain, []model.VMID{"v01", "v02"})
 	is.Equal(granted(d), nil)
 	is.Equal(d.Actions[0].ReleasePermit.VM, model.VMID("v07")) // no command was sent for it
@@ -217,19 +217,19 @@
 		s := newSnapshot()
 		s.View.Site.Pools[0].Busy = []model.Window{w}
 		free := w.From >= 9*time.Hour && w.From < 22*time.Hour
-		is.Equal(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))) > 0, free)
-		is.True(len(granted(decide(s, Options{Ideas: Ideas{LargestSet: true}}, Facts{}))) > 0) // without RespectBusy
+		is.Equal(len(granted(decide(s, Options{Features: AllFeatures()}, Facts{}))) > 0, free)
+		is.True(len(granted(decide(s, Options{Features: Features{LargestSet: true}}, Facts{}))) > 0) // without RespectBusy
 	}
 	s := newSnapshot()
 	for _, vm := range []model.VMID{"v02", "v03"} { // a rack without instances
 		s.VMs[vm].Health = model.VMDown
 		s.VMs[vm].HealthSince = now.Add(-time.Minute)
 	}
-	d := decide(s, Options{Ideas: Chosen()}, Facts{})
+	d := decide(s, Options{Features: AllFeatures()}, Facts{})
 	is.Equal(granted(d), nil)
 	is.Equal(d.Waiting["w"], "2 VMs of rack z0/r1 failed in the last 5m0s")
 	s.Now = now.Add(5 * time.Minute)
-	is.True(len(granted(decide(s, Options{Ideas: Chosen()}, Facts{}))) > 0) // after the hold time only the budgets decide
+	is.True(len(granted(decide(s, Options{Features: AllFeatures()}, Facts{}))) > 0) // after the hold time only the budgets decide
 }
 
 func TestProgressEstimatesTheEnd(t *testing.T) {
--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -26,18 +26,18 @@
 	Accepted Refusal = iota
 	// RefusedFence: the worker has seen the fence of a later leader.
 	RefusedFence
-	// RefusedOld: this attempt, or a later one, was stopped or ended on the worker.
-	RefusedOld
+	// RefusedStale: this attempt, or a later one, was stopped or ended on the worker.
+	RefusedStale
 	// RefusedLate: the lease of the order had expired.
 	RefusedLate
-	// RefusedRoom: the worker has too little free capacity.
-	RefusedRoom
+	// RefusedCapacity: the worker has too little free capacity.
+	RefusedCapacity
 	// RefusedTicket: the ticket of the order is no longer valid.
 	RefusedTicket
 	// RefusedBusy: the worker is not able to carry out orders and did nothing.
 	RefusedBusy
-	// RefusedForm: the worker does not understand the order.
-	RefusedForm
+	// RefusedMalformed: the worker does not understand the order.
+	RefusedMalformed
 	// RefusedIncarnation: another incarnation replies at the address; the one
 	// that was addressed has ended.
 	RefusedIncarnation
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("refusal %d", uint8(r))
 }
 
-// Answer is a worker's reply to an order.
-type Answer struct {
+// Reply is a worker's reply to an order.
+type Reply struct {
 	Refusal Refusal
 	// ClockMS is the reading of the worker's steady clock; 0 when the reply has
 	// none.
@@ -83,8 +83,8 @@
 	WaitMS int64
 }
 
-// Running is a run as listed by its worker.
-type Running struct {
+// RunStatus is a run as listed by its worker.
+type RunStatus struct {
 	Run        workload.RunRef
 	Checkpoint string
 	// Percent is the progress; a long-running task is at 100 once it is working.
@@ -96,23 +96,23 @@
 
 // List holds the runs and ends that a worker lists.
 type List struct {
-	Answer
-	Running []Running
+	Reply
+	Running []RunStatus
 	Ends    []workload.End
 	// EndsAfterGap is how many of the last Ends were listed after an end that
 	// could not be read.
 	EndsAfterGap int
-	// Unread counts the rows that could not be read. If there are any, a run
-	// that is not listed may still be running.
-	Unread int
+	// UnreadableRows counts the rows that could not be read. If there are any,
+	// a run that is not listed may still be running.
+	UnreadableRows int
 }
 
-// Calls makes calls to workers. Every error is a *CallError.
-type Calls interface {
-	Start(ctx context.Context, to Target, o StartOrder) (Answer, error)
-	Stop(ctx context.Context, to Target, run workload.RunRef, fence uint64) (Answer, error)
+// Client makes calls to workers. Every error is a *CallError.
+type Client interface {
+	Start(ctx context.Context, to Target, o StartOrder) (Reply, error)
+	Stop(ctx context.Context, to Target, run workload.RunRef, fence uint64) (Reply, error)
 	Hold(ctx context.Context, to Target, o HoldOrder) (List, error)
-	Pace(ctx context.Context, to Target, run workload.RunRef, percent int, fence uint64) (Answer, error)
+	Pace(ctx context.Context, to Target, run workload.RunRef, percent int, fence uint64) (Reply, error)
 }
 
 // CallError is the error of a call that got no reply.
--- a/internal/workers/standin/worker.go
+++ b/internal/workers/standin/worker.go
@@ -16,26 +16,26 @@
 	ID       workload.WorkerID
 	Address  string
 	Capacity workload.Resources
-	// Speed is the rate of its clock relative to the time that is passed in; it
-	// is 0.98 at the slowest.
-	Speed float64
-	// Born is the time at which it started, and BornMS the reading of its clock
-	// at that time.
-	Born   time.Duration
-	BornMS int64
-	// Dead is set when the incarnation has ended.
-	Dead bool
-	// Fails makes every run end as failed; nothing in this package reads it.
-	Fails bool
-	// Hangs keeps the progress of every run at HangsAt percent.
-	Hangs   bool
-	HangsAt int
-	// Acked is called for each acknowledged end, with whether the lease was held
+	// ClockRate is the rate of its clock relative to the time that is passed in;
+	// it is 0.98 at the slowest.
+	ClockRate float64
+	// StartedAt is the time at which it started, and ClockAtStartMS the reading
+	// of its clock at that time.
+	StartedAt      time.Duration
+	ClockAtStartMS int64
+	// Terminated is set when the incarnation has ended.
+	Terminated bool
+	// FailRuns makes every run end as failed; nothing in this package reads it.
+	FailRuns bool
+	// HangRuns keeps the progress of every run at HangAtPercent percent.
+	HangRuns      bool
+	HangAtPercent int
+	// OnAck is called for each acknowledged end, with whether the lease was held
 	// from the end until its acknowledgement. If it was not, the
 	// acknowledgement does not count.
-	Acked func(end workload.End, held bool)
-	// Ended is called for each end.
-	Ended func(workload.End)
+	OnAck func(end workload.End, held bool)
+	// OnEnd is called for each end.
+	OnEnd func(workload.End)
 
 	fence          uint64
 	leaseUntilMS   int64
@@ -53,14 +53,14 @@
 // New returns a worker that starts now.
 func New(id workload.WorkerID, address string, capacity workload.Resources, speed float64, now time.Duration) *Worker {
 	return &Worker{
-		ID: id, Address: address, Capacity: capacity, Speed: speed, Born: now, BornMS: 1000,
+		ID: id, Address: address, Capacity: capacity, ClockRate: speed, StartedAt: now, ClockAtStartMS: 1000,
 		runs: map[workload.RunRef]*run{}, highestAttempt: map[workload.TaskRef]int{},
 	}
 }
 
 // ClockMS returns the reading of the worker's clock.
 func (w *Worker) ClockMS(now time.Duration) int64 {
-	return w.BornMS + int64(float64((now-w.Born).Milliseconds())*w.Speed)
+	return w.ClockAtStartMS + int64(float64((now-w.StartedAt).Milliseconds())*w.ClockRate)
 }
 
 // Expire ends all runs if the lease has expired.
@@ -77,7 +77,7 @@
 // Running returns the present runs; none once the incarnation has ended.
 func (w *Worker) Running() []workload.RunRef {
 	var all []workload.RunRef
-	if w.Dead {
+	if w.Terminated {
 		return nil
 	}
 	for r := range w.runs {
@@ -86,8 +86,8 @@
 	return all
 }
 
-// Age returns how long a run has been running; 0 when the worker does not run it.
-func (w *Worker) Age(r workload.RunRef, now time.Duration) time.Duration {
+// RunAge returns how long a run has been running; 0 when the worker does not run it.
+func (w *Worker) RunAge(r workload.RunRef, now time.Duration) time.Duration {
 	if w.runs[r] == nil {
 		return 0
 	}
@@ -100,19 +100,19 @@
 	w.lastEnd++
 	end := workload.End{Worker: w.ID, Number: w.lastEnd, Run: r, Kind: kind}
 	w.ends = append(w.ends, end)
-	if w.Ended != nil {
-		w.Ended(end)
+	if w.OnEnd != nil {
+		w.OnEnd(end)
 	}
 	w.highestAttempt[r.Task] = max(w.highestAttempt[r.Task], r.Attempt)
 }
 
-// Listed returns the ends that are not acknowledged yet.
-func (w *Worker) Listed() []workload.End { return w.ends }
+// UnackedEnds returns the ends that are not acknowledged yet.
+func (w *Worker) UnackedEnds() []workload.End { return w.ends }
 
 // Start carries out a start order.
-func (w *Worker) Start(o workers.StartOrder, now time.Duration) workers.Answer {
+func (w *Worker) Start(o workers.StartOrder, now time.Duration) workers.Reply {
 	w.Expire(now)
-	answer := workers.Answer{ClockMS: w.ClockMS(now)}
+	answer := workers.Reply{ClockMS: w.ClockMS(now)}
 	switch {
 	case o.Fence < w.fence:
 		answer.Refusal = workers.RefusedFence
@@ -123,7 +123,7 @@
 	case o.LeaseUntilMS <= answer.ClockMS:
 		answer.Refusal = workers.RefusedLate
 	case o.Run.Attempt <= w.highestAttempt[o.Run.Task]:
-		answer.Refusal = workers.RefusedOld
+		answer.Refusal = workers.RefusedStale
 	}
 	w.fence = o.Fence
 	w.leaseUntilMS = max(w.leaseUntilMS, o.LeaseUntilMS)
@@ -134,9 +134,9 @@
 }
 
 // Stop carries out a stop order.
-func (w *Worker) Stop(r workload.RunRef, fence uint64, now time.Duration) workers.Answer {
+func (w *Worker) Stop(r workload.RunRef, fence uint64, now time.Duration) workers.Reply {
 	w.Expire(now)
-	answer := workers.Answer{ClockMS: w.ClockMS(now)}
+	answer := workers.Reply{ClockMS: w.ClockMS(now)}
 	if fence < w.fence {
 		answer.Refusal = workers.RefusedFence
 		return answer
@@ -152,7 +152,7 @@
 // Hold carries out a hold order.
 func (w *Worker) Hold(o workers.HoldOrder, now time.Duration) workers.List {
 	w.Expire(now)
-	list := workers.List{Answer: workers.Answer{ClockMS: w.ClockMS(now)}}
+	list := workers.List{Reply: workers.Reply{ClockMS: w.ClockMS(now)}}
 	if o.Fence < w.fence {
 		list.Refusal = workers.RefusedFence
 		return list
@@ -160,18 +160,18 @@
 	w.fence = o.Fence
 	w.leaseUntilMS = max(w.leaseUntilMS, o.LeaseUntilMS)
 	for len(w.ends) > 0 && w.ends[0].Number <= o.Acked {
-		if w.Acked != nil {
-			w.Acked(w.ends[0], w.ends[0].Number > w.lastLapsedEnd)
+		if w.OnAck != nil {
+			w.OnAck(w.ends[0], w.ends[0].Number > w.lastLapsedEnd)
 		}
 		w.ends = w.ends[1:]
 	}
 	list.Ends = append(list.Ends, w.ends...)
 	for r, running := range w.runs {
 		percent := int(min((now-running.started)/(10*time.Millisecond), 100))
-		if w.Hangs {
-			percent = w.HangsAt
+		if w.HangRuns {
+			percent = w.HangAtPercent
 		}
-		list.Running = append(list.Running, workers.Running{Run: r, Percent: percent})
+		list.Running = append(list.Running, workers.RunStatus{Run: r, Percent: percent})
 	}
 	return list
 }
--- a/internal/workers/standin/worker_test.go
+++ b/internal/workers/standin/worker_test.go
@@ -24,7 +24,7 @@
 			is := is.New(t)
 			w := New("w", "", workload.Resources{}, 1, 0)
 			var heldFlags []bool
-			w.Acked = func(_ workload.End, held bool) { heldFlags = append(heldFlags, held) }
+			w.OnAck = func(_ workload.End, held bool) { heldFlags = append(heldFlags, held) }
 			run := workload.RunRef{Attempt: 1}
 			w.Start(workers.StartOrder{Run: run, LeaseUntilMS: 6000, Fence: 1}, 0)
 			w.End(run, workload.EndDone)
