--- a/internal/slots/allocate.go
+++ b/internal/slots/allocate.go
@@ -8,37 +8,37 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// maxSkips bounds how many waiting requests are passed over because the only
-// free slot is at an instance which they can't use.
+// maxSkips bounds how many waiting requests are skipped because the only free
+// slot is at an instance that they can't use.
 const maxSkips = 8
 
-// settle hands out what is free, calls back what is needed here, asks other
-// entry VMs for more and sends the replies that are due.
-func (k *core) settle(now model.Instant) {
-	k.again = false
+// distribute hands out free slots, recalls lent slots that are needed here,
+// requests more from other entry VMs and sends the replies that are due.
+func (k *core) distribute(now model.Instant) {
+	k.needsTick = false
 	k.allocate(now)
-	if !k.config.lend {
+	if !k.config.lendingEnabled {
 		return
 	}
-	k.recall(now)
-	k.plan(now)
-	k.out.answers = append(k.out.answers, k.ledger.Answers(now)...)
-	k.again = k.again || k.book.Waits()
+	k.recallSlots(now)
+	k.planRequests(now)
+	k.pendingEffects.replies = append(k.pendingEffects.replies, k.lender.Answers(now)...)
+	k.needsTick = k.needsTick || k.borrower.Waits()
 }
 
-// allocate gives the free slots to the requests that wait here and at the
-// borrowers: the higher class first, within a class the longer wait.
+// allocate gives the free slots to requests that wait here and at borrowers:
+// the higher class first, within a class the longer wait.
 func (k *core) allocate(now model.Instant) {
-	k.ledger.DropUrgent(now)
-	blocked := k.queue.Len() == 0
+	k.lender.DropUrgent(now)
+	localDone := k.queue.Len() == 0
 	var skip map[model.NodeID]bool
 	for {
-		demand, remote := k.ledger.Best(skip)
-		if blocked && !remote {
+		demand, remote := k.lender.Best(skip)
+		if localDone && !remote {
 			return
 		}
-		if !blocked && (!remote || k.localFirst(demand, now)) {
-			blocked = !k.grantOne(now) || k.queue.Len() == 0
+		if !localDone && (!remote || k.localPrecedes(demand, now)) {
+			localDone = !k.grantOne(now) || k.queue.Len() == 0
 			continue
 		}
 		if !k.lendOne(demand, now) {
@@ -50,30 +50,30 @@
 	}
 }
 
-// localFirst reports whether the next request of the queue goes before a
-// request at a borrower.
-func (k *core) localFirst(d lending.Demand, now model.Instant) bool {
+// localPrecedes reports whether the next request of the queue precedes a request
+// at a borrower.
+func (k *core) localPrecedes(d lending.Demand, now model.Instant) bool {
 	t := k.queue.First(now)
 	if t == nil {
 		return false
 	}
-	mine := classOf(t.Priority)
-	if mine != d.Class {
-		return mine > d.Class
+	localClass := classOf(t.Priority)
+	if localClass != d.Class {
+		return localClass > d.Class
 	}
-	return t.Entered <= d.Since.Add(k.margin(mine))
+	return t.Entered <= d.Since.Add(k.localMargin(localClass))
 }
 
-// grantOne gives a slot to the first request that can use one.
+// grantOne gives a slot to the first waiting request that can use one.
 func (k *core) grantOne(now model.Instant) bool {
 	granted := false
 	skips := 0
 	k.queue.Each(now, func(t *ticket) bool {
 		if !k.queue.Expired(t, now) {
-			use, ok := k.pick(t.Value.ask, now)
+			use, ok := k.pick(t.Value.request, now)
 			if ok {
 				k.queue.Take(t)
-				t.Value.answer(use, nil)
+				t.Value.respond(use, nil)
 				granted = true
 				return false
 			}
@@ -84,46 +84,48 @@
 	return granted
 }
 
-// lendOne lends a free slot that is this entry VM's own. A few stay here for
-// the next request, unless the borrower's is urgent.
+// lendOne lends one free slot of this entry VM's own. A few free slots are
+// reserved for local requests, unless the borrower's request is urgent.
 func (k *core) lendOne(d lending.Demand, now model.Instant) bool {
 	if len(k.unrecovered) > 0 {
 		return false
 	}
-	if d.Class != classOf(model.Urgent) && k.set.TotalFreeSlots(now) <= k.reserve() {
+	if d.Class != classOf(model.Urgent) && k.set.TotalFreeSlots(now) <= k.reservedSlots() {
 		return false
 	}
 	best, most := model.InstanceID(""), 0
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
-		idle := k.set.FreeSlots(i, now)
+		free := k.set.FreeSlots(i, now)
 		if k.config.lending.Rules.LendBlind {
-			idle = max(idle, 1)
+			free = max(free, 1)
 		}
-		if idle > most && k.own(id) > 0 && !k.ledger.Avoids(d.Node, id) {
-			best, most = id, idle
+		if free > most && k.ownSlots(id) > 0 && !k.lender.Avoids(d.Node, id) {
+			best, most = id, free
 		}
 	}
 	if most == 0 {
 		return false
 	}
-	k.ledger.Lend(d, best)
-	k.recount(best)
+	k.lender.Lend(d, best)
+	k.updateAllowed(best)
 	return true
 }
 
-// reserveShare: one slot stays free for each so many in use here.
+// reserveShare is the number of slots in use here for which one free slot is
+// reserved.
 const reserveShare = 8
 
-func (k *core) reserve() int {
+// reservedSlots returns how many free slots are reserved for local requests.
+func (k *core) reservedSlots() int {
 	inUse := k.set.InUse()
 	return (inUse + reserveShare - 1) / reserveShare
 }
 
-// recall calls lent slots back for requests that wait here, and for urgent
-// ones that wait at another borrower.
-func (k *core) recall(now model.Instant) {
-	if k.ledger.Total() == 0 {
+// recallSlots recalls lent slots for requests that wait here and for urgent ones
+// that wait at another borrower.
+func (k *core) recallSlots(now model.Instant) {
+	if k.lender.Total() == 0 {
 		return
 	}
 	need := 0
@@ -133,48 +135,49 @@
 			continue
 		}
 		need += k.queue.Waiting(p)
-		k.ledger.Recall(classOf(p), oldest.Add(-k.margin(classOf(p))), need, "")
+		k.lender.Recall(classOf(p), oldest.Add(-k.localMargin(classOf(p))), need, "")
 	}
-	if d, ok := k.ledger.Best(nil); ok && d.Class == classOf(model.Urgent) {
-		k.ledger.Recall(d.Class, d.Since, need+1, d.Node)
+	if d, ok := k.lender.Best(nil); ok && d.Class == classOf(model.Urgent) {
+		k.lender.Recall(d.Class, d.Since, need+1, d.Node)
 	}
 }
 
-// margin is how much longer a request elsewhere must have waited to go before
-// a local one of the same class; without it slots would move all the time.
-func (k *core) margin(class int) time.Duration {
+// localMargin returns how much longer a request at another entry VM must have
+// waited than a local one of the same class to precede it. Without this margin
+// slots would constantly move between entry VMs.
+func (k *core) localMargin(class int) time.Duration {
 	if class == classOf(model.Urgent) {
 		return k.config.lending.UrgentMargin
 	}
 	return k.config.lending.Margin
 }
 
-// classOf is the index of a priority in the messages of lending.
+// classOf returns the index of a priority in the messages of lending.
 func classOf(p model.Priority) int { return admission.Class(p) }
 
-// receive takes in a request of a borrower. Its answer is among the effects,
-// at once or later.
-func (k *core) receive(r lending.Request, now model.Instant) error {
-	if err := k.ledger.Receive(r, now); err != nil {
+// receiveRequest processes a request of a borrower. The reply is among the
+// effects of this step or a later one.
+func (k *core) receiveRequest(r lending.Request, now model.Instant) error {
+	if err := k.lender.Receive(r, now); err != nil {
 		return err
 	}
-	k.known(r)
-	k.recountAll()
-	k.settle(now)
+	k.recordIncarnation(r)
+	k.updateAllAllowed()
+	k.distribute(now)
 	return nil
 }
 
-// applied takes in a lender's reply.
-func (k *core) applied(lender model.NodeID, number uint64, r lending.Reply, now model.Instant) {
-	if !k.book.Apply(lender, number, r, now) {
+// receiveReply processes a lender's reply.
+func (k *core) receiveReply(lender model.NodeID, number uint64, r lending.Reply, now model.Instant) {
+	if !k.borrower.Apply(lender, number, r, now) {
 		return
 	}
-	k.recountAll()
-	k.settle(now)
+	k.updateAllAllowed()
+	k.distribute(now)
 }
 
-// failed says that a request got no reply.
-func (k *core) failed(lender model.NodeID, number uint64, now model.Instant) {
-	k.book.Fail(lender, number)
-	k.settle(now)
+// requestFailed records that a request got no reply.
+func (k *core) requestFailed(lender model.NodeID, number uint64, now model.Instant) {
+	k.borrower.Fail(lender, number)
+	k.distribute(now)
 }
--- a/internal/slots/borrow.go
+++ b/internal/slots/borrow.go
@@ -9,71 +9,74 @@
 )
 
 const (
-	// askFactor is how many slots are asked for each one that is needed: a
-	// lender that was asked may have none.
-	askFactor = 2
-	// maxWiden bounds how often the number of lenders asked doubles.
-	maxWiden = 6
+	// overRequestFactor is how many slots are requested for each one that is
+	// needed: a lender may have none.
+	overRequestFactor = 2
+	// maxDoublings bounds how often the number of lenders that get a request
+	// doubles.
+	maxDoublings = 6
 )
 
-// idleWindow finds how many borrowed slots stayed idle for a while.
+// idleWindow holds the minimum number of idle slots since its start.
 type idleWindow struct {
-	since model.Instant
-	least int
+	start   model.Instant
+	minIdle int
 }
 
-// need is what the queue wants from elsewhere: how many slots for each class,
-// and how long the oldest request of each waits.
-type need struct {
+// demand is what the queue needs from other entry VMs: how many slots for each
+// class, and how long the oldest request of each has waited.
+type demand struct {
 	wanted [lending.Classes]int
 	age    [lending.Classes]time.Duration
 }
 
-func (n need) none() bool { return n.wanted == [lending.Classes]int{} }
+func (n demand) empty() bool { return n.wanted == [lending.Classes]int{} }
 
-// plan decides which lenders to ask, renew with or give back to.
-func (k *core) plan(now model.Instant) {
-	k.returnIdle(now)
-	n := k.need(now)
-	if n.none() && k.book.Quiet() {
-		k.asking = need{}
+// planRequests sends the requests that are due to lenders: for more slots, to
+// renew loans or to return slots.
+func (k *core) planRequests(now model.Instant) {
+	k.returnIdleLoans(now)
+	needed := k.demand(now)
+	if needed.empty() && k.borrower.Quiet() {
+		k.lastDemand = demand{}
 		return
 	}
-	if k.asking.wanted[classOf(model.Urgent)] == 0 && !n.none() {
+	if k.lastDemand.wanted[classOf(model.Urgent)] == 0 && !needed.empty() {
 		k.rotation = k.config.random(len(k.config.nodes))
 	}
-	k.asking = n
+	k.lastDemand = needed
 	lenders := k.lenders()
-	patience := k.patience(n)
+	minInterval := k.minInterval(needed)
 	for position, lender := range lenders {
-		told := k.divide(n, position, len(lenders))
-		if k.book.Due(lender, told, patience, now) {
-			k.request(lender, told, now)
+		part := k.demandForLender(needed, position, len(lenders))
+		if k.borrower.Due(lender, part, minInterval, now) {
+			k.requestSlots(lender, part, now)
 		}
 	}
-	k.again = k.again || !n.none()
+	k.needsTick = k.needsTick || !needed.empty()
 }
 
-// patienceShare is the part of the wait so far that a request for more may add
-// to it; maxPatience bounds it.
+// The minimum interval between two requests for more slots to one lender is the
+// wait so far divided by intervalShare, at most maxIntervalFactor spacings.
 const (
-	patienceShare = 16
-	maxPatience   = 25 // spacings
+	intervalShare     = 16
+	maxIntervalFactor = 25
 )
 
-// patience is the least time between two requests for more to one lender: the
-// longer the queue is, the less a message can gain. Urgent requests don't wait.
-func (k *core) patience(n need) time.Duration {
-	if n.wanted[classOf(model.Urgent)] > 0 {
+// minInterval returns the minimum time between two requests for more slots to
+// one lender: the longer requests have waited, the less a message can gain.
+// Demand for urgent requests is sent without this delay.
+func (k *core) minInterval(needed demand) time.Duration {
+	if needed.wanted[classOf(model.Urgent)] > 0 {
 		return 0
 	}
-	age := slices.Max(n.age[:])
-	return min(age/patienceShare, maxPatience*k.config.lending.Spacing)
+	age := slices.Max(needed.age[:])
+	return min(age/intervalShare, maxIntervalFactor*k.config.lending.Spacing)
 }
 
-// request sends a lender what is held and wanted.
-func (k *core) request(lender model.NodeID, wanted [lending.Classes]int, now model.Instant) {
-	r := k.book.Request(lender, wanted, k.run(), true, now)
+// requestSlots sends a lender the slots that are held and wanted.
+func (k *core) requestSlots(lender model.NodeID, wanted [lending.Classes]int, now model.Instant) {
+	r := k.borrower.Request(lender, wanted, k.promisedRun(), true, now)
 	r.Service = k.service.ID
 	if len(r.Held) == 0 && wanted == [lending.Classes]int{} {
 		r.WaitMS = 0
@@ -83,27 +86,28 @@
 			r.OldestMS[classOf(p)] = now.Sub(oldest).Milliseconds()
 		}
 	}
-	r.Avoid = k.avoided(now)
-	k.out.sends = append(k.out.sends, send{lender, r})
+	r.Avoid = k.avoidedInstances(now)
+	k.pendingEffects.calls = append(k.pendingEffects.calls, peerCall{lender, r})
 }
 
-// avoided are the instances of which no slot is wanted: ejected or busy ones,
-// and those to which all connections that this entry VM may open are in use.
-func (k *core) avoided(now model.Instant) []model.InstanceID {
+// avoidedInstances returns the instances of which no slot is wanted: ejected or
+// busy ones, and those where the own and borrowed slots already take all
+// connections that this entry VM may open.
+func (k *core) avoidedInstances(now model.Instant) []model.InstanceID {
 	var out []model.InstanceID
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
-		if k.set.Unavailable(i, now) || i.Own+k.book.Held(id) >= k.rooms[id] {
+		if k.set.Unavailable(i, now) || i.Own+k.borrower.Held(id) >= k.connectionShares[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// need finds what is wanted from elsewhere. A short wait for an own slot is not
-// worth a message.
-func (k *core) need(now model.Instant) need {
-	var n need
+// demand computes what is needed from other entry VMs. A short wait for an own
+// slot isn't worth a message.
+func (k *core) demand(now model.Instant) demand {
+	var n demand
 	if k.queue.Len() == 0 {
 		return n
 	}
@@ -117,15 +121,15 @@
 		}
 		ahead += waiting
 		age := now.Sub(oldest)
-		expected := max(rate.Wait(ahead-1, k.slots()), age)
+		expected := max(rate.Wait(ahead-1, k.concurrency()), age)
 		if rate.Mean() > 0 && expected <= k.config.lending.HelpAfter {
-			k.again = true
+			k.needsTick = true
 			continue
 		}
 		if p != model.Urgent {
-			// What is lent is on its way back; borrowing instead would leave this
-			// entry VM's slots with others, and theirs here.
-			waiting -= k.ledger.Total()
+			// Lent slots are being recalled. Borrowing instead would leave this entry
+			// VM's slots with others and their slots here.
+			waiting -= k.lender.Total()
 		}
 		if waiting > 0 {
 			n.wanted[classOf(p)] = waiting
@@ -135,23 +139,25 @@
 	return n
 }
 
-// divide is what the lender at a position is told: of each class, few lenders
-// are asked at first, and twice as many for each while that its first request
-// still waits. Asking all for one slot would draw one from each.
-func (k *core) divide(n need, position, lenders int) [lending.Classes]int {
-	var told [lending.Classes]int
-	for c, wanted := range n.wanted {
-		widen := min(max(int(n.age[c]/(2*k.config.lending.Spacing)), 0), maxWiden)
-		asked := min(lenders, askFactor*wanted<<widen)
-		if position < asked {
-			told[c] = (askFactor*wanted + asked - 1) / asked
+// demandForLender returns the part of the demand that is sent to the lender at a
+// position. For each class few lenders get a request at first, and their number
+// doubles every two spacings while the oldest request of the class waits.
+// Requesting one slot from all lenders would get one from each.
+func (k *core) demandForLender(total demand, position, lenders int) [lending.Classes]int {
+	var part [lending.Classes]int
+	for c, wanted := range total.wanted {
+		doublings := min(max(int(total.age[c]/(2*k.config.lending.Spacing)), 0), maxDoublings)
+		targets := min(lenders, overRequestFactor*wanted<<doublings)
+		if position < targets {
+			part[c] = (overRequestFactor*wanted + targets - 1) / targets
 		}
 	}
-	return told
+	return part
 }
 
-// lenders are the live entry VMs to ask, and those of whom something is held,
-// from a start that changes, so that not all ask the same one first.
+// lenders returns the live entry VMs other than this one. The list starts at a
+// position that changes, so that entry VMs don't all send their first request to
+// the same lender.
 func (k *core) lenders() []model.NodeID {
 	nodes := k.config.nodes
 	out := make([]model.NodeID, 0, len(nodes))
@@ -164,39 +170,39 @@
 	return out
 }
 
-// returnIdle gives back the borrowed slots that stayed idle for a whole window.
-func (k *core) returnIdle(now model.Instant) {
-	if k.book.Total() == 0 {
-		k.spare = idleWindow{now, 0}
+// returnIdleLoans returns the borrowed slots that stayed idle for a whole window.
+func (k *core) returnIdleLoans(now model.Instant) {
+	if k.borrower.Total() == 0 {
+		k.idleLoans = idleWindow{now, 0}
 		return
 	}
 	idle := k.set.TotalFreeSlots(now)
-	k.spare.least = min(k.spare.least, idle)
-	if now.Sub(k.spare.since) < k.config.lending.KeepIdle {
+	k.idleLoans.minIdle = min(k.idleLoans.minIdle, idle)
+	if now.Sub(k.idleLoans.start) < k.config.lending.KeepIdle {
 		return
 	}
-	if k.spare.least > 0 {
-		k.book.GiveBack(k.spare.least, func(i model.InstanceID) int {
+	if k.idleLoans.minIdle > 0 {
+		k.borrower.GiveBack(k.idleLoans.minIdle, func(i model.InstanceID) int {
 			instance := k.set.Get(i)
 			if instance == nil {
 				return 0
 			}
-			return k.own(i) + k.book.Usable(i) - instance.InUse
+			return k.ownSlots(i) + k.borrower.Usable(i) - instance.InUse
 		})
-		k.recountAll()
+		k.updateAllAllowed()
 	}
-	k.spare = idleWindow{now, k.set.TotalFreeSlots(now)}
+	k.idleLoans = idleWindow{now, k.set.TotalFreeSlots(now)}
 }
 
-// giveBackAll gives all idle loans back; for a stop.
-func (k *core) giveBackAll(now model.Instant) {
-	for _, c := range k.book.Instances() {
-		k.book.Drop(c.Instance)
+// returnAllLoans returns all idle borrowed slots; it is called at a stop.
+func (k *core) returnAllLoans(now model.Instant) {
+	for _, c := range k.borrower.Instances() {
+		k.borrower.Drop(c.Instance)
 	}
-	k.recountAll()
+	k.updateAllAllowed()
 	for _, lender := range k.lenders() {
-		if k.book.Owes(lender) {
-			k.request(lender, [lending.Classes]int{}, now)
+		if k.borrower.Owes(lender) {
+			k.requestSlots(lender, [lending.Classes]int{}, now)
 		}
 	}
 }
--- a/internal/slots/check.go
+++ b/internal/slots/check.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// check returns the invariants that are broken; none when all is well.
-func (k *core) check() []string {
+// checkInvariants returns the broken invariants, or none.
+func (k *core) checkInvariants() []string {
 	broken := append(k.set.Check(), k.queue.Check()...)
 	overruns := 0
 	for i, share := range k.shares {
@@ -11,8 +11,8 @@
 		if instance == nil || len(k.unrecovered) > 0 {
 			continue
 		}
-		own := share - k.ledger.Lent(i)
-		if instance.InUse > max(own, 0)+k.book.Held(i) || own < 0 {
+		own := share - k.lender.Lent(i)
+		if instance.InUse > max(own, 0)+k.borrower.Held(i) || own < 0 {
 			overruns++
 		}
 	}
--- a/internal/slots/clock_test.go
+++ b/internal/slots/clock_test.go
@@ -10,11 +10,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/registry"
 )
 
-// Symptom: under load, all requests of one service hang at an entry VM, and its
-// stop never ends. Sequence: a request reads the clock; another one reads a
-// later time, takes the lock first and queues; the first one computes the age
-// of what waits. Cause: the clock was read before the lock, so the age was
-// negative, a shift by it panicked, and the panic kept the lock.
+// TestClockIsReadUnderTheLock guards against a hang of all requests of a service
+// under load, where the stop of the entry VM did not end either. A request read
+// the clock before it took the lock. Another one read a later time, took the
+// lock first and queued. The first one then computed a negative age of the
+// waiting request, a shift by it panicked, and the lock was never released.
 func TestClockIsReadUnderTheLock(t *testing.T) {
 	is := is.New(t)
 	var k *serviceState
@@ -28,22 +28,23 @@
 	}
 	d := New(Config{
 		Self: "n1", Registry: registry.New(registry.Options{}), Now: now,
-		Services: siteOf{model.Service{ID: "drafts", Slots: 8, QueueLimit: 10, Timeout: time.Second}},
+		Services: singleService{model.Service{ID: "drafts", Slots: 8, QueueLimit: 10, Timeout: time.Second}},
 	})
 	k = d.state("drafts")
 	k.step(func(model.Instant) {})
-	k.acquireNow(Ask{Service: "drafts"})
+	k.tryAcquire(Ask{Service: "drafts"})
 	is.Equal(outside, 0)
 }
 
-// Symptom and cause are those above; this is the rest of the sequence.
-func TestPanicLeavesNoLock(t *testing.T) {
+// TestPanicReleasesTheLock guards against the second part of that failure: the
+// lock was held forever after the panic.
+func TestPanicReleasesTheLock(t *testing.T) {
 	is := is.New(t)
-	d, _, _ := newAlone(t, 8, 10)
+	d, _, _ := newSingleDispatcher(t, 8, 10)
 	k := d.state("drafts")
 	func() {
 		defer func() { is.True(recover() != nil) }()
-		k.step(func(model.Instant) { panic("fault of a test") })
+		k.step(func(model.Instant) { panic("panic injected by the test") })
 	}()
 	is.True(k.mu.TryLock())
 }
--- a/internal/slots/config.go
+++ b/internal/slots/config.go
@@ -14,37 +14,40 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// Services is the part of the desired state that a dispatcher needs.
+// Services gives access to the part of the desired state that a dispatcher
+// needs.
 type Services interface {
 	Service(model.ServiceID) (model.Service, bool)
 	Team(model.TeamID) (model.Team, bool)
 }
 
-// Config says what a dispatcher works with.
+// Config holds the settings and dependencies of a dispatcher.
 type Config struct {
 	Self model.NodeID
 	Zone model.ZoneID
-	// Nodes are all entry VMs of the settings, live or not. Static shares are
-	// taken over them, so that every entry VM computes the same shares.
+	// Nodes lists all entry VMs of the settings, live or not. Static shares are
+	// computed over this list, so every entry VM computes the same shares.
 	Nodes []model.NodeID
-	// Members returns the entry VMs that are live as this one sees it.
+	// Members returns the entry VMs that are live as far as this one can tell.
 	Members func() []model.NodeID
-	// Confirmed reports whether a quorum confirmed this entry VM's view lately.
-	// One that is cut off keeps an old list of members; without this it would
-	// go on to use what others may use meanwhile. Nil means always.
+	// Confirmed reports whether a quorum recently confirmed this entry VM's view
+	// of the members. A partitioned entry VM keeps an outdated list of members;
+	// without this check it would continue to use slots that others may already
+	// use. Nil means always.
 	Confirmed func() bool
 	Registry  *registry.Registry
 	Services  Services
-	// Peer reaches the other entry VMs; nil keeps to static shares.
+	// Peer sends requests to the other entry VMs; nil disables lending, which
+	// leaves the static shares.
 	Peer Peer
 	// Incarnation grows with each process of this entry VM; 0 takes the clock.
 	Incarnation uint64
-	// ReclaimAfter is when the others use the share of an entry VM that is
-	// lost; 0 takes DefaultReclaimAfter, a negative value means never.
+	// ReclaimAfter is how long an entry VM must be lost before others use its
+	// share; 0 takes DefaultReclaimAfter, a negative value means never.
 	ReclaimAfter time.Duration
 	Lending      lending.Options
 	// Now is a clock that never steps; nil takes a monotonic one that starts
-	// at the wall clock.
+	// at the wall-clock time.
 	Now func() model.Instant
 	// Random returns a number in 0..n-1; nil takes math/rand/v2.
 	Random func(n int) int
@@ -55,9 +58,9 @@
 	Balance   balance.Options
 }
 
-// Clock returns a clock that starts at the wall clock and goes on with the
-// monotonic one. A lease measured by the wall clock would last too long, or
-// end too early, when the wall clock is set.
+// Clock returns a monotonic clock that starts at the wall-clock time. A lease
+// measured by the wall clock would last too long or end too early when the wall
+// clock is set.
 func Clock() func() model.Instant {
 	start := time.Now()
 	return func() model.Instant { return model.InstantOf(start.Add(time.Since(start))) }
--- a/internal/slots/core.go
+++ b/internal/slots/core.go
@@ -9,52 +9,56 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// core decides about the slots of one service at one entry VM: who gets the
-// next one, what is lent, what is borrowed. It is pure: a lock, a clock and the
-// calls to peers are its caller's.
+// core manages the slots of one service at one entry VM: which request gets the
+// next one, which slots are lent and which are borrowed. It is deterministic:
+// its user provides the lock and the clock and makes the calls to peers.
 type core struct {
-	config  coreConfig
-	service model.Service
-	set     *balance.Set
-	queue   *admission.Queue[*waiter]
-	book    *lending.Book
-	ledger  *lending.Ledger
-	// shares are this entry VM's own slots by instance, rooms how many
-	// connections it may open to each.
-	shares map[model.InstanceID]int
-	rooms  map[model.InstanceID]int
-	live   []model.NodeID
-	// confirmed says that live is what a quorum confirmed lately.
+	config   coreConfig
+	service  model.Service
+	set      *balance.Set
+	queue    *admission.Queue[*waiter]
+	borrower *lending.Book
+	lender   *lending.Ledger
+	// shares holds this entry VM's own slots by instance, connectionShares how
+	// many connections it may open to each.
+	shares           map[model.InstanceID]int
+	connectionShares map[model.InstanceID]int
+	live             []model.NodeID
+	// confirmed is true if a quorum recently confirmed the list of live entry VMs.
 	confirmed bool
-	lost      lossTracker
-	// handovers are what others left to this entry VM when they stopped,
-	// processes the latest incarnation heard of each.
-	handovers map[model.NodeID]handover
-	processes map[model.NodeID]uint64
-	// takenOver are the entry VMs whose share is used here.
+	losses    lossTracker
+	// handovers holds the slots that other entry VMs handed over when they
+	// stopped, incarnations the latest known incarnation of each entry VM.
+	handovers    map[model.NodeID]handover
+	incarnations map[model.NodeID]uint64
+	// takenOver lists the entry VMs whose shares this one uses.
 	takenOver []model.NodeID
-	// unrecovered are the entry VMs that have not said yet what they hold of
-	// an earlier process of this one; until then no share is used.
+	// unrecovered are the entry VMs that have not yet reported which slots they
+	// hold from an earlier process of this one. Until all have, this entry VM uses
+	// none of its own share.
 	unrecovered map[model.NodeID]bool
 	started     model.Instant
-	// tookOverAt and asked are when shares of lost entry VMs were last taken over,
-	// and when the unrecovered ones were last asked.
-	tookOverAt model.Instant
-	asked      model.Instant
-	// given is what requests were given lately.
-	given    longest
-	rotation int
-	asking   need
-	spare    idleWindow
-	again    bool
-	out      effects
-	// overruns is at how many instances the last check saw more in use than
-	// allowed; handedOver says that the own share was left to others.
+	// lastTakeOver is when shares of lost entry VMs were last taken over,
+	// lastRecoveryRequest when the unrecovered entry VMs were last sent a request.
+	lastTakeOver        model.Instant
+	lastRecoveryRequest model.Instant
+	// recentTimeouts holds how long recent requests had until their deadlines.
+	recentTimeouts recentMax
+	// rotation is the index in the configured nodes at which lenders starts.
+	rotation   int
+	lastDemand demand
+	idleLoans  idleWindow
+	// needsTick is true if a tick is needed before the next regular one.
+	needsTick      bool
+	pendingEffects effects
+	// overruns is the number of instances at which the last check found more
+	// slots in use than allowed; handedOver is true once the own share was handed
+	// over to others.
 	overruns   int
 	handedOver bool
 }
 
-// coreConfig is what stays the same for a core.
+// coreConfig holds the settings of a core, which never change.
 type coreConfig struct {
 	self        model.NodeID
 	zone        model.ZoneID
@@ -64,94 +68,95 @@
 	admission   admission.Options
 	balance     balance.Options
 	random      func(n int) int
-	// lend says that there are peers to lend to and borrow from.
-	lend bool
-	// reclaimAfter is when the share of a lost entry VM is used by others;
-	// negative means never.
+	// lendingEnabled is true if there are peers to lend to and borrow from.
+	lendingEnabled bool
+	// reclaimAfter is how long an entry VM must be lost before others use its
+	// share; negative means never.
 	reclaimAfter time.Duration
 }
 
-// effects are what a step of the core asks its caller to do.
+// effects are the messages that the user of the core must send after a step.
 type effects struct {
-	sends   []send
-	answers []lending.Answer
+	calls   []peerCall
+	replies []lending.Answer
 }
 
-// send is a request to a lender.
-type send struct {
+// peerCall is a request to another entry VM.
+type peerCall struct {
 	to      model.NodeID
 	request lending.Request
 }
 
-// waiter is one request that waits. Its answer comes exactly once: a slot, or
-// why there is none.
+// waiter is a waiting request. respond is called exactly once, with a slot or
+// with the reason why there is none.
 type waiter struct {
-	ask    Ask
-	answer func(balance.Use, *admission.Refusal)
+	request Ask
+	respond func(balance.Use, *admission.Refusal)
 }
 
 type ticket = admission.Ticket[*waiter]
 
 func newCore(c coreConfig, s model.Service, now model.Instant) *core {
 	k := &core{
-		config:  c,
-		service: s,
-		set:     balance.New(c.balance, c.zone, c.random),
-		queue:   admission.NewQueue[*waiter](c.admission),
-		ledger:  lending.NewLedger(c.lending),
-		shares:  map[model.InstanceID]int{},
-		rooms:   map[model.InstanceID]int{},
-		started: now,
-		live:    c.nodes,
+		config:           c,
+		service:          s,
+		set:              balance.New(c.balance, c.zone, c.random),
+		queue:            admission.NewQueue[*waiter](c.admission),
+		lender:           lending.NewLedger(c.lending),
+		shares:           map[model.InstanceID]int{},
+		connectionShares: map[model.InstanceID]int{},
+		started:          now,
+		live:             c.nodes,
 
-		handovers: map[model.NodeID]handover{},
-		processes: map[model.NodeID]uint64{},
+		handovers:    map[model.NodeID]handover{},
+		incarnations: map[model.NodeID]uint64{},
 	}
 	k.config.lending = c.lending.WithDefaults()
-	k.book = lending.NewBook(c.self, c.incarnation, c.lending, k.excess)
+	k.borrower = lending.NewBook(c.self, c.incarnation, c.lending, k.excess)
 	k.unrecovered = map[model.NodeID]bool{}
 	for _, n := range c.nodes {
-		if c.lend && n != c.self && !c.lending.Rules.SkipRecovery {
+		if c.lendingEnabled && n != c.self && !c.lending.Rules.SkipRecovery {
 			k.unrecovered[n] = true
 		}
 	}
 	return k
 }
 
-// own is the part of an instance's slots that is this entry VM's and not lent.
-func (k *core) own(i model.InstanceID) int {
+// ownSlots returns how many of this entry VM's own slots of an instance are not
+// lent.
+func (k *core) ownSlots(i model.InstanceID) int {
 	if len(k.unrecovered) > 0 || k.handedOver {
 		return 0
 	}
-	return max(0, k.shares[i]-k.ledger.Lent(i))
+	return max(0, k.shares[i]-k.lender.Lent(i))
 }
 
-// excess is how many slots of an instance are in use beyond the own ones.
+// excess returns how many slots of an instance are in use beyond the own ones.
 func (k *core) excess(i model.InstanceID) int {
 	instance := k.set.Get(i)
 	if instance == nil {
 		return 0
 	}
-	return max(0, instance.InUse-k.own(i))
+	return max(0, instance.InUse-k.ownSlots(i))
 }
 
-// recount sets how many slots of an instance new work may start on.
-func (k *core) recount(i model.InstanceID) {
+// updateAllowed sets how many slots of an instance new requests may use.
+func (k *core) updateAllowed(i model.InstanceID) {
 	instance := k.set.Get(i)
 	if instance == nil {
 		return
 	}
-	instance.Own = k.own(i)
-	instance.Allowed = instance.Own + k.book.Usable(i)
+	instance.Own = k.ownSlots(i)
+	instance.Allowed = instance.Own + k.borrower.Usable(i)
 }
 
-func (k *core) recountAll() {
+func (k *core) updateAllAllowed() {
 	for _, i := range k.set.Listed() {
-		k.recount(i.Upstream.Instance)
+		k.updateAllowed(i.Upstream.Instance)
 	}
 }
 
-// update takes in the announced instances or a change of the service.
+// update applies the announced instances and the settings of the service.
 func (k *core) update(s model.Service, list []model.Upstream, now model.Instant) {
 	k.service = s
 	k.set.Update(list, now)
@@ -159,133 +164,137 @@
 	for _, u := range list {
 		listed[u.Instance] = true
 		k.shares[u.Instance] = k.shareOf(k.config.self, u)
-		k.rooms[u.Instance] = balance.Share(min(s.Connections, u.Connections), k.config.nodes, k.config.self, k.key(u.Instance))
+		k.connectionShares[u.Instance] = balance.Share(min(s.Connections, u.Connections), k.config.nodes, k.config.self, k.hashKey(u.Instance))
 	}
-	for _, c := range k.book.Instances() {
+	for _, c := range k.borrower.Instances() {
 		if !listed[c.Instance] {
-			k.book.Drop(c.Instance)
+			k.borrower.Drop(c.Instance)
 		}
 	}
 	for i := range k.shares {
-		if !listed[i] && k.set.Get(i) == nil && k.ledger.Lent(i) == 0 {
+		if !listed[i] && k.set.Get(i) == nil && k.lender.Lent(i) == 0 {
 			delete(k.shares, i)
-			delete(k.rooms, i)
+			delete(k.connectionShares, i)
 		}
 	}
-	k.recountAll()
-	k.settle(now)
+	k.updateAllAllowed()
+	k.distribute(now)
 }
 
-// key names an instance in the rendezvous hash.
-func (k *core) key(i model.InstanceID) string { return string(k.service.ID) + "/" + string(i) }
+// hashKey returns the key of an instance in the rendezvous hash.
+func (k *core) hashKey(i model.InstanceID) string { return string(k.service.ID) + "/" + string(i) }
 
-// shareOf is an entry VM's static share of an instance's slots.
+// shareOf returns an entry VM's static share of an instance's slots.
 func (k *core) shareOf(n model.NodeID, u model.Upstream) int {
-	return balance.Share(min(k.service.Slots, u.Slots), k.config.nodes, n, k.key(u.Instance))
+	return balance.Share(min(k.service.Slots, u.Slots), k.config.nodes, n, k.hashKey(u.Instance))
 }
 
-// ask grants a slot at once, or refuses, or queues the request.
-func (k *core) ask(w *waiter, now model.Instant) (balance.Use, *ticket, *admission.Refusal) {
-	if use, ok := k.grantNow(w.ask, now); ok {
+// acquire grants a slot at once, refuses the request or queues it.
+func (k *core) acquire(w *waiter, now model.Instant) (balance.Use, *ticket, *admission.Refusal) {
+	if use, ok := k.tryGrant(w.request, now); ok {
 		return use, nil, nil
 	}
 	if len(k.set.Listed()) == 0 {
-		return balance.Use{}, nil, noInstance()
+		return balance.Use{}, nil, noInstanceRefusal()
 	}
-	t := &ticket{Value: w, Priority: w.ask.Priority, Deadline: w.ask.Deadline}
-	refusal, shed := k.queue.Offer(t, k.slots(), k.service.QueueLimit, now)
+	t := &ticket{Value: w, Priority: w.request.Priority, Deadline: w.request.Deadline}
+	refusal, shed := k.queue.Offer(t, k.concurrency(), k.service.QueueLimit, now)
 	if shed != nil {
-		shed.Ticket.Value.answer(balance.Use{}, shed.Refusal)
+		shed.Ticket.Value.respond(balance.Use{}, shed.Refusal)
 	}
 	if refusal != nil {
 		return balance.Use{}, nil, refusal
 	}
-	k.given.add(w.ask.Deadline.Sub(now), now)
-	k.settle(now)
+	k.recentTimeouts.add(w.request.Deadline.Sub(now), now)
+	k.distribute(now)
 	return balance.Use{}, t, nil
 }
 
-// grantNow takes a free slot, unless a request of the same or a higher
-// priority waits for it already.
-func (k *core) grantNow(ask Ask, now model.Instant) (balance.Use, bool) {
-	if now >= ask.Deadline {
+// tryGrant takes a free slot, unless a request of the same or a higher priority
+// is already waiting for one.
+func (k *core) tryGrant(request Ask, now model.Instant) (balance.Use, bool) {
+	if now >= request.Deadline {
 		return balance.Use{}, false
 	}
 	if k.queue.Len() > 0 {
-		for p := ask.Priority; p <= model.Urgent; p++ {
+		for p := request.Priority; p <= model.Urgent; p++ {
 			if k.queue.Waiting(p) > 0 {
 				return balance.Use{}, false
 			}
 		}
 	}
-	return k.pick(ask, now)
+	return k.pick(request, now)
 }
 
 // pick takes a slot. A request that may run longer than was promised to the
-// lenders must not start on a loan: they count a loan only so long after it
-// lapsed.
-func (k *core) pick(ask Ask, now model.Instant) (balance.Use, bool) {
-	wish := balance.Preference{Avoid: ask.Avoid, Priority: ask.Priority}
-	if k.book.Total() > 0 {
-		wish.OwnOnly = ask.Deadline.Sub(now) > k.book.Promised()
+// lenders must not start on a loan: after the lease has ended, lenders count the
+// loan only for the promised time.
+func (k *core) pick(request Ask, now model.Instant) (balance.Use, bool) {
+	preference := balance.Preference{Avoid: request.Avoid, Priority: request.Priority}
+	if k.borrower.Total() > 0 {
+		preference.OwnOnly = request.Deadline.Sub(now) > k.borrower.Promised()
 	}
-	return k.set.Pick(wish, now)
+	return k.set.Pick(preference, now)
 }
 
-// done gives a slot back.
-func (k *core) done(u balance.Use, o Outcome, now model.Instant) {
+// release returns a slot and records the outcome of the attempt.
+func (k *core) release(u balance.Use, o Outcome, now model.Instant) {
 	k.set.Done(u, o, now)
 	k.queue.Rate().Observe(now.Sub(u.Started))
 	id := u.Instance.Upstream.Instance
-	k.book.Released(id)
-	k.recount(id)
-	k.settle(now)
+	k.borrower.Released(id)
+	k.updateAllowed(id)
+	k.distribute(now)
 }
 
-// cancel takes a request out of the queue; false when it got its answer.
+// cancel removes a request from the queue. It reports false if the request has
+// already been granted or refused.
 func (k *core) cancel(t *ticket) bool { return k.queue.Remove(t) }
 
-func noInstance() *admission.Refusal {
+// noInstanceRefusal is the refusal while no instance of the service serves.
+func noInstanceRefusal() *admission.Refusal {
 	return &admission.Refusal{Reason: "no instance of the service serves", RetryAfter: noInstanceRetry}
 }
 
-// tick drops what can't run any more and moves time on for the loans.
-func (k *core) tick(now model.Instant) {
+// handleTick drops requests that can no longer run and expires loans.
+func (k *core) handleTick(now model.Instant) {
 	if len(k.set.Listed()) == 0 {
-		k.dropAll(now)
+		k.refuseAll(now)
 	}
-	for _, dropped := range k.queue.Sweep(k.slots(), now) {
-		dropped.Ticket.Value.answer(balance.Use{}, dropped.Refusal)
+	for _, dropped := range k.queue.Sweep(k.concurrency(), now) {
+		dropped.Ticket.Value.respond(balance.Use{}, dropped.Refusal)
 	}
-	if k.config.lend {
-		k.book.Lapse(now)
-		k.ledger.Tick(now)
-		k.takeOver(now)
-		k.recover(now)
-		k.recountAll()
+	if k.config.lendingEnabled {
+		k.borrower.Lapse(now)
+		k.lender.Tick(now)
+		k.takeOverShares(now)
+		k.requestRecovery(now)
+		k.updateAllAllowed()
 	}
-	k.settle(now)
+	k.distribute(now)
 }
 
-// dropAll refuses all that waits: there is no instance left to wait for.
-func (k *core) dropAll(now model.Instant) {
+// refuseAll refuses all waiting requests: no instance is left to wait for.
+func (k *core) refuseAll(now model.Instant) {
 	for t := k.queue.First(now); t != nil; t = k.queue.First(now) {
 		k.queue.Remove(t)
-		t.Value.answer(balance.Use{}, noInstance())
+		t.Value.respond(balance.Use{}, noInstanceRefusal())
 	}
 }
 
-// idle reports whether nothing waits, is lent or is borrowed.
+// idle reports whether no request waits, no slot is lent or borrowed, and no
+// recovery is pending.
 func (k *core) idle() bool {
-	return k.queue.Len() == 0 && k.ledger.Quiet() && k.book.Quiet() && len(k.unrecovered) == 0
+	return k.queue.Len() == 0 && k.lender.Quiet() && k.borrower.Quiet() && len(k.unrecovered) == 0
 }
 
-// slots is how many requests run at once here when all slots are in use.
-func (k *core) slots() int { return max(k.set.InUse(), 1) }
+// concurrency returns how many requests run at once here when all slots are in
+// use.
+func (k *core) concurrency() int { return max(k.set.InUse(), 1) }
 
-// effects returns what is to be done and forgets it.
-func (k *core) effects() effects {
-	out := k.out
-	k.out = effects{}
+// takeEffects returns the pending effects and clears them.
+func (k *core) takeEffects() effects {
+	out := k.pendingEffects
+	k.pendingEffects = effects{}
 	return out
 }
--- a/internal/slots/counters.go
+++ b/internal/slots/counters.go
@@ -2,45 +2,47 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counters are the figures of a dispatcher.
+// counters are the metrics of a dispatcher.
 type counters struct {
 	granted metrics.Counter
 	queued  metrics.Counter
 	refused metrics.Counter
-	// dropped were in the queue and left it unrun.
+	// dropped counts requests that left the queue without a slot.
 	dropped   metrics.Counter
 	abandoned metrics.Counter
 	busy      metrics.Counter
 	failed    metrics.Counter
-	// calls to and from other entry VMs.
+	// borrowCalls and borrowFailed count calls to other entry VMs, lendCalls calls
+	// from them.
 	borrowCalls  metrics.Counter
 	borrowFailed metrics.Counter
 	lendCalls    metrics.Counter
-	// twice counts grants that were released a second time, broken the
+	// releasedTwice counts second releases of a grant, invariantsBroken the
 	// invariants that a check found broken.
-	twice  metrics.Counter
-	broken metrics.Counter
+	releasedTwice    metrics.Counter
+	invariantsBroken metrics.Counter
 }
 
 func newCounters(r metrics.Registry) *counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("slots."+name, r) }
 	return &counters{
-		granted:      counter("granted"),
-		queued:       counter("queued"),
-		refused:      counter("refused"),
-		dropped:      counter("dropped"),
-		abandoned:    counter("abandoned"),
-		busy:         counter("busy"),
-		failed:       counter("failed"),
-		borrowCalls:  counter("borrow_calls"),
-		borrowFailed: counter("borrow_failed"),
-		lendCalls:    counter("lend_calls"),
-		twice:        counter("released_twice"),
-		broken:       counter("invariants_broken"),
+		granted:          counter("granted"),
+		queued:           counter("queued"),
+		refused:          counter("refused"),
+		dropped:          counter("dropped"),
+		abandoned:        counter("abandoned"),
+		busy:             counter("busy"),
+		failed:           counter("failed"),
+		borrowCalls:      counter("borrow_calls"),
+		borrowFailed:     counter("borrow_failed"),
+		lendCalls:        counter("lend_calls"),
+		releasedTwice:    counter("released_twice"),
+		invariantsBroken: counter("invariants_broken"),
 	}
 }
 
-// refuse counts a request that got no slot; queued says that it had waited.
+// refuse counts a request that got no slot; queued is true if it had waited in
+// the queue.
 func (c *counters) refuse(queued bool) {
 	if queued {
 		c.dropped.Inc(1)
@@ -49,6 +51,7 @@
 	c.refused.Inc(1)
 }
 
+// outcome counts an attempt that the instance refused or that failed.
 func (c *counters) outcome(o Outcome) {
 	switch o {
 	case Busy:
--- a/internal/slots/dispatcher.go
+++ b/internal/slots/dispatcher.go
@@ -13,25 +13,26 @@
 )
 
 // tickInterval is how often the queues are swept for requests whose deadline
-// passed or can't be met any more.
+// has passed or can no longer be met.
 const tickInterval = 20 * time.Millisecond
 
-// idleTicks is how many ticks a service at rest is passed over: its manifest
-// and its invariants are looked at every restInterval.
-const idleTicks = int(restInterval / tickInterval)
+// fullTickEvery is the number of ticks from one full tick to the next. Only a
+// full tick visits idle services and checks invariants, every
+// idleTickInterval.
+const fullTickEvery = int(idleTickInterval / tickInterval)
 
-// restInterval is the time between two ticks while every service is at rest.
-// Ticks at tickInterval were most of the processor time of an idle process.
-const restInterval = 500 * time.Millisecond
+// idleTickInterval is the time between two ticks while every service is idle.
+// Ticks at tickInterval took most of the processor time of an idle process.
+const idleTickInterval = 500 * time.Millisecond
 
-// noInstanceRetry is when a caller may come back to a service none of whose
-// instances serves: an instance that starts announces itself within it.
+// noInstanceRetry is the retry delay while no instance of a service serves: a
+// starting instance announces itself within this time.
 const noInstanceRetry = 3 * time.Second
 
-// stopGrace is how long a stop waits for the calls that give back loans.
+// stopGrace is how long a stop waits for the calls that return borrowed slots.
 const stopGrace = 300 * time.Millisecond
 
-// Dispatcher is the Broker of one entry VM.
+// Dispatcher implements Broker at one entry VM.
 type Dispatcher struct {
 	config   Config
 	counters *counters
@@ -44,17 +45,18 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	calls  conc.WaitGroup
-	// stopped says that no more calls may start.
+	// stopped is true once no more calls may start.
 	callsMu sync.Mutex
 	stopped bool
-	// soon holds one token while a tick is wanted early.
-	soon chan struct{}
-	// resting says that ticks are restInterval apart; busy holds a token when
-	// a service ended that.
-	resting atomic.Bool
-	busy    chan struct{}
-	ticks   int
-	started model.Instant
+	// tickRequested holds a token while a tick is needed before the next regular
+	// one.
+	tickRequested chan struct{}
+	// slowTicks is true while ticks are idleTickInterval apart; wakeup holds a
+	// token when a service that is no longer idle has ended that.
+	slowTicks atomic.Bool
+	wakeup    chan struct{}
+	ticks     int
+	started   model.Instant
 
 	quotaMu sync.Mutex
 	quota   *admission.Quota
@@ -62,26 +64,26 @@
 
 var _ Broker = (*Dispatcher)(nil)
 
-// New returns a dispatcher; Run must be called for its duties.
+// New returns a dispatcher; Run must be called for its background tasks.
 func New(c Config) *Dispatcher {
 	c = c.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Dispatcher{
-		config:   c,
-		ctx:      ctx,
-		cancel:   cancel,
-		soon:     make(chan struct{}, 1),
-		busy:     make(chan struct{}, 1),
-		started:  c.Now(),
-		counters: newCounters(c.Metrics),
-		gauges:   newGauges(c.Metrics),
-		states:   map[model.ServiceID]*serviceState{},
-		quota:    admission.NewQuota(),
+		config:        c,
+		ctx:           ctx,
+		cancel:        cancel,
+		tickRequested: make(chan struct{}, 1),
+		wakeup:        make(chan struct{}, 1),
+		started:       c.Now(),
+		counters:      newCounters(c.Metrics),
+		gauges:        newGauges(c.Metrics),
+		states:        map[model.ServiceID]*serviceState{},
+		quota:         admission.NewQuota(),
 	}
 }
 
-// Run moves the queues and loans on until ctx ends. Then it gives back what is
-// borrowed and ends the calls to other entry VMs.
+// Run processes the queues and loans until ctx ends. Then it returns the
+// borrowed slots and ends the calls to other entry VMs.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -92,26 +94,26 @@
 			return nil
 		case <-next.C:
 			d.Tick()
-		case <-d.soon:
+		case <-d.tickRequested:
 			time.Sleep(d.config.Lending.WithDefaults().Spacing)
 			d.Tick()
-		case <-d.busy:
+		case <-d.wakeup:
 		}
-		next.Reset(d.interval())
+		next.Reset(d.nextInterval())
 	}
 }
 
-// interval returns the time until the next tick. A tick after a rest looks at
-// every service. That the dispatcher rests is said before the services are
-// looked at: said afterwards, a request that queued in between would wake
-// nobody and wait out the rest.
-func (d *Dispatcher) interval() time.Duration {
-	d.resting.Store(true)
+// nextInterval returns the time until the next tick. The first tick after an
+// idle interval is a full one. slowTicks is set before the services are checked:
+// if it were set afterwards, a request queued in between would not end the idle
+// interval and would wait until it is over.
+func (d *Dispatcher) nextInterval() time.Duration {
+	d.slowTicks.Store(true)
 	if d.idle() {
 		d.ticks = 0
-		return restInterval
+		return idleTickInterval
 	}
-	d.resting.Store(false)
+	d.slowTicks.Store(false)
 	return tickInterval
 }
 
@@ -126,33 +128,33 @@
 	return true
 }
 
-// wake ends a rest, if there is one.
+// wake ends an idle interval, if there is one.
 func (d *Dispatcher) wake() {
-	if !d.resting.Load() || !d.resting.Swap(false) {
+	if !d.slowTicks.Load() || !d.slowTicks.Swap(false) {
 		return
 	}
 	select {
-	case d.busy <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// tickSoon asks for a tick before the next regular one.
+// tickSoon requests a tick before the next regular one.
 func (d *Dispatcher) tickSoon() {
 	select {
-	case d.soon <- struct{}{}:
+	case d.tickRequested <- struct{}{}:
 	default:
 	}
 }
 
-// stop gives back what is borrowed and leaves the own share to the others, for
-// a moment, and ends all calls.
+// stop returns the borrowed slots, hands the own share over to the others, waits
+// up to stopGrace for these calls and ends all calls.
 func (d *Dispatcher) stop() {
 	d.mu.RLock()
 	for _, k := range d.states {
 		k.step(func(now model.Instant) {
-			k.core.giveBackAll(now)
-			k.core.handOver()
+			k.core.returnAllLoans(now)
+			k.core.handOverShare()
 		})
 	}
 	d.mu.RUnlock()
@@ -165,8 +167,8 @@
 	d.calls.Wait()
 }
 
-// start runs a call to another entry VM, unless the dispatcher stopped.
-func (d *Dispatcher) start(call func()) {
+// startCall runs a call to another entry VM, unless the dispatcher has stopped.
+func (d *Dispatcher) startCall(call func()) {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	if !d.stopped {
@@ -174,43 +176,43 @@
 	}
 }
 
-// Tick takes in changes of the manifest, the members and the registry, and
-// moves the queues and loans on. Run calls it from one goroutine.
+// Tick applies changes of the manifest, the members and the registry and
+// processes the queues and loans. Run calls it from one goroutine.
 func (d *Dispatcher) Tick() {
 	members := d.config.Members()
 	confirmed := d.config.Confirmed()
-	whole := d.ticks%idleTicks == 0
+	full := d.ticks%fullTickEvery == 0
 	d.ticks++
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	var all status
+	var totals status
 	for _, state := range d.states {
-		if whole || !state.idle() {
+		if full || !state.idle() {
 			state.tick(members, confirmed)
 		}
-		if whole {
-			all.add(state.inspect())
+		if full {
+			totals.add(state.inspect())
 		}
 	}
-	if whole {
-		d.gauges.set(all)
+	if full {
+		d.gauges.update(totals)
 	}
 }
 
-// Acquire returns a slot for a request, or a *Rejection, or ctx's error.
-func (d *Dispatcher) Acquire(ctx context.Context, ask Ask) (*Grant, error) {
-	state := d.state(ask.Service)
+// Acquire returns a slot for a request. The error is a *Rejection or ctx's error.
+func (d *Dispatcher) Acquire(ctx context.Context, request Ask) (*Grant, error) {
+	state := d.state(request.Service)
 	if state == nil {
 		d.counters.refused.Inc(1)
 		return nil, &Rejection{Reason: "no such service", Unknown: true}
 	}
-	if err := d.enterTeam(ask.Team); err != nil {
+	if err := d.enterTeam(request.Team); err != nil {
 		d.counters.refused.Inc(1)
 		return nil, err
 	}
-	grant, err := state.acquire(ctx, ask)
+	grant, err := state.acquire(ctx, request)
 	if err != nil {
-		d.leaveTeam(ask.Team)
+		d.leaveTeam(request.Team)
 	}
 	return grant, err
 }
@@ -234,14 +236,15 @@
 	defer d.mu.Unlock()
 	if d.states[id] == nil {
 		d.states[id] = newServiceState(d, service)
-		d.wake() // a new service may have to ask for what was lent
+		d.wake() // a new service may have to request recovery from its peers
 	}
 	return d.states[id]
 }
 
-// teamRetry is when a caller whose team is at its quota may come back.
+// teamRetry is the retry delay for a caller whose team has reached its quota.
 const teamRetry = time.Second
 
+// enterTeam counts a request of a team or rejects it when the quota is reached.
 func (d *Dispatcher) enterTeam(id model.TeamID) error {
 	if id == "" {
 		return nil
@@ -255,6 +258,7 @@
 	return nil
 }
 
+// leaveTeam ends the count of a request of a team.
 func (d *Dispatcher) leaveTeam(id model.TeamID) {
 	if id == "" {
 		return
--- a/internal/slots/dispatcher_test.go
+++ b/internal/slots/dispatcher_test.go
@@ -14,18 +14,18 @@
 	"github.com/comfreyloom/comfreyloom/internal/registry"
 )
 
-// siteOf is a site with one service.
-type siteOf struct{ service model.Service }
+// singleService implements Services with one service.
+type singleService struct{ service model.Service }
 
-func (s siteOf) Service(id model.ServiceID) (model.Service, bool) {
+func (s singleService) Service(id model.ServiceID) (model.Service, bool) {
 	return s.service, id == s.service.ID
 }
 
-func (s siteOf) Team(id model.TeamID) (model.Team, bool) {
+func (s singleService) Team(id model.TeamID) (model.Team, bool) {
 	return model.Team{ID: id, MaxRequests: 100}, true
 }
 
-// fakeClock is an Instant that a test moves.
+// fakeClock is a clock that a test advances.
 type fakeClock struct{ now atomic.Int64 }
 
 func (c *fakeClock) Now() model.Instant      { return model.Instant(c.now.Load()) }
@@ -45,29 +45,29 @@
 	}
 }
 
-func newAlone(t *testing.T, slots, queueLimit int) (*Dispatcher, *fakeClock, *registry.Registry) {
+func newSingleDispatcher(t *testing.T, slots, queueLimit int) (*Dispatcher, *fakeClock, *registry.Registry) {
 	t.Helper()
 	clock := &fakeClock{}
 	r := registry.New(registry.Options{})
 	d := New(Config{
 		Self: "n1", Registry: r, Now: clock.Now,
-		Services: siteOf{model.Service{ID: "drafts", Slots: slots, Connections: 64, QueueLimit: queueLimit, Timeout: 10 * time.Second}},
+		Services: singleService{model.Service{ID: "drafts", Slots: slots, Connections: 64, QueueLimit: queueLimit, Timeout: 10 * time.Second}},
 	})
 	return d, clock, r
 }
 
-type result struct {
+type acquired struct {
 	grant *Grant
 	err   error
 }
 
-// asking starts an Acquire and waits until it is in the queue.
-func asking(d *Dispatcher, ask Ask) chan result {
-	out := make(chan result, 1)
+// acquireAsync starts an Acquire and waits until it is queued or refused.
+func acquireAsync(d *Dispatcher, request Ask) chan acquired {
+	out := make(chan acquired, 1)
 	queued := d.counters.queued.Count() + d.counters.refused.Count()
 	go func() {
-		grant, err := d.Acquire(context.Background(), ask)
-		out <- result{grant, err}
+		grant, err := d.Acquire(context.Background(), request)
+		out <- acquired{grant, err}
 	}()
 	for d.counters.queued.Count()+d.counters.refused.Count() == queued {
 		time.Sleep(100 * time.Microsecond)
@@ -75,22 +75,22 @@
 	return out
 }
 
-// Symptom: an urgent draft waits for minutes behind overnight reconciliations.
-// Sequence: the queue is full of batch requests when an urgent one comes.
-// Cause: a queue that serves in order of arrival, or refuses when it is full.
-// The batch request that is shed for it learns so at once, not at its deadline.
+// TestUrgentGoesBeforeBatchFlood guards against urgent requests that wait for
+// minutes behind batch requests or are refused because these fill the queue. The
+// batch request that is shed for an urgent one must be rejected at once, not at
+// its deadline.
 func TestUrgentGoesBeforeBatchFlood(t *testing.T) {
 	is := is.New(t)
-	d, clock, r := newAlone(t, 1, 3)
+	d, clock, r := newSingleDispatcher(t, 1, 3)
 	announce(t, r, 1, false, 1)
 	deadline := model.Instant(60_000)
 	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Priority: model.Batch, Deadline: deadline})
 	is.NoErr(err)
-	var batch []chan result
+	var batch []chan acquired
 	for range 3 {
-		batch = append(batch, asking(d, Ask{Service: "drafts", Priority: model.Batch, Deadline: deadline}))
+		batch = append(batch, acquireAsync(d, Ask{Service: "drafts", Priority: model.Batch, Deadline: deadline}))
 	}
-	urgent := asking(d, Ask{Service: "drafts", Priority: model.Urgent, Deadline: deadline})
+	urgent := acquireAsync(d, Ask{Service: "drafts", Priority: model.Urgent, Deadline: deadline})
 	shed := <-batch[2]
 	var rejection *Rejection
 	is.True(errors.As(shed.err, &rejection))
@@ -104,48 +104,48 @@
 	is.NoErr((<-batch[0]).err)
 }
 
-// Symptom: a request that can't be served any more waits half a second for its
-// refusal. Sequence: it queues while every service is at rest. Cause: a tick
-// that rests until its time, whatever comes meanwhile.
-func TestQueueEndsTheRest(t *testing.T) {
+// TestQueuedRequestEndsIdleInterval guards against a late refusal: a request that
+// queued while every service was idle was only checked at the end of the idle
+// interval of half a second.
+func TestQueuedRequestEndsIdleInterval(t *testing.T) {
 	is := is.New(t)
-	d, _, r := newAlone(t, 1, 3)
+	d, _, r := newSingleDispatcher(t, 1, 3)
 	announce(t, r, 1, false, 1)
 	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 60_000})
 	is.NoErr(err)
 	d.Tick()
-	is.Equal(d.interval(), restInterval)
-	for len(d.busy) > 0 {
-		<-d.busy
+	is.Equal(d.nextInterval(), idleTickInterval)
+	for len(d.wakeup) > 0 {
+		<-d.wakeup
 	}
-	waiting := asking(d, Ask{Service: "drafts", Deadline: 60_000})
+	waiting := acquireAsync(d, Ask{Service: "drafts", Deadline: 60_000})
 	select {
-	case <-d.busy:
+	case <-d.wakeup:
 	case <-time.After(time.Minute):
-		t.Fatal("the queue did not end the rest")
+		t.Fatal("the queued request did not end the idle interval")
 	}
-	is.Equal(d.interval(), tickInterval)
+	is.Equal(d.nextInterval(), tickInterval)
 	running.Release(Answered)
 	is.NoErr((<-waiting).err)
-	is.Equal(d.interval(), restInterval)
+	is.Equal(d.nextInterval(), idleTickInterval)
 }
 
-// Symptom: a request is sent to an address put together from two
-// announcements; the race detector reports a write in balance.Set against a
-// read in the grant.
-// Sequence: requests are granted while the instance's announcement changes.
-// Cause: the grant read the instance's record after the lock was given back.
-func TestGrantWhileTheAnnouncementChanges(t *testing.T) {
+// TestGrantDuringAnnouncementChange guards against a data race: the grant read
+// the instance's record after the lock was released. When the instance's
+// announcement changed at that moment, a request was sent to an address made up
+// of two announcements, and the race detector reported a write in balance.Set
+// and a read in the grant.
+func TestGrantDuringAnnouncementChange(t *testing.T) {
 	is := is.New(t)
-	d, _, r := newAlone(t, 8, 20)
+	d, _, r := newSingleDispatcher(t, 8, 20)
 	announce(t, r, 1, false, 1)
-	first := make(chan result, 1)
+	first := make(chan acquired, 1)
 	go func() {
 		grant, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 10_000})
-		// Nothing orders this goroutine with the other one until then, so the
-		// race detector sees a read outside the lock every time.
+		// No synchronisation orders the two goroutines before this sleep ends, so
+		// the race detector always sees a read outside the lock.
 		time.Sleep(200 * time.Millisecond)
-		first <- result{grant, err}
+		first <- acquired{grant, err}
 	}()
 	time.Sleep(100 * time.Millisecond)
 	announce(t, r, 2, false, 1, 2)
--- a/internal/slots/lend_test.go
+++ b/internal/slots/lend_test.go
@@ -14,7 +14,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// loopback carries encoded messages between dispatchers of one process.
+// loopback delivers encoded messages between dispatchers of one process.
 type loopback struct {
 	mu   sync.Mutex
 	all  map[model.NodeID]*Dispatcher
@@ -28,13 +28,13 @@
 		down := l.down[to] || l.down[self]
 		l.mu.Unlock()
 		if down || d == nil {
-			return nil, fmt.Errorf("%s is not reached", to)
+			return nil, fmt.Errorf("entry VM %s is unreachable", to)
 		}
 		return d.Lend(ctx, self, body)
 	})
 }
 
-// newSite starts dispatchers that lend to each other, each over its own registry.
+// newSite starts dispatchers that lend to each other, each with its own registry.
 func newSite(tb testing.TB, nodes int, service model.Service) ([]*Dispatcher, *loopback) {
 	tb.Helper()
 	l := &loopback{all: map[model.NodeID]*Dispatcher{}, down: map[model.NodeID]bool{}}
@@ -56,7 +56,7 @@
 				tb.Fatal(err)
 			}
 		}
-		d := New(Config{Self: name, Nodes: names, Registry: r, Services: siteOf{service}, Peer: l.from(name)})
+		d := New(Config{Self: name, Nodes: names, Registry: r, Services: singleService{service}, Peer: l.from(name)})
 		l.mu.Lock()
 		l.all[name] = d
 		l.mu.Unlock()
@@ -70,32 +70,32 @@
 	return all, l
 }
 
-// TestOneEntryVMBorrowsAll: a caller that the balancer sends to one entry VM
-// alone can use all slots of the service, no more; and what is released is
-// there for another entry VM.
+// TestOneEntryVMBorrowsAll checks that callers that the balancer sends to a
+// single entry VM can use all slots of the service but no more, and that a
+// released slot can be used by another entry VM.
 func TestOneEntryVMBorrowsAll(t *testing.T) {
 	is := is.New(t)
 	service := model.Service{ID: "drafts", Slots: 4, Connections: 64, QueueLimit: 100, Timeout: 20 * time.Second}
 	site, _ := newSite(t, 3, service)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	ask := func(p model.Priority) Ask {
+	newRequest := func(p model.Priority) Ask {
 		return Ask{Service: "drafts", Priority: p, Deadline: model.InstantOf(time.Now().Add(20 * time.Second))}
 	}
 	var grants []*Grant
 	for range 8 {
-		grant, err := site[0].Acquire(ctx, ask(model.Batch))
+		grant, err := site[0].Acquire(ctx, newRequest(model.Batch))
 		is.NoErr(err)
 		grants = append(grants, grant)
 	}
 	short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer stop()
-	_, err := site[1].Acquire(short, ask(model.Normal))
-	is.Equal(err, context.DeadlineExceeded) // All 2 x 4 slots are in use at the first.
-	waiting := make(chan result, 1)
+	_, err := site[1].Acquire(short, newRequest(model.Normal))
+	is.Equal(err, context.DeadlineExceeded) // All 2 x 4 slots are in use at the first entry VM.
+	waiting := make(chan acquired, 1)
 	go func() {
-		grant, err := site[1].Acquire(ctx, ask(model.Urgent))
-		waiting <- result{grant, err}
+		grant, err := site[1].Acquire(ctx, newRequest(model.Urgent))
+		waiting <- acquired{grant, err}
 	}()
 	for site[1].counters.queued.Count() < 2 {
 		time.Sleep(time.Millisecond)
@@ -105,20 +105,21 @@
 	is.NoErr(got.err)
 	got.grant.Release(Answered)
 	got.grant.Release(Answered)
-	is.Equal(site[1].counters.twice.Count(), int64(1))
+	is.Equal(site[1].counters.releasedTwice.Count(), int64(1))
 	for _, g := range grants[1:] {
 		g.Release(Answered)
 	}
 	for _, d := range site {
-		is.Equal(d.counters.broken.Count(), int64(0))
+		is.Equal(d.counters.invariantsBroken.Count(), int64(0))
 	}
 }
 
-// TestLeavingInstanceGetsNoNewWork: an instance that announced its leaving is
-// passed over at once where that is known, and its slots on loan with it.
+// TestLeavingInstanceGetsNoNewWork checks that an entry VM uses no slot of an
+// instance once it has received the announcement that the instance is leaving,
+// and that requests are refused at once when no instance is left.
 func TestLeavingInstanceGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	d, _, r := newAlone(t, 8, 10)
+	d, _, r := newSingleDispatcher(t, 8, 10)
 	announce(t, r, 1, false, 1, 2)
 	announce(t, r, 2, true, 1)
 	for range 8 {
@@ -126,23 +127,24 @@
 		is.NoErr(err)
 		is.Equal(grant.Upstream.Instance, model.InstanceID("i2"))
 	}
-	waiting := asking(d, Ask{Service: "drafts", Deadline: 1000})
+	waiting := acquireAsync(d, Ask{Service: "drafts", Deadline: 1000})
 	announce(t, r, 3, true, 2)
 	d.Tick()
-	got := <-waiting // No instance is left to wait for; it is told at once.
+	got := <-waiting // Rejected at once, as no instance is left to wait for.
 	rejection, ok := got.err.(*Rejection)
 	is.True(ok)
 	is.Equal(rejection.RetryAfter, noInstanceRetry)
 }
 
-// Symptom: a caller waits to its deadline for an answer that was clear at once.
-// Sequence: the queue is long, the measured rate low, the deadline near.
-// Cause: a queue that only notices when the deadline has come.
-func TestHopelessRequestIsAnsweredAtOnce(t *testing.T) {
+// TestUnreachableDeadlineIsRejectedAtOnce guards against callers that wait until
+// their deadline although the rejection is foreseeable: the queue is long, the
+// measured rate low and the deadline near. The queue used to drop a request only
+// when its deadline had passed.
+func TestUnreachableDeadlineIsRejectedAtOnce(t *testing.T) {
 	is := is.New(t)
-	d, clock, r := newAlone(t, 1, 100)
+	d, clock, r := newSingleDispatcher(t, 1, 100)
 	announce(t, r, 1, false, 1)
-	for range 3 { // The instance is seen to take a second for a request.
+	for range 3 { // Each request takes a second, which sets the measured rate.
 		grant, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 5000})
 		is.NoErr(err)
 		clock.Advance(time.Second)
@@ -150,16 +152,16 @@
 	}
 	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 60_000})
 	is.NoErr(err)
-	patient := asking(d, Ask{Service: "drafts", Deadline: clock.Now() + 1800})
+	patient := acquireAsync(d, Ask{Service: "drafts", Deadline: clock.Now() + 1800})
 	_, err = d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 1500})
 	rejection, ok := err.(*Rejection)
 	is.True(ok)
-	is.Equal(rejection.RetryAfter, 2*time.Second) // What waits and what runs takes so long.
-	clock.Advance(1300 * time.Millisecond)        // The running one takes longer than expected.
+	is.Equal(rejection.RetryAfter, 2*time.Second) // The running and the waiting request take that long.
+	clock.Advance(1300 * time.Millisecond)        // The running request takes longer than expected.
 	d.Tick()
 	got := <-patient
 	_, ok = got.err.(*Rejection)
-	is.True(ok) // Given up 500 ms before its deadline, and told so at once.
+	is.True(ok) // Dropped 500 ms before its deadline and rejected at once.
 	running.Release(Answered)
 	is.Equal(d.counters.granted.Count(), int64(4))
 }
@@ -169,13 +171,13 @@
 		b.Run(mode, func(b *testing.B) {
 			service := model.Service{ID: "drafts", Slots: 8, Connections: 64, QueueLimit: 100, Timeout: 10 * time.Second}
 			site, _ := newSite(b, map[string]int{"alone": 1, "site": 3}[mode], service)
-			ask := Ask{Service: "drafts", Deadline: model.InstantOf(time.Now().Add(time.Hour))}
+			request := Ask{Service: "drafts", Deadline: model.InstantOf(time.Now().Add(time.Hour))}
 			for len(site[0].state("drafts").core.unrecovered) > 0 {
 				time.Sleep(time.Millisecond)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				grant, err := site[0].Acquire(context.Background(), ask)
+				grant, err := site[0].Acquire(context.Background(), request)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -185,14 +187,15 @@
 	}
 }
 
-// BenchmarkIdleTick is what the dispatcher spends on services at rest, at the
-// sizes of today and of the future: 5 services of 10 instances, 42 of 31.
+// BenchmarkIdleTick measures the processor time that idle services take, at the
+// present and the expected future size of a site: 5 services of 10 instances and
+// 42 services of 31.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, size := range []struct{ services, instances int }{{5, 10}, {42, 31}} {
 		b.Run(fmt.Sprintf("%dx%d", size.services, size.instances), func(b *testing.B) {
 			r := registry.New(registry.Options{})
 			clock := &fakeClock{}
-			d := New(Config{Self: "n0", Nodes: []model.NodeID{"n0", "n1", "n2"}, Registry: r, Now: clock.Now, Services: anySite{}})
+			d := New(Config{Self: "n0", Nodes: []model.NodeID{"n0", "n1", "n2"}, Registry: r, Now: clock.Now, Services: anyService{}})
 			for s := range size.services {
 				id := model.ServiceID(fmt.Sprintf("s%d", s))
 				for i := range size.instances {
@@ -216,16 +219,17 @@
 	}
 }
 
-// anySite knows every service.
-type anySite struct{}
+// anyService implements Services with a service for every name.
+type anyService struct{}
 
-func (anySite) Service(id model.ServiceID) (model.Service, bool) {
+func (anyService) Service(id model.ServiceID) (model.Service, bool) {
 	return model.Service{ID: id, Slots: 8, Connections: 64, QueueLimit: 100, Timeout: 10 * time.Second}, true
 }
 
-func (anySite) Team(model.TeamID) (model.Team, bool) { return model.Team{}, false }
+func (anyService) Team(model.TeamID) (model.Team, bool) { return model.Team{}, false }
 
-// BenchmarkLend is the lender's cost of one request, with its decoding.
+// BenchmarkLend measures how long a lender takes for one request, including
+// encoding and decoding.
 func BenchmarkLend(b *testing.B) {
 	service := model.Service{ID: "drafts", Slots: 8, Connections: 64, QueueLimit: 100, Timeout: 10 * time.Second}
 	site, _ := newSite(b, 2, service)
--- a/internal/slots/lending/demand.go
+++ b/internal/slots/lending/demand.go
@@ -6,105 +6,107 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// DropUrgent forgets the urgent demand that is too old to be still there.
+// DropUrgent drops urgent demand that was reported too long ago to be current.
 func (l *Ledger) DropUrgent(now model.Instant) {
 	if l.wanted == 0 {
 		return
 	}
-	for _, b := range l.order {
+	for _, b := range l.sorted {
 		if b.wanted[Classes-1] > 0 && now >= b.urgentUntil {
 			wanted := b.wanted
 			wanted[Classes-1] = 0
-			l.want(b, wanted)
+			l.setWanted(b, wanted)
 		}
 	}
 }
 
-// Demand is the best unmet demand of the borrowers whose reply is held.
+// Demand is the unmet demand of one borrower whose reply is held.
 type Demand struct {
 	Node  model.NodeID
 	Class int
+	// Since is when the borrower's oldest request of the class was queued.
 	Since model.Instant
 }
 
-// Best returns the highest class that is wanted, and within it the longest
-// wait. Skip names borrowers to pass over.
+// Best returns the demand of the highest class and, within a class, the one
+// that has waited longest. Borrowers in skip are left out.
 func (l *Ledger) Best(skip map[model.NodeID]bool) (Demand, bool) {
 	var best Demand
 	found := false
 	if l.wanted == 0 {
 		return best, false
 	}
-	for _, b := range l.order {
-		c := b.class()
-		if c < 0 || !b.pending || skip[b.node] {
+	for _, b := range l.sorted {
+		c := b.wantedClass()
+		if c < 0 || !b.replyPending || skip[b.node] {
 			continue
 		}
-		if !found || c > best.Class || (c == best.Class && b.since[c] < best.Since) {
-			best = Demand{b.node, c, b.since[c]}
+		if !found || c > best.Class || (c == best.Class && b.waitingSince[c] < best.Since) {
+			best = Demand{b.node, c, b.waitingSince[c]}
 			found = true
 		}
 	}
 	return best, found
 }
 
-// class is the highest class that the borrower wants; -1 for none.
-func (b *borrower) class() int { return highestClass(b.wanted) }
+// wantedClass returns the highest class that the borrower wants; -1 for none.
+func (b *borrowerRecord) wantedClass() int { return highestClass(b.wanted) }
 
-// Avoids reports whether a borrower has no use for an instance.
+// Avoids reports whether a borrower can't use slots of an instance.
 func (l *Ledger) Avoids(node model.NodeID, i model.InstanceID) bool {
 	return slices.Contains(l.borrowers[node].avoid, i)
 }
 
-// Lend gives one slot to a borrower whose reply is held.
+// Lend lends one slot to a borrower whose reply is held.
 func (l *Ledger) Lend(d Demand, i model.InstanceID) {
 	b := l.borrowers[d.Node]
-	b.counted[i]++
-	b.allowed[i]++
+	b.lent[i]++
+	b.usable[i]++
 	b.total++
 	b.wanted[d.Class]--
-	b.offered = true
+	b.replyDue = true
 	l.lent[i]++
 	l.total++
 	l.wanted--
 }
 
-// Recall takes back up to need slots for a request of class that waits since
-// an instant, from borrowers whose reply is held and whose own requests don't
-// go before it. Slots in use come back when their requests end. It returns how
-// many are on their way back. Nothing is taken from the borrower except, for
-// which the slots are called back.
+// Recall recalls up to need slots for a request of the given class that has
+// waited since the given instant. It recalls from borrowers whose reply is held
+// and whose own requests don't precede it, but not from the borrower except,
+// which gets the slots. Slots in use come back when their requests end. Recall
+// returns how many recalled slots are still to come back.
 func (l *Ledger) Recall(class int, since model.Instant, need int, except model.NodeID) int {
-	coming := 0
-	for _, b := range l.order {
-		coming += b.recalled
+	returning := 0
+	for _, b := range l.sorted {
+		returning += b.recalled
 	}
-	for _, b := range l.order {
-		if coming >= need {
+	for _, b := range l.sorted {
+		if returning >= need {
 			break
 		}
-		if b.offered {
-			continue // What was just lent to it must get there first.
+		if b.replyDue {
+			continue // The borrower must first receive what was just lent to it.
 		}
-		theirs := b.class()
-		if !b.pending || b.node == except || theirs > class || (theirs == class && b.since[theirs] < since) {
+		theirClass := b.wantedClass()
+		if !b.replyPending || b.node == except || theirClass > class || (theirClass == class && b.waitingSince[theirClass] < since) {
 			continue
 		}
-		coming += b.recall(need - coming)
+		returning += b.recall(need - returning)
 	}
-	return coming
+	return returning
 }
 
-func (b *borrower) recall(need int) int {
+// recall makes up to need lent slots unusable for new requests.
+func (b *borrowerRecord) recall(need int) int {
 	taken := 0
-	for _, c := range counts(b.allowed) {
+	for _, c := range counts(b.usable) {
 		n := min(c.Slots, need-taken)
-		b.allowed[c.Instance] -= n
+		b.usable[c.Instance] -= n
 		taken += n
 	}
 	if taken > 0 {
 		b.recalled += taken
-		b.offered = true
+		b.replyDue = true
 	}
 	return taken
 }
--- a/internal/slots/lending/due.go
+++ b/internal/slots/lending/due.go
@@ -6,59 +6,60 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Quiet reports whether nothing is held and no lender needs to hear anything.
+// Quiet reports whether nothing is held and no lender has to be contacted.
 func (b *Book) Quiet() bool {
-	for _, d := range b.order {
-		if d.open || d.total > 0 || d.reported > 0 {
+	for _, rec := range b.sorted {
+		if rec.awaitingReply || rec.total > 0 || rec.reportedTotal > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Due reports whether a request to a lender is called for, given what is
-// wanted of it now. Patience is the least time between two requests that want
-// more, unless they want a higher class.
-func (b *Book) Due(lender model.NodeID, wanted [Classes]int, patience time.Duration, now model.Instant) bool {
-	d := b.debts[lender]
-	none := [Classes]int{}
-	if d == nil {
-		return wanted != none
+// Due reports whether a request to a lender is due, given the slots wanted of
+// it now. MinInterval is the minimum time between two requests for more slots,
+// unless the later one wants a higher class.
+func (b *Book) Due(lender model.NodeID, wanted [Classes]int, minInterval time.Duration, now model.Instant) bool {
+	rec := b.lenders[lender]
+	noDemand := [Classes]int{}
+	if rec == nil {
+		return wanted != noDemand
 	}
-	quiet := now.Sub(d.sent)
-	if quiet < b.options.Spacing {
+	elapsed := now.Sub(rec.sentAt)
+	if elapsed < b.options.Spacing {
 		return false
 	}
-	if d.total < d.reported {
+	if rec.total < rec.reportedTotal {
 		return true
 	}
-	if !d.open && quiet < patience && highestClass(wanted) <= highestClass(d.told) {
+	if !rec.awaitingReply && elapsed < minInterval && highestClass(wanted) <= highestClass(rec.lastWanted) {
 		return false
 	}
-	if !d.open {
-		return wanted != none || d.total > 0
+	if !rec.awaitingReply {
+		return wanted != noDemand || rec.total > 0
 	}
-	if wanted == none {
-		return d.told != none && quiet >= cancelSpacings*b.options.Spacing
+	if wanted == noDemand {
+		return rec.lastWanted != noDemand && elapsed >= cancelIntervals*b.options.Spacing
 	}
-	told := d.told
-	if quiet >= urgentLife*b.options.Spacing {
-		told[Classes-1] = 0 // The lender has dropped it.
+	lastWanted := rec.lastWanted
+	if elapsed >= urgentIntervals*b.options.Spacing {
+		lastWanted[Classes-1] = 0 // The lender has dropped it.
 	}
-	return highestClass(wanted) > highestClass(told)
+	return highestClass(wanted) > highestClass(lastWanted)
 }
 
-// cancelSpacings is how many spacings a demand that has gone is left standing:
-// the queue of a busy service empties and fills all the time.
-const cancelSpacings = 5
+// cancelIntervals is how many spacings pass before demand that no longer exists
+// is cancelled: the queue of a busy service empties and fills all the time.
+const cancelIntervals = 5
 
-// urgentLife is how many spacings an urgent demand counts at a lender. It is
-// met within that time somewhere, as a rule; what stood longer would draw
-// slots that are no longer needed, and a message to cancel it would come as
-// late.
-const urgentLife = 5
+// urgentIntervals is how many spacings a lender considers an urgent demand. It
+// is usually met by some lender within that time. After that it would attract
+// slots that are no longer needed, and a message to cancel it would arrive just
+// as late.
+const urgentIntervals = 5
 
-// highestClass is the highest class of which slots are wanted; -1 for none.
+// highestClass returns the highest class for which slots are wanted; -1 for
+// none.
 func highestClass(wanted [Classes]int) int {
 	for c := Classes - 1; c >= 0; c-- {
 		if wanted[c] > 0 {
@@ -68,16 +69,17 @@
 	return -1
 }
 
-// Owes reports whether the lender was told of more than is held now.
+// Owes reports whether the lender counts more slots than are held now, so that
+// their return has to be reported to it.
 func (b *Book) Owes(lender model.NodeID) bool {
-	d := b.debts[lender]
-	return d != nil && d.total < d.reported
+	rec := b.lenders[lender]
+	return rec != nil && rec.total < rec.reportedTotal
 }
 
-// Waits reports whether a request will be due once the spacing is over.
+// Waits reports whether a request will be due once the spacing has passed.
 func (b *Book) Waits() bool {
-	for _, d := range b.order {
-		if d.total < d.reported || (!d.open && d.total > 0) {
+	for _, rec := range b.sorted {
+		if rec.total < rec.reportedTotal || (!rec.awaitingReply && rec.total > 0) {
 			return true
 		}
 	}
--- a/internal/slots/lending/ledger.go
+++ b/internal/slots/lending/ledger.go
@@ -8,154 +8,160 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ledger is the lender's side: which of its own slots are lent, and who wants more.
+// Ledger is the lender's side: it records which of its own slots are lent and
+// which borrowers want more.
 type Ledger struct {
 	options   Options
-	borrowers map[model.NodeID]*borrower
-	// order lists the borrowers by name, so that every run decides the same.
-	order  []*borrower
+	borrowers map[model.NodeID]*borrowerRecord
+	// sorted lists the borrowers by name, which makes decisions deterministic.
+	sorted []*borrowerRecord
 	lent   map[model.InstanceID]int
 	total  int
 	wanted int
 }
 
-// borrower is what the lender knows of one entry VM.
-type borrower struct {
+// borrowerRecord holds the loans and the demand of one entry VM.
+type borrowerRecord struct {
 	node        model.NodeID
 	incarnation uint64
 	number      uint64
-	// counted is what it may have in use, allowed what it may start work on.
-	counted map[model.InstanceID]int
-	allowed map[model.InstanceID]int
-	total   int
-	wanted  [Classes]int
-	since   [Classes]model.Instant
-	avoid   []model.InstanceID
-	run     time.Duration
-	// lapses is when the leases end, ends when the requests on them have.
-	lapses model.Instant
-	ends   model.Instant
+	// lent counts the slots that it may have in use, usable those that it may
+	// start new requests on.
+	lent         map[model.InstanceID]int
+	usable       map[model.InstanceID]int
+	total        int
+	wanted       [Classes]int
+	waitingSince [Classes]model.Instant
+	avoid        []model.InstanceID
+	promisedRun  time.Duration
+	// leaseEnds is when the leases end, loanEnds when the requests started under
+	// them have ended too.
+	leaseEnds model.Instant
+	loanEnds  model.Instant
 	// urgentUntil is when the urgent demand is dropped.
 	urgentUntil model.Instant
-	// pending says that a request waits for its reply, until pendingUntil.
-	pending      bool
-	pendingUntil model.Instant
-	// offered says that the reply should go out now.
-	offered bool
-	// recalled is how many slots it was told to give back and has not yet.
+	// replyPending is true while a request awaits its reply, which is held until
+	// holdUntil at most.
+	replyPending bool
+	holdUntil    model.Instant
+	// replyDue is true when the reply must be sent now.
+	replyDue bool
+	// recalled is how many slots were recalled and not yet returned.
 	recalled int
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(o Options) *Ledger {
-	return &Ledger{options: o.WithDefaults(), borrowers: map[model.NodeID]*borrower{}, lent: map[model.InstanceID]int{}}
+	return &Ledger{options: o.WithDefaults(), borrowers: map[model.NodeID]*borrowerRecord{}, lent: map[model.InstanceID]int{}}
 }
 
-// Lent is how many slots of an instance count as lent.
+// Lent returns the number of slots of an instance that count as lent.
 func (l *Ledger) Lent(i model.InstanceID) int { return l.lent[i] }
 
-// Total is how many slots count as lent at all instances.
+// Total returns the number of slots lent at all instances.
 func (l *Ledger) Total() int { return l.total }
 
-// Quiet reports whether nothing is lent or wanted, and no reply is due.
+// Quiet reports whether nothing is lent and no reply is held.
 func (l *Ledger) Quiet() bool {
-	for _, b := range l.order {
-		if b.total > 0 || b.pending {
+	for _, b := range l.sorted {
+		if b.total > 0 || b.replyPending {
 			return false
 		}
 	}
 	return true
 }
 
-// Receive takes in a request. What the borrower holds is as it says; its
-// demand is kept until the reply goes out. The error is ErrStale.
+// Receive processes a request. It replaces the record of what the borrower
+// holds and keeps the borrower's demand until the reply is sent. The error is
+// ErrStale.
 func (l *Ledger) Receive(r Request, now model.Instant) error {
 	if err := l.Check(r); err != nil {
 		return err
 	}
 	b := l.borrowers[r.Borrower]
 	if b == nil {
-		b = l.open(r.Borrower)
+		b = l.addBorrower(r.Borrower)
 	}
 	b.incarnation = r.Incarnation
 	b.number = r.Number
-	l.count(b, r.Held)
-	b.run = span(r.RunMS)
+	l.setHeld(b, r.Held)
+	b.promisedRun = durationOf(r.RunMS)
 	b.avoid = r.Avoid
-	l.want(b, r.Wanted)
+	l.setWanted(b, r.Wanted)
 	for c, ms := range r.OldestMS {
-		b.since[c] = now.Add(-span(ms))
+		b.waitingSince[c] = now.Add(-durationOf(ms))
 	}
-	b.urgentUntil = now.Add(urgentLife * l.options.Spacing)
-	b.pending = true
-	b.pendingUntil = now.Add(min(span(r.WaitMS), l.options.HoldReply))
-	b.offered = r.WaitMS <= 0
-	l.extend(b, now)
+	b.urgentUntil = now.Add(urgentIntervals * l.options.Spacing)
+	b.replyPending = true
+	b.holdUntil = now.Add(min(durationOf(r.WaitMS), l.options.HoldReply))
+	b.replyDue = r.WaitMS <= 0
+	l.extendLease(b, now)
 	return nil
 }
 
-// Check reports ErrStale for a request that was overtaken by a later one.
+// Check returns ErrStale for a request that a later one has overtaken.
 func (l *Ledger) Check(r Request) error {
 	b := l.borrowers[r.Borrower]
-	if b != nil && !l.options.Rules.TakeStale && stale(b, r) {
+	if b != nil && !l.options.Rules.TakeStale && isStale(b, r) {
 		return ErrStale
 	}
 	return nil
 }
 
-// stale reports whether the request was sent before one that came already. A
-// late copy would tell of slots that were given back, or hide some that were
-// granted since.
-func stale(b *borrower, r Request) bool {
+// isStale reports whether the request was sent before one that was already
+// received. A late copy could list slots that were returned since, or lack some
+// that were granted since.
+func isStale(b *borrowerRecord, r Request) bool {
 	if r.Incarnation != b.incarnation {
 		return r.Incarnation < b.incarnation
 	}
 	return r.Number <= b.number
 }
 
-// Adopt counts slots that a borrower says it holds of an earlier process here.
+// Adopt records the slots that a borrower holds from an earlier process of this
+// lender.
 func (l *Ledger) Adopt(node model.NodeID, d Debt, now model.Instant) {
 	b := l.borrowers[node]
 	if b == nil {
-		b = l.open(node)
+		b = l.addBorrower(node)
 	}
-	if stale(b, Request{Incarnation: d.Incarnation, Number: d.Number + 1}) {
-		return // A later request told of it already.
+	if isStale(b, Request{Incarnation: d.Incarnation, Number: d.Number + 1}) {
+		return // A later request has already reported them.
 	}
 	b.incarnation = d.Incarnation
 	b.number = d.Number
-	b.run = span(d.RunMS)
-	l.count(b, d.Held)
-	l.extend(b, now)
+	b.promisedRun = durationOf(d.RunMS)
+	l.setHeld(b, d.Held)
+	l.extendLease(b, now)
 }
 
-func (l *Ledger) open(node model.NodeID) *borrower {
-	b := &borrower{node: node}
+func (l *Ledger) addBorrower(node model.NodeID) *borrowerRecord {
+	b := &borrowerRecord{node: node}
 	l.borrowers[node] = b
-	l.order = append(l.order, b)
-	slices.SortFunc(l.order, func(a, b *borrower) int { return cmp.Compare(a.node, b.node) })
+	l.sorted = append(l.sorted, b)
+	slices.SortFunc(l.sorted, func(a, b *borrowerRecord) int { return cmp.Compare(a.node, b.node) })
 	return b
 }
 
-// count makes held what the borrower has.
-func (l *Ledger) count(b *borrower, held []Holding) {
-	for i, n := range b.counted {
+// setHeld replaces the record of the slots that a borrower holds.
+func (l *Ledger) setHeld(b *borrowerRecord, held []Holding) {
+	for i, n := range b.lent {
 		l.lent[i] -= n
 		if l.lent[i] == 0 {
 			delete(l.lent, i)
 		}
 	}
 	l.total -= b.total
-	b.counted = map[model.InstanceID]int{}
-	b.allowed = map[model.InstanceID]int{}
+	b.lent = map[model.InstanceID]int{}
+	b.usable = map[model.InstanceID]int{}
 	b.total = 0
 	b.recalled = 0
 	for _, h := range held {
 		if h.Slots <= 0 {
 			continue
 		}
-		b.counted[h.Instance] += h.Slots
-		b.allowed[h.Instance] += h.Usable
+		b.lent[h.Instance] += h.Slots
+		b.usable[h.Instance] += h.Usable
 		l.lent[h.Instance] += h.Slots
 		b.total += h.Slots
 		b.recalled += h.Slots - h.Usable
@@ -163,23 +169,23 @@
 	l.total += b.total
 }
 
-func (l *Ledger) want(b *borrower, wanted [Classes]int) {
+func (l *Ledger) setWanted(b *borrowerRecord, wanted [Classes]int) {
 	for c := range wanted {
 		l.wanted += wanted[c] - b.wanted[c]
 	}
 	b.wanted = wanted
 }
 
-// extend counts the leases from now.
-func (l *Ledger) extend(b *borrower, now model.Instant) {
-	b.lapses = now.Add(l.options.Lease)
-	b.ends = max(b.ends, b.lapses.Add(b.run))
+// extendLease restarts the lease of a borrower's loans.
+func (l *Ledger) extendLease(b *borrowerRecord, now model.Instant) {
+	b.leaseEnds = now.Add(l.options.Lease)
+	b.loanEnds = max(b.loanEnds, b.leaseEnds.Add(b.promisedRun))
 	if l.options.Rules.FreeAtLapse {
-		b.ends = b.lapses
+		b.loanEnds = b.leaseEnds
 	}
 }
 
-// Answer is a reply that should go out now.
+// Answer is a reply to send now.
 type Answer struct {
 	Node        model.NodeID
 	Incarnation uint64
@@ -187,49 +193,50 @@
 	Reply       Reply
 }
 
-// Answers returns the replies that are due: with something to say, or held
-// for as long as they may be.
+// Answers returns the replies that are due: those with news for the borrower
+// and those that must not be held any longer.
 func (l *Ledger) Answers(now model.Instant) []Answer {
 	var due []Answer
-	for _, b := range l.order {
-		if !b.pending || (!b.offered && now < b.pendingUntil) {
+	for _, b := range l.sorted {
+		if !b.replyPending || (!b.replyDue && now < b.holdUntil) {
 			continue
 		}
-		b.pending = false
-		b.offered = false
-		l.want(b, [Classes]int{})
-		l.extend(b, now)
+		b.replyPending = false
+		b.replyDue = false
+		l.setWanted(b, [Classes]int{})
+		l.extendLease(b, now)
 		due = append(due, Answer{b.node, b.incarnation, b.number, Reply{
-			Loans: counts(b.allowed), LeaseMS: l.options.Lease.Milliseconds(),
+			Loans: counts(b.usable), LeaseMS: l.options.Lease.Milliseconds(),
 		}})
 	}
 	return due
 }
 
-// DropPending forgets a request whose sender no longer waits for the reply.
+// DropPending drops a request whose sender no longer waits for the reply.
 func (l *Ledger) DropPending(node model.NodeID, number uint64) {
 	if b := l.borrowers[node]; b != nil && b.number == number {
-		b.pending = false
-		l.want(b, [Classes]int{})
+		b.replyPending = false
+		l.setWanted(b, [Classes]int{})
 	}
 }
 
-// Tick ends loans whose leases and requests are over.
+// Tick ends loans whose lease has ended and on which no request can still run.
 func (l *Ledger) Tick(now model.Instant) {
-	for _, b := range l.order {
-		if b.pending || now < b.lapses {
+	for _, b := range l.sorted {
+		if b.replyPending || now < b.leaseEnds {
 			continue
 		}
-		// Slots on their way back from a borrower that fell silent don't come
-		// before the loan ends, so they can't stand for others that would.
+		// A borrower that doesn't respond won't return recalled slots before the
+		// loan ends. They must not count towards the slots that Recall expects
+		// back, or it would recall too few from other borrowers.
 		b.recalled = 0
-		if now >= b.ends && b.total > 0 {
-			l.count(b, nil)
+		if now >= b.loanEnds && b.total > 0 {
+			l.setHeld(b, nil)
 		}
 	}
 }
 
-// counts lists the instances with slots, by name.
+// counts lists the instances with slots, sorted by name.
 func counts(m map[model.InstanceID]int) []Count {
 	var out []Count
 	for i, n := range m {
--- a/internal/slots/lending/message_test.go
+++ b/internal/slots/lending/message_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	request := Request{
 		Service: "drafts", Borrower: "n1", Incarnation: 7, Number: 9, Wanted: [Classes]int{1, 2, 3},
@@ -36,7 +36,8 @@
 	}
 }
 
-// FuzzDecode: whatever comes in is refused or within bounds, and a ledger takes it.
+// FuzzDecode checks that any input is either rejected or within bounds, and that
+// a ledger accepts it without losing slots.
 func FuzzDecode(f *testing.F) {
 	seed, _ := EncodeRequest(Request{Service: "s", Borrower: "b", Held: []Holding{{Instance: "i", Slots: 2, Usable: 1}}})
 	f.Add(seed)
--- a/internal/slots/lending/options.go
+++ b/internal/slots/lending/options.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Options are the times of lending. Zero values take the defaults.
+// Options sets the times of lending. Zero values take the defaults.
 type Options struct {
 	// Lease is how long a loan may be used without a renewal.
 	Lease time.Duration
-	// HoldReply is how long a lender holds a reply until it has slots.
+	// HoldReply is how long a lender may hold a reply until it has slots.
 	HoldReply time.Duration
-	// KeepIdle is how long a borrower keeps a slot which it doesn't use.
+	// KeepIdle is how long a borrower keeps a slot that it doesn't use.
 	KeepIdle time.Duration
-	// Spacing is the least time between two requests to one lender.
+	// Spacing is the minimum time between two requests to one lender.
 	Spacing time.Duration
-	// HelpAfter: a borrower asks when it expects a longer wait for a slot of its own.
+	// HelpAfter is the expected wait for one of its own slots above which an entry
+	// VM borrows.
 	HelpAfter time.Duration
-	// Margin and UrgentMargin are how much longer a request elsewhere must
-	// have waited to go before a local one of the same class.
+	// Margin and UrgentMargin are how much longer a request at another entry VM
+	// must have waited than a local one of the same class to precede it.
 	Margin       time.Duration
 	UrgentMargin time.Duration
-	// Rules switches rules off; for tests only.
+	// Rules disables rules; for tests only.
 	Rules Rules
 }
 
-// Rules names the rules that tests switch off one by one.
+// Rules lists the rules that tests disable one by one.
 type Rules struct {
-	// FreeAtLapse frees a loan when its lease ends, not counting the requests
-	// that still run on it.
+	// FreeAtLapse frees a loan when its lease ends, although requests may still
+	// run on it.
 	FreeAtLapse bool
-	// UseLapsed goes on to use a loan whose lease ended.
+	// UseLapsed lets the borrower use a loan whose lease has ended.
 	UseLapsed bool
-	// TakeStale lets the lender believe requests that were overtaken.
+	// TakeStale lets the lender accept requests that a later one has overtaken.
 	TakeStale bool
 	// ApplyStale lets the borrower apply replies to earlier requests.
 	ApplyStale bool
@@ -37,7 +38,8 @@
 	ForgetRunning bool
 	// LendBlind lends slots that are in use.
 	LendBlind bool
-	// SkipRecovery starts without asking what others hold of an earlier process.
+	// SkipRecovery starts without asking other entry VMs which slots they hold
+	// from an earlier process.
 	SkipRecovery bool
 }
 
@@ -52,22 +54,23 @@
 	DefaultUrgentMargin = 5 * time.Millisecond
 )
 
-// driftShare is the part of a lease that the borrower takes off: its clock may
-// run so much slower than the lender's (1/64 = 1.6 %).
-const driftShare = 64
+// clockDriftShare is the divisor of a lease that yields the part by which the
+// borrower shortens it: its clock may run that much slower than the lender's
+// (1/64 = 1.6 %).
+const clockDriftShare = 64
 
-// WithDefaults fills in what is zero.
+// WithDefaults replaces zero values by the defaults.
 func (o Options) WithDefaults() Options {
 	for _, d := range []struct {
-		value *time.Duration
-		other time.Duration
+		value    *time.Duration
+		fallback time.Duration
 	}{
 		{&o.Lease, DefaultLease}, {&o.HoldReply, DefaultHoldReply}, {&o.KeepIdle, DefaultKeepIdle},
 		{&o.Spacing, DefaultSpacing}, {&o.HelpAfter, DefaultHelpAfter},
 		{&o.Margin, DefaultMargin}, {&o.UrgentMargin, DefaultUrgentMargin},
 	} {
 		if *d.value <= 0 {
-			*d.value = d.other
+			*d.value = d.fallback
 		}
 	}
 	return o
--- a/internal/slots/peer.go
+++ b/internal/slots/peer.go
@@ -11,22 +11,23 @@
 
 // LendRequest and LendReply are the messages between entry VMs about slots.
 type (
-	// LendRequest is what a borrower says to a lender.
+	// LendRequest is sent by a borrower to a lender.
 	LendRequest = lending.Request
-	// LendReply is what the lender answers.
+	// LendReply is the lender's reply.
 	LendReply = lending.Reply
 )
 
-// Peer reaches the dispatchers of other entry VMs.
+// Peer sends requests to the dispatchers of other entry VMs.
 type Peer interface {
-	// Lend asks the lender; its answer may take a while, until there are slots.
+	// Lend sends a request to the lender, which may hold its reply until it has
+	// slots.
 	Lend(ctx context.Context, lender model.NodeID, r LendRequest) (LendReply, error)
 }
 
-// Caller carries an encoded request to another entry VM and returns its reply.
+// Caller sends an encoded request to another entry VM and returns its reply.
 type Caller func(ctx context.Context, to model.NodeID, body []byte) ([]byte, error)
 
-// NewPeer returns a peer over a transport of opaque bytes.
+// NewPeer returns a Peer that uses a transport of opaque bytes.
 func NewPeer(call Caller) Peer { return call }
 
 // Lend implements Peer.
@@ -35,20 +36,21 @@
 	if err != nil {
 		return LendReply{}, err
 	}
-	answer, err := c(ctx, lender, body)
+	reply, err := c(ctx, lender, body)
 	if err != nil {
 		return LendReply{}, err
 	}
-	return lending.DecodeReply(answer)
+	return lending.DecodeReply(reply)
 }
 
-// ErrNotMember says that the borrower is no entry VM of the settings.
+// ErrNotMember is returned when the borrower is not an entry VM of the settings.
 var ErrNotMember = errors.New("slots: the borrower is not in the settings")
 
-// callTimeout bounds a call to a lender beyond the time that it may hold the reply.
+// callTimeout is how long a call to a lender may take, in addition to the time
+// that the lender may hold the reply.
 const callTimeout = time.Second
 
-// Lend answers an encoded request of another entry VM.
+// Lend serves an encoded request of another entry VM.
 func (d *Dispatcher) Lend(ctx context.Context, from model.NodeID, body []byte) ([]byte, error) {
 	r, err := lending.DecodeRequest(body)
 	if err != nil {
@@ -64,20 +66,20 @@
 	return lending.EncodeReply(reply)
 }
 
-// ServeLend answers a borrower. It waits until there are slots for it, or the
-// borrower's patience is over. It is safe for concurrent use.
+// ServeLend serves a request of a borrower. It may wait until there are slots for
+// the borrower, as long as the request allows. It is safe for concurrent use.
 func (d *Dispatcher) ServeLend(ctx context.Context, r LendRequest) (LendReply, error) {
 	if !d.isPeer(r.Borrower) {
 		return LendReply{}, ErrNotMember
 	}
 	state := d.state(r.Service)
 	if state == nil {
-		return LendReply{}, nil // A service that is unknown here has nothing lent either way.
+		return LendReply{}, nil // An unknown service has neither lent nor borrowed slots.
 	}
 	d.counters.lendCalls.Inc(1)
 	switch {
 	case r.Recover:
-		return state.holding(r), nil
+		return state.recoveryReply(r), nil
 	case len(r.Handover) > 0:
 		state.step(func(now model.Instant) { state.core.receiveHandover(r, now) })
 		return LendReply{}, nil
@@ -95,33 +97,34 @@
 	return false
 }
 
-func (k *serviceState) holding(r lending.Request) lending.Reply {
+// recoveryReply serves a recovery request of an entry VM that restarted.
+func (k *serviceState) recoveryReply(r lending.Request) lending.Reply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.core.holding(r)
+	return k.core.recoveryReply(r)
 }
 
-// serve holds the call of a borrower until the core answers it.
+// serve holds a borrower's call until the core replies to it.
 func (k *serviceState) serve(ctx context.Context, r lending.Request) (lending.Reply, error) {
 	call := pendingCall{r.Incarnation, r.Number, make(chan lending.Reply, 1)}
 	var err error
 	k.step(func(now model.Instant) {
-		if err = k.core.ledger.Check(r); err != nil {
+		if err = k.core.lender.Check(r); err != nil {
 			return
 		}
-		if before, ok := k.pending[r.Borrower]; ok {
-			close(before.reply)
+		if previous, ok := k.pending[r.Borrower]; ok {
+			close(previous.reply)
 		}
 		k.pending[r.Borrower] = call
-		err = k.core.receive(r, now)
+		err = k.core.receiveRequest(r, now)
 	})
 	if err != nil {
 		return lending.Reply{}, err
 	}
 	select {
 	case reply := <-call.reply:
-		// Empty when a later request overtook this one; the borrower ignores
-		// the reply then, and it is no failure of the link.
+		// The reply is empty when a later request has overtaken this one. The
+		// borrower then ignores it, and it doesn't count as a failed call.
 		return reply, nil
 	case <-ctx.Done():
 		k.dropPending(r)
@@ -129,21 +132,22 @@
 	}
 }
 
+// dropPending drops a call whose borrower no longer waits for the reply.
 func (k *serviceState) dropPending(r lending.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.core.ledger.DropPending(r.Borrower, r.Number)
+	k.core.lender.DropPending(r.Borrower, r.Number)
 	waiting, ok := k.pending[r.Borrower]
 	if ok && waiting.incarnation == r.Incarnation && waiting.number == r.Number {
 		delete(k.pending, r.Borrower)
 	}
 }
 
-// call sends a request to a lender and takes in the reply.
-func (k *serviceState) call(s send) {
+// callPeer sends a request to another entry VM and processes the reply.
+func (k *serviceState) callPeer(s peerCall) {
 	d := k.dispatcher
 	d.counters.borrowCalls.Inc(1)
-	d.start(func() {
+	d.startCall(func() {
 		ctx, cancel := context.WithTimeout(d.ctx, callTimeout+time.Duration(s.request.WaitMS)*time.Millisecond)
 		defer cancel()
 		reply, err := d.config.Peer.Lend(ctx, s.to, s.request)
@@ -151,12 +155,12 @@
 			switch {
 			case err != nil:
 				d.counters.borrowFailed.Inc(1)
-				k.core.failed(s.to, s.request.Number, now)
+				k.core.requestFailed(s.to, s.request.Number, now)
 			case len(s.request.Handover) > 0:
 			case s.request.Recover:
-				k.core.recovered(s.to, reply, now)
+				k.core.receiveRecovery(s.to, reply, now)
 			default:
-				k.core.applied(s.to, s.request.Number, reply, now)
+				k.core.receiveReply(s.to, s.request.Number, reply, now)
 			}
 		})
 	})
--- a/internal/slots/promise.go
+++ b/internal/slots/promise.go
@@ -6,36 +6,39 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// longest remembers the longest time that requests were given lately.
-type longest struct {
-	now, before time.Duration
-	since       model.Instant
+// recentMax keeps the longest duration of the current and the previous window.
+type recentMax struct {
+	current, previous time.Duration
+	windowStart       model.Instant
 }
 
-// longestWindow is how long it is remembered at least.
-const longestWindow = time.Minute
+// recentMaxWindow is how long a duration is kept at least.
+const recentMaxWindow = time.Minute
 
-func (l *longest) add(d time.Duration, now model.Instant) {
-	if now.Sub(l.since) >= longestWindow {
-		l.before, l.now, l.since = l.now, 0, now
+func (l *recentMax) add(d time.Duration, now model.Instant) {
+	if now.Sub(l.windowStart) >= recentMaxWindow {
+		l.previous, l.current, l.windowStart = l.current, 0, now
 	}
-	l.now = max(l.now, d)
+	l.current = max(l.current, d)
 }
 
-// maxRunFactor bounds, in timeouts of the service, how long a request on a loan
-// may take. One that is given longer waits for a slot of this entry VM's own.
+// maxRunFactor times the service's timeout is the longest that a request on a
+// loan may take. A request with a later deadline waits for one of this entry
+// VM's own slots.
 const maxRunFactor = 2
 
 func (k *core) maxRun() time.Duration { return maxRunFactor * k.service.Timeout }
 
-// run is the longest time that a request may take which starts on a loan, as
-// promised to the lenders. It changes in powers of two, thus seldom.
-func (k *core) run() time.Duration {
+// promisedRun returns the longest time that a request started on a loan may
+// take, as promised to the lenders. It changes in powers of two and therefore
+// rarely.
+func (k *core) promisedRun() time.Duration {
 	run := max(k.service.Timeout, minRun)
-	for run < max(k.given.now, k.given.before) {
+	for run < max(k.recentTimeouts.current, k.recentTimeouts.previous) {
 		run *= 2
 	}
 	return min(run, k.maxRun())
 }
 
+// minRun is the shortest promised run.
 const minRun = time.Second
--- a/internal/slots/service.go
+++ b/internal/slots/service.go
@@ -11,20 +11,20 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// serviceState is the core of one service with its lock, the calls of
-// borrowers that wait for a reply, and its own calls to other entry VMs.
+// serviceState holds the core of one service with its lock and the calls of
+// borrowers that wait for a reply. It makes the core's calls to other entry VMs.
 type serviceState struct {
 	dispatcher *Dispatcher
 	id         model.ServiceID
-	// dropped says that the manifest no longer has the service.
+	// dropped is true if the manifest no longer contains the service.
 	dropped atomic.Bool
 
 	mu       sync.Mutex
 	core     *core
 	revision uint64
 	pending  map[model.NodeID]pendingCall
-	// seen is the status that the last log lines told of.
-	seen status
+	// loggedStatus is the status at which changes were last logged.
+	loggedStatus status
 }
 
 // pendingCall is a borrower's call that waits for its reply.
@@ -34,8 +34,8 @@
 	reply       chan lending.Reply
 }
 
-// answer is what a request in the queue gets.
-type answer struct {
+// acquireResult is a slot or the reason why there is none.
+type acquireResult struct {
 	use     balance.Use
 	refusal *admission.Refusal
 }
@@ -47,7 +47,7 @@
 	k.core = newCore(coreConfig{
 		self: c.Self, zone: c.Zone, nodes: c.Nodes, incarnation: c.Incarnation,
 		lending: c.Lending, admission: c.Admission, balance: c.Balance, random: c.Random,
-		lend: c.Peer != nil && len(c.Nodes) > 1, reclaimAfter: c.ReclaimAfter,
+		lendingEnabled: c.Peer != nil && len(c.Nodes) > 1, reclaimAfter: c.ReclaimAfter,
 	}, service, now)
 	k.core.started = d.started
 	k.core.members(c.Members(), c.Confirmed(), now)
@@ -55,32 +55,33 @@
 	return k
 }
 
-// load takes in the announced instances.
+// load applies the announced instances.
 func (k *serviceState) load(now model.Instant) {
 	registry := k.dispatcher.config.Registry
 	k.revision = registry.Revision()
 	k.core.update(k.core.service, registry.Serving(k.id), now)
 }
 
-// step runs f on the core and does what the core asks for.
+// step runs f on the core and carries out the core's effects.
 func (k *serviceState) step(f func(now model.Instant)) {
-	out, again, idle := k.locked(f)
+	out, again, idle := k.stepLocked(f)
 	if !idle {
 		k.dispatcher.wake()
 	}
-	for _, s := range out.sends {
-		k.call(s)
+	for _, s := range out.calls {
+		k.callPeer(s)
 	}
 	if again {
 		k.dispatcher.tickSoon()
 	}
 }
 
-// locked runs f on the core. The clock is read under the lock: read before it, a
-// request could bring the core a time before that of the one which overtook
-// it, and ages would be negative. The lock is given back even by a panic:
-// otherwise every later request of the service would wait for ever.
-func (k *serviceState) locked(f func(now model.Instant)) (out effects, again, idle bool) {
+// stepLocked runs f on the core under the lock. The clock is read under the lock
+// too: if it were read before, a request could pass an earlier time to the core
+// than one that took the lock first, and ages would be negative. The lock is
+// released even after a panic: otherwise every later request of the service
+// would block forever.
+func (k *serviceState) stepLocked(f func(now model.Instant)) (out effects, again, idle bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.dispatcher.config.Now()
@@ -88,142 +89,145 @@
 		k.load(now)
 	}
 	f(now)
-	out = k.core.effects()
-	k.deliver(out.answers)
-	return out, k.core.again, k.core.idle()
+	out = k.core.takeEffects()
+	k.deliver(out.replies)
+	return out, k.core.needsTick, k.core.idle()
 }
 
-// deliver hands replies to the calls that wait for them.
-func (k *serviceState) deliver(answers []lending.Answer) {
-	for _, a := range answers {
-		waiting, ok := k.pending[a.Node]
-		if ok && waiting.incarnation == a.Incarnation && waiting.number == a.Number {
-			waiting.reply <- a.Reply
+// deliver passes replies to the calls that wait for them.
+func (k *serviceState) deliver(replies []lending.Answer) {
+	for _, a := range replies {
+		call, ok := k.pending[a.Node]
+		if ok && call.incarnation == a.Incarnation && call.number == a.Number {
+			call.reply <- a.Reply
 			delete(k.pending, a.Node)
 		}
 	}
 }
 
-// acquire grants at once, refuses at once, or waits in the queue.
-func (k *serviceState) acquire(ctx context.Context, ask Ask) (*Grant, error) {
-	if grant := k.acquireNow(ask); grant != nil {
+// acquire grants or refuses a slot at once, or waits in the queue.
+func (k *serviceState) acquire(ctx context.Context, request Ask) (*Grant, error) {
+	if grant := k.tryAcquire(request); grant != nil {
 		return grant, nil
 	}
-	answers := make(chan answer, 1)
-	w := &waiter{ask: ask, answer: func(u balance.Use, r *admission.Refusal) { answers <- answer{u, r} }}
-	var got answer
+	results := make(chan acquireResult, 1)
+	w := &waiter{request: request, respond: func(u balance.Use, r *admission.Refusal) { results <- acquireResult{u, r} }}
+	var result acquireResult
 	var t *ticket
-	k.step(func(now model.Instant) { got.use, t, got.refusal = k.core.ask(w, now) })
+	k.step(func(now model.Instant) { result.use, t, result.refusal = k.core.acquire(w, now) })
 	if t != nil {
 		k.dispatcher.counters.queued.Inc(1)
 		select {
-		case got = <-answers:
+		case result = <-results:
 		case <-ctx.Done():
-			return nil, k.abandon(t, answers, ctx.Err())
+			return nil, k.abandon(t, results, ctx.Err())
 		}
 	}
-	if got.refusal != nil {
+	if result.refusal != nil {
 		k.dispatcher.counters.refuse(t != nil)
-		return nil, &Rejection{Reason: got.refusal.Reason, RetryAfter: got.refusal.RetryAfter}
+		return nil, &Rejection{Reason: result.refusal.Reason, RetryAfter: result.refusal.RetryAfter}
 	}
-	return k.grant(ask, got.use), nil
+	return k.grant(request, result.use), nil
 }
 
-// acquireNow is the short way of a request that needs not wait.
-func (k *serviceState) acquireNow(ask Ask) *Grant {
-	use, ok := k.tryNow(ask)
+// tryAcquire is the fast path of a request that doesn't have to wait.
+func (k *serviceState) tryAcquire(request Ask) *Grant {
+	use, ok := k.tryGrant(request)
 	if !ok {
 		return nil
 	}
-	return k.grant(ask, use)
+	return k.grant(request, use)
 }
 
-func (k *serviceState) tryNow(ask Ask) (balance.Use, bool) {
+// tryGrant takes a free slot, unless the registry has changed and the core must
+// be updated first.
+func (k *serviceState) tryGrant(request Ask) (balance.Use, bool) {
 	config := &k.dispatcher.config
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if config.Registry.Revision() != k.revision {
 		return balance.Use{}, false
 	}
-	return k.core.grantNow(ask, config.Now())
+	return k.core.tryGrant(request, config.Now())
 }
 
-// abandon takes a request whose caller went away out of the queue. A grant
-// that came at the same moment goes back.
-func (k *serviceState) abandon(t *ticket, answers <-chan answer, cause error) error {
+// abandon removes a request whose caller went away from the queue. A slot that
+// was granted at the same moment is released.
+func (k *serviceState) abandon(t *ticket, results <-chan acquireResult, cause error) error {
 	k.dispatcher.counters.abandoned.Inc(1)
-	waited := false
-	k.step(func(model.Instant) { waited = k.core.cancel(t) })
-	if waited {
+	wasQueued := false
+	k.step(func(model.Instant) { wasQueued = k.core.cancel(t) })
+	if wasQueued {
 		return cause
 	}
-	if got := <-answers; got.refusal == nil {
-		k.free(got.use, Abandoned)
+	if result := <-results; result.refusal == nil {
+		k.release(result.use, Abandoned)
 	}
 	return cause
 }
 
-// grant wraps a slot in use. Only the first release counts. The lock is not
-// held here, so the instance's own record, which an announcement may change at
-// this moment, is not read.
-func (k *serviceState) grant(ask Ask, use balance.Use) *Grant {
+// grant wraps a slot in use. Only the first release has an effect. The lock is
+// not held here, so the instance's own record must not be read: an announcement
+// may change it at the same time.
+func (k *serviceState) grant(request Ask, use balance.Use) *Grant {
 	k.dispatcher.counters.granted.Inc(1)
 	var released atomic.Bool
 	return NewGrant(use.Upstream, func(o Outcome) {
 		if released.Swap(true) {
-			k.dispatcher.counters.twice.Inc(1)
+			k.dispatcher.counters.releasedTwice.Inc(1)
 			return
 		}
-		k.free(use, o)
-		k.dispatcher.leaveTeam(ask.Team)
+		k.release(use, o)
+		k.dispatcher.leaveTeam(request.Team)
 	})
 }
 
-// free gives a slot back.
-func (k *serviceState) free(use balance.Use, o Outcome) {
+// release returns a slot.
+func (k *serviceState) release(use balance.Use, o Outcome) {
 	k.dispatcher.counters.outcome(o)
-	k.step(func(now model.Instant) { k.core.done(use, o, now) })
+	k.step(func(now model.Instant) { k.core.release(use, o, now) })
 }
 
-// idle reports whether nothing waits, is lent or is borrowed.
+// idle reports whether the core is idle.
 func (k *serviceState) idle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.idle()
 }
 
-// tick takes in the manifest and the members, and moves time on.
+// tick applies the manifest and the members and runs the core's tick.
 func (k *serviceState) tick(members []model.NodeID, confirmed bool) {
 	service, known := k.dispatcher.config.Services.Service(k.id)
 	k.dropped.Store(!known)
 	k.step(func(now model.Instant) {
-		if known && changed(service, k.core.service) {
+		if known && serviceChanged(service, k.core.service) {
 			k.core.update(service, k.dispatcher.config.Registry.Serving(k.id), now)
 		}
 		k.core.members(members, confirmed, now)
-		k.core.tick(now)
+		k.core.handleTick(now)
 	})
 }
 
-// inspect counts and logs broken invariants, logs changes of state, and returns
-// the status.
+// inspect counts and logs broken invariants, logs status changes and returns the
+// status.
 func (k *serviceState) inspect() status {
 	k.mu.Lock()
-	broken := k.core.check()
-	before := k.seen
-	k.seen = k.core.status()
-	after := k.seen
+	broken := k.core.checkInvariants()
+	before := k.loggedStatus
+	k.loggedStatus = k.core.status()
+	after := k.loggedStatus
 	k.mu.Unlock()
 	log := k.dispatcher.config.Log.WithField("service", string(k.id))
-	for _, what := range broken {
-		k.dispatcher.counters.broken.Inc(1)
-		log.Error("invariant broken: " + what)
+	for _, violation := range broken {
+		k.dispatcher.counters.invariantsBroken.Inc(1)
+		log.Error("invariant broken: " + violation)
 	}
 	logChanges(log, before, after)
 	return after
 }
 
-// changed compares what the core uses of a service.
-func changed(a, b model.Service) bool {
+// serviceChanged reports whether settings of a service that the core uses
+// differ.
+func serviceChanged(a, b model.Service) bool {
 	return a.Slots != b.Slots || a.Connections != b.Connections || a.QueueLimit != b.QueueLimit || a.Timeout != b.Timeout
 }
--- a/internal/slots/sharing_test.go
+++ b/internal/slots/sharing_test.go
@@ -9,20 +9,20 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// load is the traffic of one run: requests a second at all entry VMs together.
+// Sizes of a benchmark run.
 const (
 	benchVMs       = 7
 	benchInstances = 10
 	benchSlots     = 8
 	benchWork      = 50 * time.Millisecond
-	// lossAt is when an entry VM is lost: half of the run.
+	// lossAt is when an entry VM is lost, after half of the run.
 	lossAt = 6 * time.Second
 )
 
-// figures are what a run yields.
+// figures are the results of a run.
 type figures struct {
 	waits map[model.Priority][]time.Duration
-	// wasted is the mean of the slots that were free while a request waited,
+	// wasted is the mean number of slots that were free while requests waited,
 	// before and after an entry VM was lost.
 	wasted [2]float64
 	served int
@@ -37,9 +37,10 @@
 	return float64(sorted[at]) / float64(scaled(time.Millisecond))
 }
 
-// traffic feeds the skewed load: entry VM 1 gets two fifths, the others share
-// the rest. Half of the run is at 70 % of the capacity, half at 200 %; entry
-// VM 0 is lost in the middle of the overload.
+// traffic generates a skewed load: two fifths of the requests go to entry VM 1,
+// the rest to a random entry VM. The load is 70 % of the capacity for four
+// seconds, then 200 % for four and 70 % for four. Entry VM 0 is lost in the
+// middle of the overload.
 func (s *sim) traffic(arrive func(vm int, r *simRequest), kill func()) *figures {
 	f := &figures{waits: map[model.Priority][]time.Duration{}}
 	begin := s.now
@@ -126,38 +127,38 @@
 	return n
 }
 
-// runShared runs a way in which every entry VM has a core of its own.
+// runShared simulates a method in which every entry VM has a core of its own.
 func runShared(seed uint64, lend bool, share func(s *sim, n int) []model.NodeID) (*sim, *figures) {
 	s := newSim(seed, benchVMs, benchInstances, benchSlots)
-	s.weigh = true
+	s.countBytes = true
 	s.start(lend, func(n int) []model.NodeID { return share(s, n) })
 	f := s.traffic(func(vm int, r *simRequest) { s.arrive(s.vms[vm], r) }, func() { s.vms[0].alive, s.alive[0] = false, false })
 	return s, f
 }
 
-// runOwner runs the way with one owner of all slots: each request and each
-// release goes to it over the network. The owner is entry VM 0 or another one
-// that is not lost. What the lost entry VM had in use is waited out; when the
-// owner itself is lost a successor takes over after the second that it takes
-// to notice, and until the wait is over it uses no more than what the others
-// report to have in use.
+// runOwner simulates the method with one owner of all slots, where each request
+// and each release goes to the owner over the network. The owner is entry VM 0,
+// which is lost, or another one. Slots that a lost entry VM had in use become
+// free after loanEndDelay. If the owner itself is lost, it is detected after a
+// second, and a successor takes over. Until loanEndDelay has passed, the
+// successor uses no more slots than the others report to have in use.
 func runOwner(seed uint64, ownerLost bool) (*sim, *figures) {
 	s := newSim(seed, benchVMs, benchInstances, benchSlots)
-	s.hop = s.delay
+	s.coreDelay = s.delay
 	owner := &simVM{inUse: map[*simRequest]bool{}}
 	s.vms = append(s.vms, owner)
 	s.boot(owner, false, s.nodes[:1])
-	var back model.Instant
+	var resumeAt model.Instant
 	arrive := func(vm int, r *simRequest) {
 		s.messages += 3
 		r.origin = vm
-		s.after(s.delay()+max(0, back.Sub(s.now)), func() {
+		s.after(s.delay()+max(0, resumeAt.Sub(s.now)), func() {
 			arrived := r.arrived
 			s.arrive(owner, r)
 			r.arrived = arrived
 		})
 	}
-	s.orphaned = func(release func()) { s.after(scaled(waitOut), release) }
+	s.orphaned = func(release func()) { s.after(scaled(loanEndDelay), release) }
 	kill := func() {
 		s.alive[0] = false
 		for r, t := range owner.queued {
@@ -167,39 +168,39 @@
 		}
 		if ownerLost {
 			owner.alive = false
-			back = s.now.Add(scaled(time.Second))
+			resumeAt = s.now.Add(scaled(time.Second))
 			known := map[model.InstanceID]int{}
 			for r := range owner.inUse {
 				if r.origin != 0 {
 					known[r.use.Instance.Upstream.Instance]++
 				}
 			}
-			s.after(scaled(time.Second), func() { s.succeed(owner, known) })
+			s.after(scaled(time.Second), func() { s.startSuccessor(owner, known) })
 		}
 	}
 	return s, s.traffic(arrive, kill)
 }
 
-// succeed starts the successor of a lost owner, which knows what the others
-// had in use.
-func (s *sim) succeed(owner *simVM, known map[model.InstanceID]int) {
+// startSuccessor starts the successor of a lost owner; known holds the slots that
+// the other entry VMs had in use.
+func (s *sim) startSuccessor(owner *simVM, known map[model.InstanceID]int) {
 	s.boot(owner, false, s.nodes[:1])
 	for id := range s.instances {
 		owner.core.shares[id] = known[id]
 	}
-	owner.core.recountAll()
-	s.after(scaled(waitOut), func() { s.step(owner, func() { owner.core.update(s.service, s.upstreams, s.now) }) })
+	owner.core.updateAllAllowed()
+	s.after(scaled(loanEndDelay), func() { s.step(owner, func() { owner.core.update(s.service, s.upstreams, s.now) }) })
 }
 
-// waitOut is the lease of a loan and the longest run on it.
-const waitOut = lending.DefaultLease + 8*time.Second
+// loanEndDelay is the lease of a loan plus the longest run on it.
+const loanEndDelay = lending.DefaultLease + 8*time.Second
 
-// BenchmarkSlotSharing compares the ways to share the slots of instances
-// between entry VMs, all on the same traffic.
+// BenchmarkSlotSharing compares methods of sharing the slots of instances between
+// entry VMs, all with the same traffic.
 func BenchmarkSlotSharing(b *testing.B) {
 	everyone := func(s *sim, _ int) []model.NodeID { return s.nodes }
 	alone := func(s *sim, n int) []model.NodeID { return s.nodes[n : n+1] }
-	ways := []struct {
+	methods := []struct {
 		name string
 		run  func(seed uint64) (*sim, *figures)
 	}{
@@ -209,10 +210,10 @@
 		{"owner-lost", func(seed uint64) (*sim, *figures) { return runOwner(seed, true) }},
 		{"lent", func(seed uint64) (*sim, *figures) { return runShared(seed, true, everyone) }},
 	}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
+	for _, method := range methods {
+		b.Run(method.name, func(b *testing.B) {
 			for range b.N {
-				s, f := way.run(1)
+				s, f := method.run(1)
 				b.ReportMetric(100*f.wasted[0]/float64(benchInstances*benchSlots), "%wasted-before")
 				b.ReportMetric(100*f.wasted[1]/float64(benchInstances*benchSlots), "%wasted-after")
 				b.ReportMetric(float64(s.overruns), "overruns")
--- a/internal/slots/sim_requests_test.go
+++ b/internal/slots/sim_requests_test.go
@@ -6,18 +6,18 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// arrive is a request at an entry VM.
+// arrive passes a request to an entry VM.
 func (s *sim) arrive(vm *simVM, r *simRequest) {
-	s.asked++
+	s.arrivals++
 	r.vm = vm.index
 	r.arrived = s.now
-	w := &waiter{ask: Ask{Service: "drafts", Priority: r.priority, Deadline: r.deadline}}
-	w.answer = func(u balance.Use, refusal *admission.Refusal) {
+	w := &waiter{request: Ask{Service: "drafts", Priority: r.priority, Deadline: r.deadline}}
+	w.respond = func(u balance.Use, refusal *admission.Refusal) {
 		delete(vm.queued, r)
 		s.answer(vm, r, u, refusal)
 	}
 	s.step(vm, func() {
-		use, t, refusal := vm.core.ask(w, s.now)
+		use, t, refusal := vm.core.acquire(w, s.now)
 		if t == nil {
 			s.answer(vm, r, use, refusal)
 			return
@@ -28,7 +28,7 @@
 	})
 }
 
-// answer is the one final answer of a request: a slot, or a refusal.
+// answer gives a request its only final answer: a slot or a refusal.
 func (s *sim) answer(vm *simVM, r *simRequest, u balance.Use, refusal *admission.Refusal) {
 	r.answers++
 	s.answered++
@@ -41,26 +41,27 @@
 	release := func() {
 		if vm.alive && vm.starts == starts {
 			delete(vm.inUse, r)
-			s.step(vm, func() { vm.core.done(u, Answered, s.now) })
+			s.step(vm, func() { vm.core.release(u, Answered, s.now) })
 		}
 	}
 	id := u.Instance.Upstream.Instance
-	if s.hop == nil {
+	if s.coreDelay == nil {
 		s.sendTo(id, r, release)
 		return
 	}
-	s.after(s.hop(), func() {
+	s.after(s.coreDelay(), func() {
 		s.sendTo(id, r, func() {
 			if !s.alive[r.origin] {
 				s.orphaned(release)
 				return
 			}
-			s.after(s.hop(), release)
+			s.after(s.coreDelay(), release)
 		})
 	})
 }
 
-// sendTo runs a request at an instance, after those that came before it.
+// sendTo runs a request at an instance, in order of arrival if all slots of the
+// instance are in use.
 func (s *sim) sendTo(id model.InstanceID, r *simRequest, done func()) {
 	i := s.instances[id]
 	run := func() {
--- a/internal/slots/sim_test.go
+++ b/internal/slots/sim_test.go
@@ -12,47 +12,48 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// tickLength is the length of one Instant in the simulation. The cores count
-// in milliseconds; a finer grain shows delays of half a millisecond.
+// tickLength is the duration of one Instant in the simulation. The cores count in
+// milliseconds; the finer resolution is needed for delays of half a millisecond.
 const tickLength = 100 * time.Microsecond
 
-// scaled converts a real duration to what the cores see.
+// scaled converts a real duration to the duration that the cores see.
 func scaled(d time.Duration) time.Duration { return d * time.Millisecond / tickLength }
 
-// sim runs the cores of all entry VMs in virtual time against instances that
-// hold what they are sent in order of arrival once their slots are full.
+// sim runs the cores of all entry VMs in virtual time. Instances queue requests
+// in order of arrival once all their slots are in use.
 type sim struct {
-	random    *rand.Rand
-	now       model.Instant
-	events    eventHeap
-	order     int
-	nodes     []model.NodeID
-	vms       []*simVM
-	instances map[model.InstanceID]*simInstance
-	upstreams []model.Upstream
-	service   model.Service
-	reclaim   time.Duration
-	options   lending.Options
-	// cut says which pairs of entry VMs don't reach each other, lossy how
-	// many of 100 messages are lost.
-	cut      func(a, b int) bool
-	lossy    int
-	delay    func() time.Duration
-	limit    int
-	messages int
-	bytes    int
-	weigh    bool
-	overruns int
-	answered int
-	asked    int
-	onStart  func(r *simRequest)
-	// alive says which entry VMs take requests; hop is the way of a grant or a
-	// release when the core is at another entry VM than the request.
-	alive []bool
-	hop   func() time.Duration
-	// orphaned takes the releases of requests whose entry VM was lost.
+	random     *rand.Rand
+	now        model.Instant
+	events     eventHeap
+	eventCount int
+	nodes      []model.NodeID
+	vms        []*simVM
+	instances  map[model.InstanceID]*simInstance
+	upstreams  []model.Upstream
+	service    model.Service
+	reclaim    time.Duration
+	options    lending.Options
+	// cut reports whether messages from a to b are lost; lossPercent is the
+	// percentage of other messages that are lost.
+	cut         func(a, b int) bool
+	lossPercent int
+	delay       func() time.Duration
+	limit       int
+	messages    int
+	bytes       int
+	countBytes  bool
+	overruns    int
+	answered    int
+	arrivals    int
+	onStart     func(r *simRequest)
+	// alive marks the entry VMs that accept requests; coreDelay returns how long a
+	// grant or a release takes between the entry VM of the request and the one of
+	// the core.
+	alive     []bool
+	coreDelay func() time.Duration
+	// orphaned is called with the release of a request whose entry VM was lost.
 	orphaned func(release func())
-	// all are the requests so far, where a test looks at each.
+	// all lists the requests so far, if a test checks each of them.
 	all        []*simRequest
 	queueRules admission.Rules
 }
@@ -62,7 +63,7 @@
 	core   *core
 	alive  bool
 	starts uint64
-	// draining says that the entry VM stops gracefully.
+	// draining is true while the entry VM stops gracefully.
 	draining bool
 	inUse    map[*simRequest]bool
 	queued   map[*simRequest]*ticket
@@ -85,9 +86,9 @@
 	use      balance.Use
 	answers  int
 	started  bool
-	// resume starts a request that an instance held back.
+	// resume starts a request that an instance has queued.
 	resume func()
-	// abort ends a request whose connection was closed; cutOff says that its
+	// abort ends a request whose connection was closed; cutOff is true if its
 	// entry VM was lost before it could answer.
 	abort  func()
 	cutOff bool
@@ -113,10 +114,10 @@
 	return last
 }
 
-// after runs f in d of simulated time, given as the cores see it.
+// after runs f after d of simulated time, as the cores see it.
 func (s *sim) after(d time.Duration, f func()) {
-	s.order++
-	heap.Push(&s.events, event{s.now.Add(d), s.order, f})
+	s.eventCount++
+	heap.Push(&s.events, event{s.now.Add(d), s.eventCount, f})
 }
 
 func (s *sim) runUntil(end model.Instant) {
@@ -166,7 +167,8 @@
 	return o
 }
 
-// start adds the entry VMs, with the nodes over which each takes its share.
+// start adds the entry VMs; share returns the nodes among which an entry VM's
+// shares are computed.
 func (s *sim) start(lend bool, share func(n int) []model.NodeID) {
 	for n := range s.nodes {
 		vm := &simVM{index: n, inUse: map[*simRequest]bool{}}
@@ -184,7 +186,7 @@
 	vm.core = newCore(coreConfig{
 		self: s.nodes[vm.index], nodes: nodes, incarnation: vm.starts, lending: s.options,
 		admission: admission.Options{AgeingAfter: scaled(time.Second), Rules: s.queueRules},
-		random:    s.random.IntN, lend: lend, reclaimAfter: s.reclaim,
+		random:    s.random.IntN, lendingEnabled: lend, reclaimAfter: s.reclaim,
 	}, s.service, s.now)
 	s.step(vm, func() { vm.core.update(s.service, s.upstreams, s.now) })
 	s.tickLater(vm, vm.starts)
@@ -208,24 +210,24 @@
 	}
 	s.step(vm, func() {
 		vm.core.members(live, true, s.now)
-		vm.core.tick(s.now)
+		vm.core.handleTick(s.now)
 	})
 }
 
 // step runs f on a core and carries out its effects.
 func (s *sim) step(vm *simVM, f func()) {
 	f()
-	out := vm.core.effects()
-	for _, a := range out.answers {
+	out := vm.core.takeEffects()
+	for _, a := range out.replies {
 		if reply := vm.pending[a.Node]; reply != nil {
 			delete(vm.pending, a.Node)
 			reply(a.Reply, true)
 		}
 	}
-	for _, call := range out.sends {
+	for _, call := range out.calls {
 		s.call(vm, call)
 	}
-	if vm.core.again && vm.tickAt <= s.now {
+	if vm.core.needsTick && vm.tickAt <= s.now {
 		vm.tickAt = s.now.Add(vm.core.config.lending.Spacing)
 		starts := vm.starts
 		s.after(vm.core.config.lending.Spacing, func() {
@@ -236,77 +238,79 @@
 	}
 }
 
-// call carries a request and its reply; either may be lost.
-func (s *sim) call(from *simVM, c send) {
-	to := s.vms[s.index(c.to)]
-	s.measure(c)
+// call delivers a request and its reply; either may be lost.
+func (s *sim) call(from *simVM, c peerCall) {
+	to := s.vms[s.indexOf(c.to)]
+	s.addRequestBytes(c)
 	starts := from.starts
-	settled := false
+	finished := false
 	finish := func(r lending.Reply, ok bool) {
-		if settled || !from.alive || from.starts != starts {
+		if finished || !from.alive || from.starts != starts {
 			return
 		}
-		settled = true
+		finished = true
 		s.step(from, func() {
 			switch {
 			case !ok:
-				from.core.failed(c.to, c.request.Number, s.now)
+				from.core.requestFailed(c.to, c.request.Number, s.now)
 			case len(c.request.Handover) > 0:
 			case c.request.Recover:
-				from.core.recovered(c.to, r, s.now)
+				from.core.receiveRecovery(c.to, r, s.now)
 			default:
-				from.core.applied(c.to, c.request.Number, r, s.now)
+				from.core.receiveReply(c.to, c.request.Number, r, s.now)
 			}
 		})
 	}
-	back := func(r lending.Reply, ok bool) { s.carry(from.index, to.index, func() { finish(r, ok) }) }
-	s.after(scaled(callTimeout)+vmWait(c), func() { finish(lending.Reply{}, false) })
-	s.carry(from.index, to.index, func() {
+	sendReply := func(r lending.Reply, ok bool) { s.deliver(from.index, to.index, func() { finish(r, ok) }) }
+	s.after(scaled(callTimeout)+holdTime(c), func() { finish(lending.Reply{}, false) })
+	s.deliver(from.index, to.index, func() {
 		if !to.alive {
 			return
 		}
 		if c.request.Recover {
-			back(to.core.holding(c.request), true)
+			sendReply(to.core.recoveryReply(c.request), true)
 			return
 		}
 		if len(c.request.Handover) > 0 {
 			s.step(to, func() { to.core.receiveHandover(c.request, s.now) })
 			return
 		}
-		if to.core.ledger.Check(c.request) != nil {
-			back(lending.Reply{}, false)
+		if to.core.lender.Check(c.request) != nil {
+			sendReply(lending.Reply{}, false)
 			return
 		}
-		if before := to.pending[c.request.Borrower]; before != nil {
-			before(lending.Reply{}, false)
+		if previous := to.pending[c.request.Borrower]; previous != nil {
+			previous(lending.Reply{}, false)
 		}
-		to.pending[c.request.Borrower] = back
-		s.step(to, func() { _ = to.core.receive(c.request, s.now) })
+		to.pending[c.request.Borrower] = sendReply
+		s.step(to, func() { _ = to.core.receiveRequest(c.request, s.now) })
 	})
 }
 
-// measure counts the bytes of a request where a benchmark asks for it.
-func (s *sim) measure(c send) {
-	if s.weigh {
+// addRequestBytes counts the bytes of a request if countBytes is set.
+func (s *sim) addRequestBytes(c peerCall) {
+	if s.countBytes {
 		data, _ := lending.EncodeRequest(c.request)
 		s.bytes += len(data)
 	}
 }
 
-func vmWait(c send) time.Duration { return time.Duration(c.request.WaitMS) * time.Millisecond }
+func holdTime(c peerCall) time.Duration { return time.Duration(c.request.WaitMS) * time.Millisecond }
 
-func (s *sim) carry(from, to int, f func()) {
+// deliver runs f after the delay of a message, unless the message is lost. It may
+// run f a second time, as for a duplicated message.
+func (s *sim) deliver(from, to int, f func()) {
 	s.messages++
-	if s.cut(from, to) || s.random.IntN(100) < s.lossy {
+	if s.cut(from, to) || s.random.IntN(100) < s.lossPercent {
 		return
 	}
 	s.after(s.delay(), f)
-	if s.lossy > 0 && s.random.IntN(100) < s.lossy {
+	if s.lossPercent > 0 && s.random.IntN(100) < s.lossPercent {
 		s.after(s.delay()+scaled(time.Duration(s.random.IntN(2000))*time.Millisecond), f)
 	}
 }
 
-func (s *sim) index(n model.NodeID) int {
+func (s *sim) indexOf(n model.NodeID) int {
 	for i, known := range s.nodes {
 		if known == n {
 			return i
--- a/internal/slots/status.go
+++ b/internal/slots/status.go
@@ -9,22 +9,22 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// status is what a core looks like from outside.
+// status summarizes a core for metrics and log lines.
 type status struct {
 	waiting, inUse, lent, borrowed int
 	ejected                        []model.InstanceID
-	// takenOver are the entry VMs whose share is used here.
+	// takenOver lists the entry VMs whose shares this one uses.
 	takenOver []model.NodeID
 }
 
 func (k *core) status() status {
 	return status{
-		waiting: k.queue.Len(), inUse: k.set.InUse(), lent: k.ledger.Total(), borrowed: k.book.Total(),
+		waiting: k.queue.Len(), inUse: k.set.InUse(), lent: k.lender.Total(), borrowed: k.borrower.Total(),
 		ejected: k.set.Ejected(), takenOver: k.takenOver,
 	}
 }
 
-// gauges are the sums over all services of an entry VM.
+// gauges show the sums over all services of an entry VM.
 type gauges struct {
 	waiting, inUse, lent, borrowed, ejected metrics.Gauge
 }
@@ -34,8 +34,8 @@
 	return &gauges{gauge("waiting"), gauge("in_use"), gauge("lent"), gauge("borrowed"), gauge("ejected_instances")}
 }
 
-// set shows the sums.
-func (g *gauges) set(all status) {
+// update sets the gauges to the sums.
+func (g *gauges) update(all status) {
 	g.waiting.Update(int64(all.waiting))
 	g.inUse.Update(int64(all.inUse))
 	g.lent.Update(int64(all.lent))
@@ -43,6 +43,7 @@
 	g.ejected.Update(int64(len(all.ejected)))
 }
 
+// add adds the figures that the gauges show.
 func (s *status) add(o status) {
 	s.waiting += o.waiting
 	s.inUse += o.inUse
@@ -51,15 +52,16 @@
 	s.ejected = append(s.ejected, o.ejected...)
 }
 
-// logChanges writes a line for each change of state since before.
+// logChanges logs each difference between two statuses.
 func logChanges(l log.Interface, before, after status) {
-	logDifference(l, "instance", "instance ejected: it fails what others answer", before.ejected, after.ejected)
-	logDifference(l, "instance", "instance taken back", after.ejected, before.ejected)
-	logDifference(l, "entry_vm", "share of an entry VM that is gone is used here", before.takenOver, after.takenOver)
-	logDifference(l, "entry_vm", "share is left to its entry VM again", after.takenOver, before.takenOver)
+	logAdded(l, "instance", "instance ejected: it fails requests that other instances answer", before.ejected, after.ejected)
+	logAdded(l, "instance", "instance no longer ejected", after.ejected, before.ejected)
+	logAdded(l, "entry_vm", "slots of a lost or stopped entry VM taken over", before.takenOver, after.takenOver)
+	logAdded(l, "entry_vm", "slots returned to their entry VM", after.takenOver, before.takenOver)
 }
 
-func logDifference[T ~string](l log.Interface, field, line string, before, after []T) {
+// logAdded logs a line for each identifier that is in after but not in before.
+func logAdded[T ~string](l log.Interface, field, line string, before, after []T) {
 	for _, id := range after {
 		if !slices.Contains(before, id) {
 			l.WithField(field, string(id)).Info(line)
--- a/internal/slots/takeover.go
+++ b/internal/slots/takeover.go
@@ -9,107 +9,110 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// DefaultReclaimAfter is when the share of a lost entry VM is used by others.
+// DefaultReclaimAfter is how long an entry VM must be lost before others use its
+// share.
 const DefaultReclaimAfter = 15 * time.Second
 
-// members takes in which entry VMs are live, and whether a quorum confirmed it.
+// members sets which entry VMs are live and whether a quorum confirmed it.
 func (k *core) members(live []model.NodeID, confirmed bool, now model.Instant) {
 	k.live = live
 	k.confirmed = confirmed
-	k.lost.update(k.config.nodes, live, now)
+	k.losses.update(k.config.nodes, live, now)
 }
 
-// lossTracker remembers since when entry VMs are gone.
+// lossTracker records since when entry VMs have been lost.
 type lossTracker struct {
-	gone map[model.NodeID]model.Instant
+	lostAt map[model.NodeID]model.Instant
 }
 
 func (t *lossTracker) update(nodes, live []model.NodeID, now model.Instant) {
-	if t.gone == nil {
-		t.gone = map[model.NodeID]model.Instant{}
+	if t.lostAt == nil {
+		t.lostAt = map[model.NodeID]model.Instant{}
 	}
 	for _, n := range nodes {
-		_, known := t.gone[n]
+		_, known := t.lostAt[n]
 		switch {
 		case slices.Contains(live, n):
-			delete(t.gone, n)
+			delete(t.lostAt, n)
 		case !known:
-			t.gone[n] = now
+			t.lostAt[n] = now
 		}
 	}
 }
 
-// since reports whether a node is gone for at least d.
-func (t *lossTracker) since(n model.NodeID, d time.Duration, now model.Instant) bool {
-	at, gone := t.gone[n]
-	return gone && now.Sub(at) >= d
+// lostFor reports whether a node has been lost for at least d.
+func (t *lossTracker) lostFor(n model.NodeID, d time.Duration, now model.Instant) bool {
+	at, lost := t.lostAt[n]
+	return lost && now.Sub(at) >= d
 }
 
-// handover is what an entry VM that stopped left to this one.
+// handover holds the slots that an entry VM handed over when it stopped.
 type handover struct {
 	incarnation uint64
 	slots       []lending.Count
 }
 
-// successor names who uses the slots of a lost entry VM at an instance: one
-// for each by rendezvous hash, so that two don't take the same ones.
+// successor returns the entry VM that uses the slots of a lost one at an
+// instance. The rendezvous hash selects exactly one, so that two entry VMs don't
+// use the same slots.
 func (k *core) successor(successors []model.NodeID, lost model.NodeID, i model.InstanceID) model.NodeID {
-	return balance.Rank(successors, k.key(i)+"/"+string(lost))[0]
+	return balance.Rank(successors, k.hashKey(i)+"/"+string(lost))[0]
 }
 
-// takeOver uses the shares of entry VMs that stopped and left theirs, or are
-// lost for long while most entry VMs are in contact. Otherwise their slots
-// would lie idle until somebody repairs them.
-func (k *core) takeOver(now model.Instant) {
-	if now.Sub(k.tookOverAt) < k.config.lending.Lease/3 {
+// takeOverShares uses the slots that stopped entry VMs handed over and the
+// shares of entry VMs that have been lost for long, both only with a majority.
+// Otherwise these slots would stay idle until the entry VMs are repaired.
+func (k *core) takeOverShares(now model.Instant) {
+	if now.Sub(k.lastTakeOver) < k.config.lending.Lease/3 {
 		return
 	}
-	k.tookOverAt = now
+	k.lastTakeOver = now
 	k.takenOver = nil
 	successors := k.successors(now)
 	for _, n := range k.config.nodes {
-		left, stopped := k.handovers[n]
+		handedOver, stopped := k.handovers[n]
 		switch {
 		case !slices.Contains(successors, n):
-			k.take(n, k.portion(successors, n), now)
-		case stopped && k.majority():
-			k.take(n, left.slots, now)
+			k.useShare(n, k.inheritedSlots(successors, n), now)
+		case stopped && k.hasMajority():
+			k.useShare(n, handedOver.slots, now)
 		}
 	}
 }
 
-// take uses slots of an entry VM that is gone.
-func (k *core) take(from model.NodeID, slots []lending.Count, now model.Instant) {
-	k.book.TakeOver(from, slots, k.run(), now)
+// useShare uses slots of an entry VM that is lost or has stopped.
+func (k *core) useShare(from model.NodeID, slots []lending.Count, now model.Instant) {
+	k.borrower.TakeOver(from, slots, k.promisedRun(), now)
 	k.takenOver = append(k.takenOver, from)
 }
 
-// majority reports whether this entry VM is in contact with more than half of
-// all. One that is cut off leaves alone what others may use meanwhile.
-func (k *core) majority() bool { return k.confirmed && 2*len(k.live) > len(k.config.nodes) }
+// hasMajority reports whether this entry VM is in contact with more than half of
+// all. A partitioned one must not use slots that others may use.
+func (k *core) hasMajority() bool { return k.confirmed && 2*len(k.live) > len(k.config.nodes) }
 
-// successors are the entry VMs that are not lost for long.
+// successors returns the entry VMs that have not been lost for long.
 func (k *core) successors(now model.Instant) []model.NodeID {
 	after := k.config.reclaimAfter
-	if after < 0 || len(k.lost.gone) == 0 || !k.majority() {
+	if after < 0 || len(k.losses.lostAt) == 0 || !k.hasMajority() {
 		return k.config.nodes
 	}
-	after = max(after, k.waitOut())
+	after = max(after, k.loanEndTimeout())
 	var successors []model.NodeID
 	for _, n := range k.config.nodes {
-		if !k.lost.since(n, after, now) {
+		if !k.losses.lostFor(n, after, now) {
 			successors = append(successors, n)
 		}
 	}
 	return successors
 }
 
-// waitOut is when the loans that an entry VM gave or took have lapsed and the
-// requests on them have ended, whoever lost contact first.
-func (k *core) waitOut() time.Duration { return 2*k.config.lending.Lease + k.maxRun() }
+// loanEndTimeout returns the time after which the loans that an entry VM gave or
+// took have expired and the requests on them have ended, whichever side lost
+// contact first.
+func (k *core) loanEndTimeout() time.Duration { return 2*k.config.lending.Lease + k.maxRun() }
 
-// portion is the part of a lost entry VM's share that falls to this one.
-func (k *core) portion(successors []model.NodeID, lost model.NodeID) []lending.Count {
+// inheritedSlots returns the part of a lost entry VM's share that this one uses.
+func (k *core) inheritedSlots(successors []model.NodeID, lost model.NodeID) []lending.Count {
 	var out []lending.Count
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
@@ -120,9 +123,9 @@
 	return out
 }
 
-// handOver leaves the own share to the others when this entry VM stops. What is
-// lent or in use stays out of it.
-func (k *core) handOver() {
+// handOverShare hands the own share over to other entry VMs when this one stops,
+// without the slots that are lent or in use.
+func (k *core) handOverShare() {
 	var successors []model.NodeID
 	for _, n := range k.config.nodes {
 		if n != k.config.self && slices.Contains(k.live, n) {
@@ -132,103 +135,104 @@
 	if len(successors) == 0 {
 		return
 	}
-	left := map[model.NodeID][]lending.Count{}
+	slotsFor := map[model.NodeID][]lending.Count{}
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
-		if n := k.own(id) - i.InUse; n > 0 {
+		if n := k.ownSlots(id) - i.InUse; n > 0 {
 			successor := k.successor(successors, k.config.self, id)
-			left[successor] = append(left[successor], lending.Count{Instance: id, Slots: n})
+			slotsFor[successor] = append(slotsFor[successor], lending.Count{Instance: id, Slots: n})
 		}
 	}
 	k.handedOver = true
-	k.recountAll()
+	k.updateAllAllowed()
 	for _, n := range successors {
-		if len(left[n]) > 0 {
-			r := lending.Request{Service: k.service.ID, Borrower: k.config.self, Incarnation: k.config.incarnation, Handover: left[n], Receiver: k.processes[n]}
-			k.out.sends = append(k.out.sends, send{n, r})
+		if len(slotsFor[n]) > 0 {
+			r := lending.Request{Service: k.service.ID, Borrower: k.config.self, Incarnation: k.config.incarnation, Handover: slotsFor[n], Receiver: k.incarnations[n]}
+			k.pendingEffects.calls = append(k.pendingEffects.calls, peerCall{n, r})
 		}
 	}
 }
 
-// receiveHandover takes in what an entry VM left that stops.
+// receiveHandover records the slots that a stopping entry VM hands over.
 func (k *core) receiveHandover(r lending.Request, now model.Instant) {
-	if r.Receiver != k.config.incarnation || !k.known(r) {
+	if r.Receiver != k.config.incarnation || !k.recordIncarnation(r) {
 		return
 	}
 	k.handovers[r.Borrower] = handover{r.Incarnation, r.Handover}
-	k.tookOverAt = 0
-	k.takeOver(now)
-	k.recountAll()
-	k.settle(now)
+	k.lastTakeOver = 0
+	k.takeOverShares(now)
+	k.updateAllAllowed()
+	k.distribute(now)
 }
 
-// known takes note of the process that a message comes from, and reports
-// false when a later one was heard of: what an earlier process left ends when
-// a later one starts.
-func (k *core) known(r lending.Request) bool {
-	if r.Incarnation < k.processes[r.Borrower] {
+// recordIncarnation records the process that sent a message. It reports false if
+// a later process of that entry VM is already known. What an earlier process
+// handed over ends when a later one starts.
+func (k *core) recordIncarnation(r lending.Request) bool {
+	if r.Incarnation < k.incarnations[r.Borrower] {
 		return false
 	}
-	k.processes[r.Borrower] = r.Incarnation
-	if left, ok := k.handovers[r.Borrower]; ok && left.incarnation < r.Incarnation {
+	k.incarnations[r.Borrower] = r.Incarnation
+	if handedOver, ok := k.handovers[r.Borrower]; ok && handedOver.incarnation < r.Incarnation {
 		delete(k.handovers, r.Borrower)
 	}
 	return true
 }
 
-// recoverGrace is how long after its start an entry VM waits for another one
-// that is not live to say what it holds: as long as a lease.
-const recoverGrace = 2
+// recoverGraceLeases is how long after its start an entry VM waits for others
+// that are not live to report what they hold, as a multiple of the lease.
+const recoverGraceLeases = 2
 
-// recoverTries is how often it asks again within a lease.
-const recoverTries = 10
+// recoverTriesPerLease is how often the recovery request is sent within a lease.
+const recoverTriesPerLease = 10
 
-// recover asks the other entry VMs what they hold of the shares of an earlier
-// process of this one. Without it a restarted entry VM would use slots that
-// are still lent.
-func (k *core) recover(now model.Instant) {
+// requestRecovery asks the other entry VMs which slots they hold from an earlier
+// process of this one. Otherwise a restarted entry VM would use slots that are
+// still lent.
+func (k *core) requestRecovery(now model.Instant) {
 	if len(k.unrecovered) == 0 {
 		return
 	}
-	if now.Sub(k.asked) < k.config.lending.Lease/recoverTries {
+	if now.Sub(k.lastRecoveryRequest) < k.config.lending.Lease/recoverTriesPerLease {
 		return
 	}
-	k.asked = now
-	age := now.Sub(k.started)
-	old := age >= recoverGrace*k.config.lending.Lease
-	if !k.majority() {
-		old = k.config.reclaimAfter > 0 && age >= max(k.config.reclaimAfter, k.waitOut())
+	k.lastRecoveryRequest = now
+	uptime := now.Sub(k.started)
+	graceOver := uptime >= recoverGraceLeases*k.config.lending.Lease
+	if !k.hasMajority() {
+		graceOver = k.config.reclaimAfter > 0 && uptime >= max(k.config.reclaimAfter, k.loanEndTimeout())
 	}
 	for _, n := range k.config.nodes {
 		if !k.unrecovered[n] {
 			continue
 		}
-		if old && !slices.Contains(k.live, n) {
+		if graceOver && !slices.Contains(k.live, n) {
 			delete(k.unrecovered, n)
 			continue
 		}
-		k.out.sends = append(k.out.sends, send{n, lending.Request{
+		k.pendingEffects.calls = append(k.pendingEffects.calls, peerCall{n, lending.Request{
 			Service: k.service.ID, Borrower: k.config.self, Incarnation: k.config.incarnation, Recover: true,
 		}})
 	}
 }
 
-// recovered takes in what another entry VM holds of an earlier process here.
-func (k *core) recovered(from model.NodeID, r lending.Reply, now model.Instant) {
+// receiveRecovery records which slots another entry VM holds from an earlier
+// process of this one.
+func (k *core) receiveRecovery(from model.NodeID, r lending.Reply, now model.Instant) {
 	if !k.unrecovered[from] {
 		return
 	}
 	if r.Debt != nil {
-		k.ledger.Adopt(from, *r.Debt, now)
-		k.processes[from] = max(k.processes[from], r.Debt.Incarnation)
+		k.lender.Adopt(from, *r.Debt, now)
+		k.incarnations[from] = max(k.incarnations[from], r.Debt.Incarnation)
 	}
 	delete(k.unrecovered, from)
-	k.recountAll()
-	k.settle(now)
+	k.updateAllAllowed()
+	k.distribute(now)
 }
 
-// holding answers what is held of another entry VM that restarted.
-func (k *core) holding(r lending.Request) lending.Reply {
-	k.known(r)
-	return lending.Reply{Debt: k.book.Restarted(r.Borrower)}
+// recoveryReply returns the slots that are held of an entry VM that restarted.
+func (k *core) recoveryReply(r lending.Request) lending.Reply {
+	k.recordIncarnation(r)
+	return lending.Reply{Debt: k.borrower.Restarted(r.Borrower)}
 }
--- a/internal/slots/types.go
+++ b/internal/slots/types.go
@@ -1,4 +1,4 @@
-// Package slots hands out the slots of upstream instances to requests, so
+// Package slots grants the slots of upstream instances to requests. It ensures
 // that all entry VMs together never knowingly exceed an instance's limits.
 package slots
 
@@ -10,18 +10,20 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ask is what a request needs before it may be sent.
+// Ask describes a request that needs a slot before it may be sent.
 type Ask struct {
 	Service  model.ServiceID
 	Team     model.TeamID
 	Priority model.Priority
-	// Deadline is when the caller gives up; the ask is dropped unrun then.
+	// Deadline is when the caller gives up. A request that has no slot by then is
+	// dropped without being run.
 	Deadline model.Instant
-	// Avoid is the instance that failed the attempt before; empty for none.
+	// Avoid is the instance at which the previous attempt failed; empty for none.
 	Avoid model.InstanceID
 }
 
-// Outcome says how an attempt at an instance ended, for outlier ejection.
+// Outcome is how an attempt at an instance ended; it is used for outlier
+// ejection.
 type Outcome = balance.Outcome
 
 // The outcomes of an attempt; see package balance.
@@ -32,7 +34,7 @@
 	Abandoned = balance.Abandoned
 )
 
-// Grant is one slot at one instance. It must be released exactly once.
+// Grant is a slot at one instance. It must be released exactly once.
 type Grant struct {
 	Upstream model.Upstream
 	release  func(Outcome)
@@ -43,25 +45,27 @@
 	return &Grant{Upstream: u, release: release}
 }
 
-// Release gives the slot back.
+// Release returns the slot.
 func (g *Grant) Release(o Outcome) { g.release(o) }
 
-// Rejection is the error of an ask that gets no slot. The request was not run.
+// Rejection is the error of a request that gets no slot. The request was not
+// run.
 type Rejection struct {
-	// Reason is for the caller, in words.
+	// Reason is a text for the caller.
 	Reason string
-	// RetryAfter says when to come back.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
-	// Unknown says that the service does not exist.
+	// Unknown is true if the service does not exist.
 	Unknown bool
 }
 
 // Error returns the reason.
 func (r *Rejection) Error() string { return r.Reason }
 
-// Broker hands out slots. Acquire answers at once when the ask can't be met
-// by its deadline; otherwise it waits in the service's queue. Its error is a
-// *Rejection, or ctx's error when the caller went away.
+// Broker grants slots. Acquire returns a slot or a rejection at once if it can;
+// otherwise it waits in the service's queue. A request whose deadline can't be
+// met is rejected at once. The error is a *Rejection, or ctx's error when the
+// caller has gone away.
 type Broker interface {
-	Acquire(ctx context.Context, ask Ask) (*Grant, error)
+	Acquire(ctx context.Context, request Ask) (*Grant, error)
 }
