--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,9 +1,9 @@
-// Package admission holds the requests that wait for a slot of a service: a
-// bounded queue by priority, an estimate of when a slot comes, and quotas of
-// teams.
+// Package admission decides which requests wait for a slot of a service. It has
+// a bounded priority queue, an estimate of when a slot becomes free, and quotas
+// of teams.
 //
-// A request that can't start before its deadline by the measured rate is
-// refused at once with the time to come back, and so is one that is shed when
-// the queue is full. Nothing here reads a clock. The types are not safe for
-// concurrent use; the caller holds a lock.
+// A request is refused at once, with the time after which to retry, when the
+// measured rate shows that it can't start before its deadline, or when it is
+// shed because the queue is full. No code in this package reads a clock. The
+// types are not safe for concurrent use; their user holds a lock.
 package admission
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,24 +10,26 @@
 
 // Options tune a queue. Zero values take the defaults.
 type Options struct {
-	// AgeingAfter is when batch work counts as old.
+	// AgeingAfter is how long a batch request must wait to count as aged.
 	AgeingAfter time.Duration
-	// AgeingEvery: while batch work is old, one in so many requests that are
-	// not urgent is batch.
+	// AgeingEvery is the number of requests that are not urgent of which one is
+	// batch while an aged batch request waits.
 	AgeingEvery int
-	// Rules switches rules off; for tests only.
+	// Rules disables rules; for tests only.
 	Rules Rules
 }
 
-// Rules names the rules that tests switch off one by one.
+// Rules lists the rules that tests disable one by one.
 type Rules struct {
 	// IgnorePriority serves in order of arrival.
 	IgnorePriority bool
 	// RunExpired runs requests whose deadline has passed.
 	RunExpired bool
-	// KeepHopeless lets requests wait that can't start before their deadline.
+	// KeepHopeless keeps requests that are not expected to start before their
+	// deadline.
 	KeepHopeless bool
-	// ShedNewcomer refuses the newcomer when the queue is full, whatever waits.
+	// ShedNewcomer refuses each new request while the queue is full, whatever the
+	// priorities of the waiting ones.
 	ShedNewcomer bool
 }
 
@@ -37,15 +39,16 @@
 	DefaultAgeingEvery = 8
 )
 
-// Bounds of RetryAfter.
+// Bounds of Refusal.RetryAfter.
 const (
 	MinRetryAfter = 100 * time.Millisecond
 	MaxRetryAfter = time.Minute
 )
 
-// hopelessFactor is how far the estimate of a waiting request must miss its
-// deadline until it is given up; the estimate is a mean and errs.
-const hopelessFactor = 1.5
+// estimateTolerance is how many times the time left before its deadline the
+// expected wait of a queued request must exceed before the request is dropped.
+// The tolerance is needed because the estimate is a mean.
+const estimateTolerance = 1.5
 
 // Ticket is one request in the queue.
 type Ticket[T any] struct {
@@ -53,10 +56,11 @@
 	Priority model.Priority
 	Deadline model.Instant
 	Entered  model.Instant
-	place    *list.Element
+	element  *list.Element
 }
 
-// Refusal says why a request was given up and when to come back.
+// Refusal is the reason why a request was refused or dropped, with the time
+// after which to retry.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -65,7 +69,7 @@
 // Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
-// Dropped is a ticket that left the queue unrun.
+// Dropped is a ticket that left the queue without being run.
 type Dropped[T any] struct {
 	Ticket  *Ticket[T]
 	Refusal *Refusal
@@ -77,8 +81,8 @@
 	rate    Rate
 	classes [3]list.List // batch, normal, urgent
 	length  int
-	// turns counts what was taken, urgent apart, since batch last was.
-	turns int
+	// takenSinceBatch counts the normal requests taken since the last batch one.
+	takenSinceBatch int
 }
 
 // NewQueue returns an empty queue.
@@ -94,16 +98,17 @@
 
 const classes = 3
 
-// Class is the index of a priority, 0 for batch to 2 for urgent.
+// Class returns the index of a priority: 0 for batch to 2 for urgent.
 func Class(p model.Priority) int { return int(min(max(p, model.Batch), model.Urgent)) + 1 }
 
-// Len is the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Waiting is the number of requests of one priority that wait.
+// Waiting returns the number of waiting requests of one priority.
 func (q *Queue[T]) Waiting(p model.Priority) int { return q.classes[Class(p)].Len() }
 
-// Expired reports whether a request must not run any more.
+// Expired reports whether the deadline of a request has passed, so that it must
+// not run.
 func (q *Queue[T]) Expired(t *Ticket[T], now model.Instant) bool {
 	return now >= t.Deadline && !q.options.Rules.RunExpired
 }
@@ -111,9 +116,10 @@
 // Rate returns the queue's estimate of the service rate.
 func (q *Queue[T]) Rate() *Rate { return &q.rate }
 
-// Offer enters a request. Slots is how many requests run at once and capacity
-// bounds the queue. It returns the ticket, or why the request is refused; and
-// the ticket that had to go for it, which must get its final answer at once.
+// Offer adds a request to the queue. Slots is how many requests run at once;
+// capacity bounds the queue. It returns a refusal if the request was not added,
+// and the ticket that was shed for it, if any, which must get its final answer at
+// once.
 func (q *Queue[T]) Offer(t *Ticket[T], slots, capacity int, now model.Instant) (*Refusal, *Dropped[T]) {
 	t.Entered = now
 	if now >= t.Deadline {
@@ -132,7 +138,7 @@
 		q.Remove(victim)
 		shed = &Dropped[T]{victim, q.refuse("shed for a request of higher priority", slots)}
 	}
-	t.place = q.list(t.Priority).PushBack(t)
+	t.element = q.list(t.Priority).PushBack(t)
 	q.length++
 	return nil, shed
 }
@@ -144,7 +150,7 @@
 	return &q.classes[Class(p)]
 }
 
-// ahead counts the requests that go before a new one of priority p.
+// ahead returns the number of requests that precede a new one of priority p.
 func (q *Queue[T]) ahead(p model.Priority) int {
 	ahead := 0
 	for c := Class(p); c < classes; c++ {
@@ -153,7 +159,7 @@
 	return ahead
 }
 
-// victim is the newest request of the lowest priority below p.
+// victim returns the newest request of the lowest priority below p, or nil.
 func (q *Queue[T]) victim(p model.Priority) *Ticket[T] {
 	if q.options.Rules.ShedNewcomer {
 		return nil
@@ -166,38 +172,41 @@
 	return nil
 }
 
-// refuse computes when to come back: when what waits now should be done.
+// refuse returns a refusal whose RetryAfter is when the requests that wait now
+// are expected to have been served.
 func (q *Queue[T]) refuse(reason string, slots int) *Refusal {
 	wait := q.rate.Wait(q.length, slots)
 	return &Refusal{Reason: reason, RetryAfter: min(max(wait, MinRetryAfter), MaxRetryAfter)}
 }
 
-// Remove takes a ticket out of the queue; it reports false when it was not in.
+// Remove removes a ticket from the queue. It reports false if the ticket was not
+// queued.
 func (q *Queue[T]) Remove(t *Ticket[T]) bool {
-	if t.place == nil {
+	if t.element == nil {
 		return false
 	}
-	q.list(t.Priority).Remove(t.place)
-	t.place = nil
+	q.list(t.Priority).Remove(t.element)
+	t.element = nil
 	q.length--
 	return true
 }
 
 // Each calls f for the waiting tickets in the order in which they should run,
-// until f returns false. F may take the ticket that it was called with.
+// until f returns false. The function f may take the ticket that it is called
+// with.
 func (q *Queue[T]) Each(now model.Instant, f func(t *Ticket[T]) bool) {
-	if old := q.oldBatch(now); old != nil && q.classes[Class(model.Urgent)].Len() == 0 {
-		if !f(old) {
+	if aged := q.agedBatch(now); aged != nil && q.classes[Class(model.Urgent)].Len() == 0 {
+		if !f(aged) {
 			return
 		}
 	}
 	for c := classes - 1; c >= 0; c-- {
-		for at := q.classes[c].Front(); at != nil; {
-			next := at.Next()
-			if !f(at.Value.(*Ticket[T])) {
+		for element := q.classes[c].Front(); element != nil; {
+			next := element.Next()
+			if !f(element.Value.(*Ticket[T])) {
 				return
 			}
-			at = next
+			element = next
 		}
 	}
 }
@@ -212,7 +221,7 @@
 	return first
 }
 
-// Oldest returns when the oldest waiting request of a priority came.
+// Oldest returns when the oldest waiting request of a priority was queued.
 func (q *Queue[T]) Oldest(p model.Priority) (model.Instant, bool) {
 	first := q.list(p).Front()
 	if first == nil {
@@ -221,12 +230,12 @@
 	return first.Value.(*Ticket[T]).Entered, true
 }
 
-// oldBatch is the batch request whose turn has come by age: without this
-// floor a steady stream of normal requests would starve batch work. Urgent
-// requests never wait for it.
-func (q *Queue[T]) oldBatch(now model.Instant) *Ticket[T] {
+// agedBatch returns the batch request that is due because of its age, or nil.
+// Without ageing a steady stream of normal requests would starve batch requests.
+// Urgent requests never wait for an aged one.
+func (q *Queue[T]) agedBatch(now model.Instant) *Ticket[T] {
 	first := q.classes[Class(model.Batch)].Front()
-	if first == nil || q.turns < q.options.AgeingEvery-1 {
+	if first == nil || q.takenSinceBatch < q.options.AgeingEvery-1 {
 		return nil
 	}
 	t := first.Value.(*Ticket[T])
@@ -243,22 +252,22 @@
 	}
 	switch t.Priority {
 	case model.Batch:
-		q.turns = 0
+		q.takenSinceBatch = 0
 	case model.Normal:
-		q.turns++
+		q.takenSinceBatch++
 	}
 }
 
-// Sweep drops the requests whose deadline has passed and those that can't
-// start before it any more. Each must get its final answer at once.
+// Sweep drops the requests whose deadline has passed and those that are no
+// longer expected to start before it. Each must get its final answer at once.
 func (q *Queue[T]) Sweep(slots int, now model.Instant) []Dropped[T] {
 	var dropped []Dropped[T]
 	position := 0
 	for c := classes - 1; c >= 0; c-- {
-		for at := q.classes[c].Front(); at != nil; {
-			t := at.Value.(*Ticket[T])
-			at = at.Next()
-			reason := q.hopeless(t, position, slots, now)
+		for element := q.classes[c].Front(); element != nil; {
+			t := element.Value.(*Ticket[T])
+			element = element.Next()
+			reason := q.dropReason(t, position, slots, now)
 			if reason == "" {
 				position++
 				continue
@@ -270,19 +279,20 @@
 	return dropped
 }
 
-func (q *Queue[T]) hopeless(t *Ticket[T], position, slots int, now model.Instant) string {
+// dropReason returns why a request must be dropped, or "" to keep it.
+func (q *Queue[T]) dropReason(t *Ticket[T], position, slots int, now model.Instant) string {
 	if q.Expired(t, now) {
 		return "no slot came free before the deadline"
 	}
 	wait := q.rate.Wait(position, slots)
 	left := t.Deadline.Sub(now)
-	if float64(wait) > hopelessFactor*float64(left) && !q.options.Rules.KeepHopeless {
+	if float64(wait) > estimateTolerance*float64(left) && !q.options.Rules.KeepHopeless {
 		return "no slot is expected before the deadline any more"
 	}
 	return ""
 }
 
-// Check returns the invariants that are broken; none when all is well.
+// Check returns the broken invariants, or none.
 func (q *Queue[T]) Check() []string {
 	sum := 0
 	for c := range q.classes {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// TestBatchIsNotStarved: under a steady stream of normal requests batch work
-// gets its part once it is old; urgent requests go before it all the same.
+// TestBatchIsNotStarved checks that aged batch requests get their part under a
+// steady stream of normal requests, and that urgent requests still precede them.
 func TestBatchIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue[int](Options{})
@@ -33,7 +33,7 @@
 	for range 50 {
 		take()
 	}
-	is.Equal(taken[model.Batch], 0) // Not old yet.
+	is.Equal(taken[model.Batch], 0) // Not aged yet.
 	now = now.Add(DefaultAgeingAfter)
 	for range 80 {
 		take()
@@ -46,9 +46,9 @@
 	is.Equal(taken[model.Urgent], 30)
 }
 
-// TestRandomQueue: any mix of requests gets exactly one answer each, the order
-// is by priority, expired work is never taken, and when the queue is full the
-// newest of the lowest priority goes.
+// TestRandomQueue checks for random sequences that each request gets exactly one
+// answer, that the order is by priority, that expired requests are never taken,
+// and that a full queue sheds the newest request of the lowest priority.
 func TestRandomQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if broken := randomQueue(t, Options{}); broken != "" {
@@ -64,14 +64,14 @@
 	answer := func(d *Dropped[*int]) {
 		*d.Ticket.Value++
 		if d.Refusal.RetryAfter < MinRetryAfter {
-			broken = "no time to come back"
+			broken = "the refusal has no retry delay"
 		}
 	}
 	var all []*int
 	inQueue := func(p model.Priority) int {
 		n := 0
 		for _, ticket := range waiting {
-			if ticket.place != nil && ticket.Priority == p {
+			if ticket.element != nil && ticket.Priority == p {
 				n++
 			}
 		}
@@ -95,13 +95,13 @@
 			if refusal != nil {
 				answers++
 				if q.Len() >= 5 && lower > 0 && ticket.Deadline > now && q.Rate().Wait(q.ahead(ticket.Priority), 2) <= ticket.Deadline.Sub(now) {
-					broken = "refused for requests of lower priority"
+					broken = "a request was refused while requests of lower priority waited"
 				}
 			}
 			if shed != nil {
 				answer(shed)
 				if shed.Ticket.Priority >= ticket.Priority {
-					broken = "shed for a request of no higher priority"
+					broken = "a request was shed for one that has no higher priority"
 				}
 			}
 			waiting = append(waiting, ticket)
@@ -111,11 +111,11 @@
 				break
 			}
 			if now >= first.Deadline {
-				broken = "ran after its deadline"
+				broken = "a request was taken after its deadline"
 			}
 			for p := first.Priority + 1; p <= model.Urgent; p++ {
 				if inQueue(p) > 0 && (p == model.Urgent || first.Priority == model.Normal) {
-					broken = "a lower priority went first"
+					broken = "a request of lower priority was taken first"
 				}
 			}
 			q.Take(first)
@@ -128,8 +128,8 @@
 				answer(&dropped)
 			}
 			for _, ticket := range waiting {
-				if *ticket.Value == 0 && now >= ticket.Deadline && ticket.place != nil {
-					broken = "left waiting after its deadline"
+				if *ticket.Value == 0 && now >= ticket.Deadline && ticket.element != nil {
+					broken = "a request still waits after its deadline"
 				}
 			}
 		}
@@ -142,7 +142,7 @@
 	}
 	for _, answers := range all {
 		if *answers != 1 {
-			return "a request got none or two answers"
+			return "a request did not get exactly one answer"
 		}
 	}
 	return broken
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// rateWeight is the weight of a new sample in the mean: about the last 32.
+// rateWeight is the weight of a new sample in the exponential mean, which covers
+// about the last 32 samples.
 const rateWeight = 1.0 / 32
 
-// Rate estimates how fast slots come free from how long requests hold them.
+// Rate estimates how fast slots become free from how long requests hold them.
 type Rate struct {
 	mean    float64 // nanoseconds
 	samples int
 }
 
-// Observe learns how long a request held its slot.
+// Observe records how long a request held its slot.
 func (r *Rate) Observe(held time.Duration) {
 	r.samples++
 	weight := max(rateWeight, 1/float64(r.samples))
 	r.mean += weight * (float64(held) - r.mean)
 }
 
-// Mean is the mean time that a request holds a slot; 0 until one was seen.
+// Mean returns the mean time that a request holds a slot; 0 before the first
+// sample.
 func (r *Rate) Mean() time.Duration { return time.Duration(r.mean) }
 
-// Wait estimates when a request starts that has so many ahead of it, with so
-// many slots that all are in use: slots come free at slots/mean a second. It
-// is 0 while nothing was measured.
+// Wait estimates how long a request waits that has the given number of requests
+// ahead of it while all slots are in use: slots become free at a rate of
+// slots/mean. It returns 0 before the first sample.
 func (r *Rate) Wait(ahead, slots int) time.Duration {
 	if r.samples == 0 {
 		return 0
