--- a/internal/agent/static.go
+++ b/internal/agent/static.go
@@ -16,7 +16,7 @@
 }
 
 // Acquire implements slots.Broker.
-func (c staticCount) Acquire(ctx context.Context, ask slots.Ask) (*slots.Grant, error) {
+func (c staticCount) Acquire(ctx context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
 	grant, err := c.Broker.Acquire(ctx, ask)
 	if err == nil && !c.heartbeats.Ready() {
 		c.heartbeats.CountServed()
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -83,7 +83,7 @@
 	held int
 }
 
-func (b *listBroker) Acquire(ctx context.Context, ask slots.Ask) (*slots.Grant, error) {
+func (b *listBroker) Acquire(ctx context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.list {
--- a/internal/caller/path_test.go
+++ b/internal/caller/path_test.go
@@ -158,7 +158,7 @@
 // recordingBroker records the deadline of the last request for a slot.
 type recordingBroker struct{ deadline model.Instant }
 
-func (b *recordingBroker) Acquire(_ context.Context, ask slots.Ask) (*slots.Grant, error) {
+func (b *recordingBroker) Acquire(_ context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
 	b.deadline = ask.Deadline
 	return nil, &slots.Rejection{Reason: "none", RetryAfter: 7 * time.Second}
 }
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -86,7 +86,7 @@
 
 // acquire waits for a slot. All its failures are not-run.
 func (s *Server) acquire(ctx context.Context, q *request, avoid model.InstanceID) (*slots.Grant, *failure) {
-	grant, err := s.Broker.Acquire(ctx, slots.Ask{
+	grant, err := s.Broker.Acquire(ctx, slots.SlotRequest{
 		Service:  q.service.ID,
 		Team:     q.team,
 		Priority: q.priority,
@@ -106,7 +106,7 @@
 func acquireFailure(err error) *failure {
 	var rejection *slots.Rejection
 	switch {
-	case errors.As(err, &rejection) && rejection.Unknown:
+	case errors.As(err, &rejection) && rejection.UnknownService:
 		return refuse(http.StatusNotFound, rejection.Reason)
 	case errors.As(err, &rejection):
 		return overloaded(rejection.Reason, rejection.RetryAfter)
--- a/internal/slots/allocate.go
+++ b/internal/slots/allocate.go
@@ -22,18 +22,18 @@
 	}
 	k.recallSlots(now)
 	k.planRequests(now)
-	k.pendingEffects.replies = append(k.pendingEffects.replies, k.lender.Answers(now)...)
-	k.needsTick = k.needsTick || k.borrower.Waits()
+	k.pendingEffects.replies = append(k.pendingEffects.replies, k.lender.DueReplies(now)...)
+	k.needsTick = k.needsTick || k.borrower.RequestDueSoon()
 }
 
 // allocate gives the free slots to requests that wait here and at borrowers:
 // the higher class first, within a class the longer wait.
 func (k *core) allocate(now model.Instant) {
-	k.lender.DropUrgent(now)
+	k.lender.ExpireUrgentDemand(now)
 	localDone := k.queue.Len() == 0
 	var skip map[model.NodeID]bool
 	for {
-		demand, remote := k.lender.Best(skip)
+		demand, remote := k.lender.BestDemand(skip)
 		if localDone && !remote {
 			return
 		}
@@ -97,10 +97,10 @@
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
 		free := k.set.FreeSlots(i, now)
-		if k.config.lending.Rules.LendBlind {
+		if k.config.lending.Rules.LendSlotsInUse {
 			free = max(free, 1)
 		}
-		if free > most && k.ownSlots(id) > 0 && !k.lender.Avoids(d.Node, id) {
+		if free > most && k.ownSlots(id) > 0 && !k.lender.AvoidsInstance(d.Node, id) {
 			best, most = id, free
 		}
 	}
@@ -137,7 +137,7 @@
 		need += k.queue.Waiting(p)
 		k.lender.Recall(classOf(p), oldest.Add(-k.localMargin(classOf(p))), need, "")
 	}
-	if d, ok := k.lender.Best(nil); ok && d.Class == classOf(model.Urgent) {
+	if d, ok := k.lender.BestDemand(nil); ok && d.Class == classOf(model.Urgent) {
 		k.lender.Recall(d.Class, d.Since, need+1, d.Node)
 	}
 }
@@ -147,9 +147,9 @@
 // slots would constantly move between entry VMs.
 func (k *core) localMargin(class int) time.Duration {
 	if class == classOf(model.Urgent) {
-		return k.config.lending.UrgentMargin
+		return k.config.lending.UrgentLocalMargin
 	}
-	return k.config.lending.Margin
+	return k.config.lending.LocalMargin
 }
 
 // classOf returns the index of a priority in the messages of lending.
@@ -169,7 +169,7 @@
 
 // receiveReply processes a lender's reply.
 func (k *core) receiveReply(lender model.NodeID, number uint64, r lending.Reply, now model.Instant) {
-	if !k.borrower.Apply(lender, number, r, now) {
+	if !k.borrower.ApplyReply(lender, number, r, now) {
 		return
 	}
 	k.updateAllAllowed()
@@ -178,6 +178,6 @@
 
 // requestFailed records that a request got no reply.
 func (k *core) requestFailed(lender model.NodeID, number uint64, now model.Instant) {
-	k.borrower.Fail(lender, number)
+	k.borrower.RequestFailed(lender, number)
 	k.distribute(now)
 }
--- a/internal/slots/borrow.go
+++ b/internal/slots/borrow.go
@@ -37,7 +37,7 @@
 func (k *core) planRequests(now model.Instant) {
 	k.returnIdleLoans(now)
 	needed := k.demand(now)
-	if needed.empty() && k.borrower.Quiet() {
+	if needed.empty() && k.borrower.Idle() {
 		k.lastDemand = demand{}
 		return
 	}
@@ -49,7 +49,7 @@
 	minInterval := k.minInterval(needed)
 	for position, lender := range lenders {
 		part := k.demandForLender(needed, position, len(lenders))
-		if k.borrower.Due(lender, part, minInterval, now) {
+		if k.borrower.RequestDue(lender, part, minInterval, now) {
 			k.requestSlots(lender, part, now)
 		}
 	}
@@ -76,7 +76,7 @@
 
 // requestSlots sends a lender the slots that are held and wanted.
 func (k *core) requestSlots(lender model.NodeID, wanted [lending.Classes]int, now model.Instant) {
-	r := k.borrower.Request(lender, wanted, k.promisedRun(), true, now)
+	r := k.borrower.NextRequest(lender, wanted, k.promisedRun(), true, now)
 	r.Service = k.service.ID
 	if len(r.Held) == 0 && wanted == [lending.Classes]int{} {
 		r.WaitMS = 0
@@ -122,7 +122,7 @@
 		ahead += waiting
 		age := now.Sub(oldest)
 		expected := max(rate.Wait(ahead-1, k.concurrency()), age)
-		if rate.Mean() > 0 && expected <= k.config.lending.HelpAfter {
+		if rate.Mean() > 0 && expected <= k.config.lending.BorrowAfter {
 			k.needsTick = true
 			continue
 		}
@@ -170,7 +170,8 @@
 	return out
 }
 
-// returnIdleLoans returns the borrowed slots that stayed idle for a whole window.
+// returnIdleLoans returns the borrowed slots that stayed idle for a whole
+// window.
 func (k *core) returnIdleLoans(now model.Instant) {
 	if k.borrower.Total() == 0 {
 		k.idleLoans = idleWindow{now, 0}
@@ -182,7 +183,7 @@
 		return
 	}
 	if k.idleLoans.minIdle > 0 {
-		k.borrower.GiveBack(k.idleLoans.minIdle, func(i model.InstanceID) int {
+		k.borrower.ReturnIdle(k.idleLoans.minIdle, func(i model.InstanceID) int {
 			instance := k.set.Get(i)
 			if instance == nil {
 				return 0
@@ -197,11 +198,11 @@
 // returnAllLoans returns all idle borrowed slots; it is called at a stop.
 func (k *core) returnAllLoans(now model.Instant) {
 	for _, c := range k.borrower.Instances() {
-		k.borrower.Drop(c.Instance)
+		k.borrower.DropInstance(c.Instance)
 	}
 	k.updateAllAllowed()
 	for _, lender := range k.lenders() {
-		if k.borrower.Owes(lender) {
+		if k.borrower.MustReportReturn(lender) {
 			k.requestSlots(lender, [lending.Classes]int{}, now)
 		}
 	}
--- a/internal/slots/chaos_test.go
+++ b/internal/slots/chaos_test.go
@@ -103,7 +103,7 @@
 	}
 	for waiting, t := range c.vms[r.vm].queued {
 		left := t.Deadline.Sub(c.now)
-		if waiting.priority == model.Urgent && left > 0 && left <= core.borrower.Promised() {
+		if waiting.priority == model.Urgent && left > 0 && left <= core.borrower.PromisedRun() {
 			c.recordViolation("a %s request started while an urgent one waited", r.priority)
 		}
 	}
@@ -164,8 +164,8 @@
 	}
 }
 
-// drain stops an entry VM gracefully: it accepts no more requests, finishes those
-// it has, hands its slots over and exits. It restarts after length.
+// drain stops an entry VM gracefully: it accepts no more requests, finishes
+// those it has, hands its slots over and exits. It restarts after length.
 func (c *faultRun) drain(vm *simVM, length time.Duration) {
 	if !vm.alive {
 		return
@@ -287,12 +287,12 @@
 		lending lending.Rules
 		queue   admission.Rules
 	}{
-		"free a loan when its lease ends":     {lending: lending.Rules{FreeAtLapse: true}},
-		"use a loan after its lease":          {lending: lending.Rules{UseLapsed: true}},
-		"accept requests that were overtaken": {lending: lending.Rules{TakeStale: true}},
-		"apply replies to earlier requests":   {lending: lending.Rules{ApplyStale: true}},
-		"forget recalled slots in use":        {lending: lending.Rules{ForgetRunning: true}},
-		"lend slots that are in use":          {lending: lending.Rules{LendBlind: true}},
+		"free a loan when its lease ends":     {lending: lending.Rules{FreeAtLeaseEnd: true}},
+		"use a loan after its lease":          {lending: lending.Rules{UseExpired: true}},
+		"accept requests that were overtaken": {lending: lending.Rules{AcceptStaleRequests: true}},
+		"apply replies to earlier requests":   {lending: lending.Rules{ApplyStaleReplies: true}},
+		"forget recalled slots in use":        {lending: lending.Rules{DropSlotsInUse: true}},
+		"lend slots that are in use":          {lending: lending.Rules{LendSlotsInUse: true}},
 		"forget loans of an earlier process":  {lending: lending.Rules{SkipRecovery: true}},
 		"serve in order of arrival":           {queue: admission.Rules{IgnorePriority: true}},
 		"run what has expired":                {queue: admission.Rules{RunExpired: true, KeepHopeless: true}},
--- a/internal/slots/clock_test.go
+++ b/internal/slots/clock_test.go
@@ -32,7 +32,7 @@
 	})
 	k = d.state("drafts")
 	k.step(func(model.Instant) {})
-	k.tryAcquire(Ask{Service: "drafts"})
+	k.tryAcquire(SlotRequest{Service: "drafts"})
 	is.Equal(outside, 0)
 }
 
--- a/internal/slots/core.go
+++ b/internal/slots/core.go
@@ -17,8 +17,8 @@
 	service  model.Service
 	set      *balance.Set
 	queue    *admission.Queue[*waiter]
-	borrower *lending.Book
-	lender   *lending.Ledger
+	borrower *lending.Borrower
+	lender   *lending.Lender
 	// shares holds this entry VM's own slots by instance, connectionShares how
 	// many connections it may open to each.
 	shares           map[model.InstanceID]int
@@ -78,7 +78,7 @@
 // effects are the messages that the user of the core must send after a step.
 type effects struct {
 	calls   []peerCall
-	replies []lending.Answer
+	replies []lending.DueReply
 }
 
 // peerCall is a request to another entry VM.
@@ -90,7 +90,7 @@
 // waiter is a waiting request. respond is called exactly once, with a slot or
 // with the reason why there is none.
 type waiter struct {
-	request Ask
+	request SlotRequest
 	respond func(balance.Use, *admission.Refusal)
 }
 
@@ -102,7 +102,7 @@
 		service:          s,
 		set:              balance.New(c.balance, c.zone, c.random),
 		queue:            admission.NewQueue[*waiter](c.admission),
-		lender:           lending.NewLedger(c.lending),
+		lender:           lending.NewLender(c.lending),
 		shares:           map[model.InstanceID]int{},
 		connectionShares: map[model.InstanceID]int{},
 		started:          now,
@@ -112,7 +112,7 @@
 		incarnations: map[model.NodeID]uint64{},
 	}
 	k.config.lending = c.lending.WithDefaults()
-	k.borrower = lending.NewBook(c.self, c.incarnation, c.lending, k.excess)
+	k.borrower = lending.NewBorrower(c.self, c.incarnation, c.lending, k.excess)
 	k.unrecovered = map[model.NodeID]bool{}
 	for _, n := range c.nodes {
 		if c.lendingEnabled && n != c.self && !c.lending.Rules.SkipRecovery {
@@ -168,7 +168,7 @@
 	}
 	for _, c := range k.borrower.Instances() {
 		if !listed[c.Instance] {
-			k.borrower.Drop(c.Instance)
+			k.borrower.DropInstance(c.Instance)
 		}
 	}
 	for i := range k.shares {
@@ -212,7 +212,7 @@
 
 // tryGrant takes a free slot, unless a request of the same or a higher priority
 // is already waiting for one.
-func (k *core) tryGrant(request Ask, now model.Instant) (balance.Use, bool) {
+func (k *core) tryGrant(request SlotRequest, now model.Instant) (balance.Use, bool) {
 	if now >= request.Deadline {
 		return balance.Use{}, false
 	}
@@ -229,10 +229,10 @@
 // pick takes a slot. A request that may run longer than was promised to the
 // lenders must not start on a loan: after the lease has ended, lenders count the
 // loan only for the promised time.
-func (k *core) pick(request Ask, now model.Instant) (balance.Use, bool) {
+func (k *core) pick(request SlotRequest, now model.Instant) (balance.Use, bool) {
 	preference := balance.Preference{Avoid: request.Avoid, Priority: request.Priority}
 	if k.borrower.Total() > 0 {
-		preference.OwnOnly = request.Deadline.Sub(now) > k.borrower.Promised()
+		preference.OwnOnly = request.Deadline.Sub(now) > k.borrower.PromisedRun()
 	}
 	return k.set.Pick(preference, now)
 }
@@ -242,7 +242,7 @@
 	k.set.Done(u, o, now)
 	k.queue.Rate().Observe(now.Sub(u.Started))
 	id := u.Instance.Upstream.Instance
-	k.borrower.Released(id)
+	k.borrower.ReleaseRecalled(id)
 	k.updateAllowed(id)
 	k.distribute(now)
 }
@@ -265,8 +265,8 @@
 		dropped.Ticket.Value.respond(balance.Use{}, dropped.Refusal)
 	}
 	if k.config.lendingEnabled {
-		k.borrower.Lapse(now)
-		k.lender.Tick(now)
+		k.borrower.ExpireLoans(now)
+		k.lender.ExpireLoans(now)
 		k.takeOverShares(now)
 		k.requestRecovery(now)
 		k.updateAllAllowed()
@@ -285,7 +285,7 @@
 // idle reports whether no request waits, no slot is lent or borrowed, and no
 // recovery is pending.
 func (k *core) idle() bool {
-	return k.queue.Len() == 0 && k.lender.Quiet() && k.borrower.Quiet() && len(k.unrecovered) == 0
+	return k.queue.Len() == 0 && k.lender.Idle() && k.borrower.Idle() && len(k.unrecovered) == 0
 }
 
 // concurrency returns how many requests run at once here when all slots are in
--- a/internal/slots/dispatcher.go
+++ b/internal/slots/dispatcher.go
@@ -199,12 +199,13 @@
 	}
 }
 
-// Acquire returns a slot for a request. The error is a *Rejection or ctx's error.
-func (d *Dispatcher) Acquire(ctx context.Context, request Ask) (*Grant, error) {
+// Acquire returns a slot for a request. The error is a *Rejection or ctx's
+// error.
+func (d *Dispatcher) Acquire(ctx context.Context, request SlotRequest) (*Grant, error) {
 	state := d.state(request.Service)
 	if state == nil {
 		d.counters.refused.Inc(1)
-		return nil, &Rejection{Reason: "no such service", Unknown: true}
+		return nil, &Rejection{Reason: "no such service", UnknownService: true}
 	}
 	if err := d.enterTeam(request.Team); err != nil {
 		d.counters.refused.Inc(1)
--- a/internal/slots/dispatcher_test.go
+++ b/internal/slots/dispatcher_test.go
@@ -62,7 +62,7 @@
 }
 
 // acquireAsync starts an Acquire and waits until it is queued or refused.
-func acquireAsync(d *Dispatcher, request Ask) chan acquired {
+func acquireAsync(d *Dispatcher, request SlotRequest) chan acquired {
 	out := make(chan acquired, 1)
 	queued := d.counters.queued.Count() + d.counters.refused.Count()
 	go func() {
@@ -84,13 +84,13 @@
 	d, clock, r := newSingleDispatcher(t, 1, 3)
 	announce(t, r, 1, false, 1)
 	deadline := model.Instant(60_000)
-	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Priority: model.Batch, Deadline: deadline})
+	running, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Priority: model.Batch, Deadline: deadline})
 	is.NoErr(err)
 	var batch []chan acquired
 	for range 3 {
-		batch = append(batch, acquireAsync(d, Ask{Service: "drafts", Priority: model.Batch, Deadline: deadline}))
+		batch = append(batch, acquireAsync(d, SlotRequest{Service: "drafts", Priority: model.Batch, Deadline: deadline}))
 	}
-	urgent := acquireAsync(d, Ask{Service: "drafts", Priority: model.Urgent, Deadline: deadline})
+	urgent := acquireAsync(d, SlotRequest{Service: "drafts", Priority: model.Urgent, Deadline: deadline})
 	shed := <-batch[2]
 	var rejection *Rejection
 	is.True(errors.As(shed.err, &rejection))
@@ -104,21 +104,21 @@
 	is.NoErr((<-batch[0]).err)
 }
 
-// TestQueuedRequestEndsIdleInterval guards against a late refusal: a request that
-// queued while every service was idle was only checked at the end of the idle
-// interval of half a second.
+// TestQueuedRequestEndsIdleInterval guards against a late refusal: a request
+// that queued while every service was idle was only checked at the end of the
+// idle interval of half a second.
 func TestQueuedRequestEndsIdleInterval(t *testing.T) {
 	is := is.New(t)
 	d, _, r := newSingleDispatcher(t, 1, 3)
 	announce(t, r, 1, false, 1)
-	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 60_000})
+	running, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: 60_000})
 	is.NoErr(err)
 	d.Tick()
 	is.Equal(d.nextInterval(), idleTickInterval)
 	for len(d.wakeup) > 0 {
 		<-d.wakeup
 	}
-	waiting := acquireAsync(d, Ask{Service: "drafts", Deadline: 60_000})
+	waiting := acquireAsync(d, SlotRequest{Service: "drafts", Deadline: 60_000})
 	select {
 	case <-d.wakeup:
 	case <-time.After(time.Minute):
@@ -141,7 +141,7 @@
 	announce(t, r, 1, false, 1)
 	first := make(chan acquired, 1)
 	go func() {
-		grant, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 10_000})
+		grant, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: 10_000})
 		// No synchronisation orders the two goroutines before this sleep ends, so
 		// the race detector always sees a read outside the lock.
 		time.Sleep(200 * time.Millisecond)
@@ -149,7 +149,7 @@
 	}()
 	time.Sleep(100 * time.Millisecond)
 	announce(t, r, 2, false, 1, 2)
-	second, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 10_000})
+	second, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: 10_000})
 	is.NoErr(err)
 	got := <-first
 	is.NoErr(got.err)
--- a/internal/slots/lend_test.go
+++ b/internal/slots/lend_test.go
@@ -34,7 +34,8 @@
 	})
 }
 
-// newSite starts dispatchers that lend to each other, each with its own registry.
+// newSite starts dispatchers that lend to each other, each with its own
+// registry.
 func newSite(tb testing.TB, nodes int, service model.Service) ([]*Dispatcher, *loopback) {
 	tb.Helper()
 	l := &loopback{all: map[model.NodeID]*Dispatcher{}, down: map[model.NodeID]bool{}}
@@ -79,8 +80,8 @@
 	site, _ := newSite(t, 3, service)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	newRequest := func(p model.Priority) Ask {
-		return Ask{Service: "drafts", Priority: p, Deadline: model.InstantOf(time.Now().Add(20 * time.Second))}
+	newRequest := func(p model.Priority) SlotRequest {
+		return SlotRequest{Service: "drafts", Priority: p, Deadline: model.InstantOf(time.Now().Add(20 * time.Second))}
 	}
 	var grants []*Grant
 	for range 8 {
@@ -123,11 +124,11 @@
 	announce(t, r, 1, false, 1, 2)
 	announce(t, r, 2, true, 1)
 	for range 8 {
-		grant, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: 1000})
+		grant, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: 1000})
 		is.NoErr(err)
 		is.Equal(grant.Upstream.Instance, model.InstanceID("i2"))
 	}
-	waiting := acquireAsync(d, Ask{Service: "drafts", Deadline: 1000})
+	waiting := acquireAsync(d, SlotRequest{Service: "drafts", Deadline: 1000})
 	announce(t, r, 3, true, 2)
 	d.Tick()
 	got := <-waiting // Rejected at once, as no instance is left to wait for.
@@ -145,15 +146,15 @@
 	d, clock, r := newSingleDispatcher(t, 1, 100)
 	announce(t, r, 1, false, 1)
 	for range 3 { // Each request takes a second, which sets the measured rate.
-		grant, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 5000})
+		grant, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: clock.Now() + 5000})
 		is.NoErr(err)
 		clock.Advance(time.Second)
 		grant.Release(Answered)
 	}
-	running, err := d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 60_000})
+	running, err := d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: clock.Now() + 60_000})
 	is.NoErr(err)
-	patient := acquireAsync(d, Ask{Service: "drafts", Deadline: clock.Now() + 1800})
-	_, err = d.Acquire(context.Background(), Ask{Service: "drafts", Deadline: clock.Now() + 1500})
+	patient := acquireAsync(d, SlotRequest{Service: "drafts", Deadline: clock.Now() + 1800})
+	_, err = d.Acquire(context.Background(), SlotRequest{Service: "drafts", Deadline: clock.Now() + 1500})
 	rejection, ok := err.(*Rejection)
 	is.True(ok)
 	is.Equal(rejection.RetryAfter, 2*time.Second) // The running and the waiting request take that long.
@@ -171,7 +172,7 @@
 		b.Run(mode, func(b *testing.B) {
 			service := model.Service{ID: "drafts", Slots: 8, Connections: 64, QueueLimit: 100, Timeout: 10 * time.Second}
 			site, _ := newSite(b, map[string]int{"alone": 1, "site": 3}[mode], service)
-			request := Ask{Service: "drafts", Deadline: model.InstantOf(time.Now().Add(time.Hour))}
+			request := SlotRequest{Service: "drafts", Deadline: model.InstantOf(time.Now().Add(time.Hour))}
 			for len(site[0].state("drafts").core.unrecovered) > 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -204,7 +205,7 @@
 						Incarnation: 1, Sequence: 1, Slots: 8, Connections: 64,
 					}, 0)
 				}
-				grant, err := d.Acquire(context.Background(), Ask{Service: id, Deadline: 1000})
+				grant, err := d.Acquire(context.Background(), SlotRequest{Service: id, Deadline: 1000})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/slots/lending/book.go
+++ b/internal/slots/lending/book.go
@@ -8,8 +8,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Book is the borrower's side: it records the slots borrowed from each lender.
-type Book struct {
+// Borrower is the borrower's side of lending at one entry VM: it records the
+// slots borrowed from each lender.
+type Borrower struct {
 	options Options
 	self    model.NodeID
 	// incarnation identifies this process.
@@ -47,10 +48,10 @@
 	pendingRun  time.Duration
 }
 
-// NewBook returns an empty book. The function excess returns how many slots of
-// an instance are in use beyond this entry VM's own.
-func NewBook(self model.NodeID, incarnation uint64, o Options, excess func(model.InstanceID) int) *Book {
-	return &Book{
+// NewBorrower returns a borrower without loans. The function excess returns how
+// many slots of an instance are in use beyond this entry VM's own.
+func NewBorrower(self model.NodeID, incarnation uint64, o Options, excess func(model.InstanceID) int) *Borrower {
+	return &Borrower{
 		options: o.WithDefaults(), self: self, incarnation: incarnation, excess: excess,
 		lenders: map[model.NodeID]*lenderRecord{}, usable: map[model.InstanceID]int{}, held: map[model.InstanceID]int{},
 	}
@@ -58,18 +59,18 @@
 
 // Usable returns the number of borrowed slots of an instance that new requests
 // may use, in addition to this entry VM's own.
-func (b *Book) Usable(i model.InstanceID) int { return b.usable[i] }
+func (b *Borrower) Usable(i model.InstanceID) int { return b.usable[i] }
 
 // Held returns the number of borrowed slots of an instance that are in use or
 // usable.
-func (b *Book) Held(i model.InstanceID) int { return b.held[i] }
+func (b *Borrower) Held(i model.InstanceID) int { return b.held[i] }
 
 // Total returns the number of borrowed slots held at all instances.
-func (b *Book) Total() int { return b.total }
+func (b *Borrower) Total() int { return b.total }
 
-// Promised returns the shortest run time that was promised to the lenders of
+// PromisedRun returns the shortest run time that was promised to the lenders of
 // usable loans. A request that may run longer must not start on a loan.
-func (b *Book) Promised() time.Duration {
+func (b *Borrower) PromisedRun() time.Duration {
 	least := maxDuration
 	for _, rec := range b.sorted {
 		if len(rec.usable) > 0 {
@@ -79,19 +80,19 @@
 	return least
 }
 
-// Restarted returns what is held of a lender whose process restarted. Replies
-// of the earlier process that are still in flight are ignored from now on: the
-// new process doesn't know of the slots that they grant.
-func (b *Book) Restarted(lender model.NodeID) *Debt {
+// LenderRestarted returns what is held of a lender whose process restarted.
+// Replies of the earlier process that are still in flight are ignored from now
+// on: the new process doesn't know of the slots that they grant.
+func (b *Borrower) LenderRestarted(lender model.NodeID) *Recovery {
 	rec := b.lenders[lender]
 	if rec == nil {
-		return &Debt{Incarnation: b.incarnation}
+		return &Recovery{Incarnation: b.incarnation}
 	}
 	rec.awaitingReply = false
-	return &Debt{Held: rec.holdings(), RunMS: rec.promisedRun.Milliseconds(), Incarnation: b.incarnation, Number: rec.number}
+	return &Recovery{Held: rec.holdings(), RunMS: rec.promisedRun.Milliseconds(), Incarnation: b.incarnation, Number: rec.number}
 }
 
-func (b *Book) record(lender model.NodeID) *lenderRecord {
+func (b *Borrower) record(lender model.NodeID) *lenderRecord {
 	rec := b.lenders[lender]
 	if rec == nil {
 		rec = &lenderRecord{lender: lender, usable: map[model.InstanceID]int{}, held: map[model.InstanceID]int{}}
@@ -102,9 +103,9 @@
 	return rec
 }
 
-// Request builds the next request to a lender. Run is the longest time that a
-// request started on a loan may take; wait lets the lender hold the reply.
-func (b *Book) Request(lender model.NodeID, wanted [Classes]int, run time.Duration, wait bool, now model.Instant) Request {
+// NextRequest builds the next request to a lender. Run is the longest time that
+// a request started on a loan may take; wait lets the lender hold the reply.
+func (b *Borrower) NextRequest(lender model.NodeID, wanted [Classes]int, run time.Duration, wait bool, now model.Instant) Request {
 	rec := b.record(lender)
 	rec.number++
 	rec.awaitingReply = true
@@ -133,11 +134,11 @@
 	return out
 }
 
-// Apply processes the reply to the latest request. It reports false for a reply
-// to an earlier one: the lender has updated its records since.
-func (b *Book) Apply(lender model.NodeID, number uint64, r Reply, now model.Instant) bool {
+// ApplyReply processes the reply to the latest request. It reports false for a
+// reply to an earlier one: the lender has updated its records since.
+func (b *Borrower) ApplyReply(lender model.NodeID, number uint64, r Reply, now model.Instant) bool {
 	rec := b.lenders[lender]
-	if rec == nil || ((number != rec.number || !rec.awaitingReply) && !b.options.Rules.ApplyStale) {
+	if rec == nil || ((number != rec.number || !rec.awaitingReply) && !b.options.Rules.ApplyStaleReplies) {
 		return false
 	}
 	rec.awaitingReply = false
@@ -158,7 +159,7 @@
 
 // TakeOver uses the share of a lost entry VM. It is recorded like a loan, so
 // that the entry VM learns of it when it comes back.
-func (b *Book) TakeOver(lost model.NodeID, share []Count, run time.Duration, now model.Instant) {
+func (b *Borrower) TakeOver(lost model.NodeID, share []SlotCount, run time.Duration, now model.Instant) {
 	rec := b.record(lost)
 	rec.awaitingReply = false
 	rec.promisedRun = max(rec.promisedRun, run)
@@ -170,8 +171,9 @@
 	b.setUsable(rec, usable)
 }
 
-// Drop makes the borrowed slots of an instance that takes no new work unusable.
-func (b *Book) Drop(i model.InstanceID) {
+// DropInstance makes the borrowed slots of an instance that takes no new work
+// unusable.
+func (b *Borrower) DropInstance(i model.InstanceID) {
 	for _, rec := range b.sorted {
 		if n := rec.usable[i]; n > 0 {
 			rec.usable[i] = 0
@@ -182,19 +184,19 @@
 }
 
 // Instances lists the instances with borrowed slots.
-func (b *Book) Instances() []Count { return counts(b.held) }
+func (b *Borrower) Instances() []SlotCount { return counts(b.held) }
 
-// Fail records that no reply to a request will come.
-func (b *Book) Fail(lender model.NodeID, number uint64) {
+// RequestFailed records that no reply to a request will come.
+func (b *Borrower) RequestFailed(lender model.NodeID, number uint64) {
 	if rec := b.lenders[lender]; rec != nil && number == rec.number {
 		rec.awaitingReply = false
 	}
 }
 
-// Lapse makes loans unusable whose lease was not renewed.
-func (b *Book) Lapse(now model.Instant) {
+// ExpireLoans makes loans unusable whose lease was not renewed.
+func (b *Borrower) ExpireLoans(now model.Instant) {
 	for _, rec := range b.sorted {
-		if now >= rec.expiresAt && len(rec.usable) > 0 && !b.options.Rules.UseLapsed {
+		if now >= rec.expiresAt && len(rec.usable) > 0 && !b.options.Rules.UseExpired {
 			b.setUsable(rec, map[model.InstanceID]int{})
 		}
 	}
@@ -203,7 +205,7 @@
 // setUsable replaces the slots of a lender that new requests may use. Other
 // slots stay held while requests run on them, because the lender must continue
 // to count them.
-func (b *Book) setUsable(rec *lenderRecord, usable map[model.InstanceID]int) {
+func (b *Borrower) setUsable(rec *lenderRecord, usable map[model.InstanceID]int) {
 	touched := map[model.InstanceID]bool{}
 	for i, n := range rec.usable {
 		b.usable[i] -= n
@@ -227,9 +229,9 @@
 
 // updateHeld drops the held slots of an instance that are neither usable nor in
 // use.
-func (b *Book) updateHeld(rec *lenderRecord, i model.InstanceID) {
+func (b *Borrower) updateHeld(rec *lenderRecord, i model.InstanceID) {
 	running := 0
-	if !b.options.Rules.ForgetRunning {
+	if !b.options.Rules.DropSlotsInUse {
 		// Requests that other lenders' slots can't account for run on this one's.
 		running = min(rec.held[i], max(0, b.excess(i)-(b.held[i]-rec.held[i])))
 	}
@@ -246,8 +248,8 @@
 	}
 }
 
-// Released drops recalled slots of an instance that are no longer in use.
-func (b *Book) Released(i model.InstanceID) {
+// ReleaseRecalled drops recalled slots of an instance that are no longer in use.
+func (b *Borrower) ReleaseRecalled(i model.InstanceID) {
 	if b.held[i] == 0 || b.held[i] == b.usable[i] {
 		return
 	}
@@ -258,9 +260,9 @@
 	}
 }
 
-// GiveBack returns up to n idle borrowed slots and reports how many. The
+// ReturnIdle returns up to n idle borrowed slots and reports how many. The
 // function idle returns the free slots of an instance, own and borrowed.
-func (b *Book) GiveBack(n int, idle func(model.InstanceID) int) int {
+func (b *Borrower) ReturnIdle(n int, idle func(model.InstanceID) int) int {
 	returned := 0
 	for _, rec := range b.sorted {
 		for _, c := range counts(rec.usable) {
--- a/internal/slots/lending/demand.go
+++ b/internal/slots/lending/demand.go
@@ -6,8 +6,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// DropUrgent drops urgent demand that was reported too long ago to be current.
-func (l *Ledger) DropUrgent(now model.Instant) {
+// ExpireUrgentDemand drops urgent demand that was reported too long ago to be
+// current.
+func (l *Lender) ExpireUrgentDemand(now model.Instant) {
 	if l.wanted == 0 {
 		return
 	}
@@ -28,9 +29,9 @@
 	Since model.Instant
 }
 
-// Best returns the demand of the highest class and, within a class, the one
-// that has waited longest. Borrowers in skip are left out.
-func (l *Ledger) Best(skip map[model.NodeID]bool) (Demand, bool) {
+// BestDemand returns the demand of the highest class and, within a class, the
+// one that has waited longest. Borrowers in skip are left out.
+func (l *Lender) BestDemand(skip map[model.NodeID]bool) (Demand, bool) {
 	var best Demand
 	found := false
 	if l.wanted == 0 {
@@ -52,13 +53,13 @@
 // wantedClass returns the highest class that the borrower wants; -1 for none.
 func (b *borrowerRecord) wantedClass() int { return highestClass(b.wanted) }
 
-// Avoids reports whether a borrower can't use slots of an instance.
-func (l *Ledger) Avoids(node model.NodeID, i model.InstanceID) bool {
+// AvoidsInstance reports whether a borrower can't use slots of an instance.
+func (l *Lender) AvoidsInstance(node model.NodeID, i model.InstanceID) bool {
 	return slices.Contains(l.borrowers[node].avoid, i)
 }
 
 // Lend lends one slot to a borrower whose reply is held.
-func (l *Ledger) Lend(d Demand, i model.InstanceID) {
+func (l *Lender) Lend(d Demand, i model.InstanceID) {
 	b := l.borrowers[d.Node]
 	b.lent[i]++
 	b.usable[i]++
@@ -75,7 +76,7 @@
 // and whose own requests don't precede it, but not from the borrower except,
 // which gets the slots. Slots in use come back when their requests end. Recall
 // returns how many recalled slots are still to come back.
-func (l *Ledger) Recall(class int, since model.Instant, need int, except model.NodeID) int {
+func (l *Lender) Recall(class int, since model.Instant, need int, except model.NodeID) int {
 	returning := 0
 	for _, b := range l.sorted {
 		returning += b.recalled
--- a/internal/slots/lending/doc.go
+++ b/internal/slots/lending/doc.go
@@ -14,6 +14,7 @@
 // use until the borrower reports otherwise, or until the lease has ended and
 // after it the longest time that a request on the loan may run.
 //
-// A Ledger is the lender's side, a Book the borrower's. Both are deterministic:
-// time and messages are arguments. Neither is safe for concurrent use.
+// A Lender keeps the lender's records, a Borrower the borrower's. Both are
+// deterministic: time and messages are arguments. Neither is safe for concurrent
+// use.
 package lending
--- a/internal/slots/lending/due.go
+++ b/internal/slots/lending/due.go
@@ -6,8 +6,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Quiet reports whether nothing is held and no lender has to be contacted.
-func (b *Book) Quiet() bool {
+// Idle reports whether nothing is held and no lender has to be contacted.
+func (b *Borrower) Idle() bool {
 	for _, rec := range b.sorted {
 		if rec.awaitingReply || rec.total > 0 || rec.reportedTotal > 0 {
 			return false
@@ -16,10 +16,10 @@
 	return true
 }
 
-// Due reports whether a request to a lender is due, given the slots wanted of
-// it now. MinInterval is the minimum time between two requests for more slots,
-// unless the later one wants a higher class.
-func (b *Book) Due(lender model.NodeID, wanted [Classes]int, minInterval time.Duration, now model.Instant) bool {
+// RequestDue reports whether a request to a lender is due, given the slots
+// wanted of it now. MinInterval is the minimum time between two requests for
+// more slots, unless the later one wants a higher class.
+func (b *Borrower) RequestDue(lender model.NodeID, wanted [Classes]int, minInterval time.Duration, now model.Instant) bool {
 	rec := b.lenders[lender]
 	noDemand := [Classes]int{}
 	if rec == nil {
@@ -69,15 +69,16 @@
 	return -1
 }
 
-// Owes reports whether the lender counts more slots than are held now, so that
-// their return has to be reported to it.
-func (b *Book) Owes(lender model.NodeID) bool {
+// MustReportReturn reports whether the lender counts more slots than are held
+// now, so that their return has to be reported to it.
+func (b *Borrower) MustReportReturn(lender model.NodeID) bool {
 	rec := b.lenders[lender]
 	return rec != nil && rec.total < rec.reportedTotal
 }
 
-// Waits reports whether a request will be due once the spacing has passed.
-func (b *Book) Waits() bool {
+// RequestDueSoon reports whether a request will be due once the spacing has
+// passed.
+func (b *Borrower) RequestDueSoon() bool {
 	for _, rec := range b.sorted {
 		if rec.total < rec.reportedTotal || (!rec.awaitingReply && rec.total > 0) {
 			return true
--- a/internal/slots/lending/ledger.go
+++ b/internal/slots/lending/ledger.go
@@ -8,9 +8,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ledger is the lender's side: it records which of its own slots are lent and
-// which borrowers want more.
-type Ledger struct {
+// Lender is the lender's side of lending at one entry VM: it records which of
+// its own slots are lent and which borrowers want more.
+type Lender struct {
 	options   Options
 	borrowers map[model.NodeID]*borrowerRecord
 	// sorted lists the borrowers by name, which makes decisions deterministic.
@@ -50,19 +50,19 @@
 	recalled int
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger(o Options) *Ledger {
-	return &Ledger{options: o.WithDefaults(), borrowers: map[model.NodeID]*borrowerRecord{}, lent: map[model.InstanceID]int{}}
+// NewLender returns a lender without loans.
+func NewLender(o Options) *Lender {
+	return &Lender{options: o.WithDefaults(), borrowers: map[model.NodeID]*borrowerRecord{}, lent: map[model.InstanceID]int{}}
 }
 
 // Lent returns the number of slots of an instance that count as lent.
-func (l *Ledger) Lent(i model.InstanceID) int { return l.lent[i] }
+func (l *Lender) Lent(i model.InstanceID) int { return l.lent[i] }
 
 // Total returns the number of slots lent at all instances.
-func (l *Ledger) Total() int { return l.total }
+func (l *Lender) Total() int { return l.total }
 
-// Quiet reports whether nothing is lent and no reply is held.
-func (l *Ledger) Quiet() bool {
+// Idle reports whether nothing is lent and no reply is held.
+func (l *Lender) Idle() bool {
 	for _, b := range l.sorted {
 		if b.total > 0 || b.replyPending {
 			return false
@@ -73,9 +73,9 @@
 
 // Receive processes a request. It replaces the record of what the borrower
 // holds and keeps the borrower's demand until the reply is sent. The error is
-// ErrStale.
-func (l *Ledger) Receive(r Request, now model.Instant) error {
-	if err := l.Check(r); err != nil {
+// ErrStaleRequest.
+func (l *Lender) Receive(r Request, now model.Instant) error {
+	if err := l.CheckRequest(r); err != nil {
 		return err
 	}
 	b := l.borrowers[r.Borrower]
@@ -99,11 +99,12 @@
 	return nil
 }
 
-// Check returns ErrStale for a request that a later one has overtaken.
-func (l *Ledger) Check(r Request) error {
+// CheckRequest returns ErrStaleRequest for a request that a later one has
+// overtaken.
+func (l *Lender) CheckRequest(r Request) error {
 	b := l.borrowers[r.Borrower]
-	if b != nil && !l.options.Rules.TakeStale && isStale(b, r) {
-		return ErrStale
+	if b != nil && !l.options.Rules.AcceptStaleRequests && isStale(b, r) {
+		return ErrStaleRequest
 	}
 	return nil
 }
@@ -118,24 +119,24 @@
 	return r.Number <= b.number
 }
 
-// Adopt records the slots that a borrower holds from an earlier process of this
-// lender.
-func (l *Ledger) Adopt(node model.NodeID, d Debt, now model.Instant) {
+// AdoptLoans records the slots that a borrower holds from an earlier process of
+// this lender.
+func (l *Lender) AdoptLoans(node model.NodeID, recovery Recovery, now model.Instant) {
 	b := l.borrowers[node]
 	if b == nil {
 		b = l.addBorrower(node)
 	}
-	if isStale(b, Request{Incarnation: d.Incarnation, Number: d.Number + 1}) {
+	if isStale(b, Request{Incarnation: recovery.Incarnation, Number: recovery.Number + 1}) {
 		return // A later request has already reported them.
 	}
-	b.incarnation = d.Incarnation
-	b.number = d.Number
-	b.promisedRun = durationOf(d.RunMS)
-	l.setHeld(b, d.Held)
+	b.incarnation = recovery.Incarnation
+	b.number = recovery.Number
+	b.promisedRun = durationOf(recovery.RunMS)
+	l.setHeld(b, recovery.Held)
 	l.extendLease(b, now)
 }
 
-func (l *Ledger) addBorrower(node model.NodeID) *borrowerRecord {
+func (l *Lender) addBorrower(node model.NodeID) *borrowerRecord {
 	b := &borrowerRecord{node: node}
 	l.borrowers[node] = b
 	l.sorted = append(l.sorted, b)
@@ -144,7 +145,7 @@
 }
 
 // setHeld replaces the record of the slots that a borrower holds.
-func (l *Ledger) setHeld(b *borrowerRecord, held []Holding) {
+func (l *Lender) setHeld(b *borrowerRecord, held []Holding) {
 	for i, n := range b.lent {
 		l.lent[i] -= n
 		if l.lent[i] == 0 {
@@ -169,7 +170,7 @@
 	l.total += b.total
 }
 
-func (l *Ledger) setWanted(b *borrowerRecord, wanted [Classes]int) {
+func (l *Lender) setWanted(b *borrowerRecord, wanted [Classes]int) {
 	for c := range wanted {
 		l.wanted += wanted[c] - b.wanted[c]
 	}
@@ -177,26 +178,26 @@
 }
 
 // extendLease restarts the lease of a borrower's loans.
-func (l *Ledger) extendLease(b *borrowerRecord, now model.Instant) {
+func (l *Lender) extendLease(b *borrowerRecord, now model.Instant) {
 	b.leaseEnds = now.Add(l.options.Lease)
 	b.loanEnds = max(b.loanEnds, b.leaseEnds.Add(b.promisedRun))
-	if l.options.Rules.FreeAtLapse {
+	if l.options.Rules.FreeAtLeaseEnd {
 		b.loanEnds = b.leaseEnds
 	}
 }
 
-// Answer is a reply to send now.
-type Answer struct {
+// DueReply is a reply to send now.
+type DueReply struct {
 	Node        model.NodeID
 	Incarnation uint64
 	Number      uint64
 	Reply       Reply
 }
 
-// Answers returns the replies that are due: those with news for the borrower
+// DueReplies returns the replies that are due: those with news for the borrower
 // and those that must not be held any longer.
-func (l *Ledger) Answers(now model.Instant) []Answer {
-	var due []Answer
+func (l *Lender) DueReplies(now model.Instant) []DueReply {
+	var due []DueReply
 	for _, b := range l.sorted {
 		if !b.replyPending || (!b.replyDue && now < b.holdUntil) {
 			continue
@@ -205,7 +206,7 @@
 		b.replyDue = false
 		l.setWanted(b, [Classes]int{})
 		l.extendLease(b, now)
-		due = append(due, Answer{b.node, b.incarnation, b.number, Reply{
+		due = append(due, DueReply{b.node, b.incarnation, b.number, Reply{
 			Loans: counts(b.usable), LeaseMS: l.options.Lease.Milliseconds(),
 		}})
 	}
@@ -213,15 +214,16 @@
 }
 
 // DropPending drops a request whose sender no longer waits for the reply.
-func (l *Ledger) DropPending(node model.NodeID, number uint64) {
+func (l *Lender) DropPending(node model.NodeID, number uint64) {
 	if b := l.borrowers[node]; b != nil && b.number == number {
 		b.replyPending = false
 		l.setWanted(b, [Classes]int{})
 	}
 }
 
-// Tick ends loans whose lease has ended and on which no request can still run.
-func (l *Ledger) Tick(now model.Instant) {
+// ExpireLoans ends loans whose lease has ended and on which no request can still
+// run.
+func (l *Lender) ExpireLoans(now model.Instant) {
 	for _, b := range l.sorted {
 		if b.replyPending || now < b.leaseEnds {
 			continue
@@ -237,13 +239,13 @@
 }
 
 // counts lists the instances with slots, sorted by name.
-func counts(m map[model.InstanceID]int) []Count {
-	var out []Count
+func counts(m map[model.InstanceID]int) []SlotCount {
+	var out []SlotCount
 	for i, n := range m {
 		if n > 0 {
-			out = append(out, Count{Instance: i, Slots: n})
+			out = append(out, SlotCount{Instance: i, Slots: n})
 		}
 	}
-	slices.SortFunc(out, func(a, b Count) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(out, func(a, b SlotCount) int { return cmp.Compare(a.Instance, b.Instance) })
 	return out
 }
--- a/internal/slots/lending/message.go
+++ b/internal/slots/lending/message.go
@@ -20,12 +20,12 @@
 	maxSlots        = 1_000_000
 )
 
-// ErrStale is returned for a request that arrives after a later one of the same
-// borrower.
-var ErrStale = errors.New("lending: stale request: a later one of the borrower was already received")
+// ErrStaleRequest is returned for a request that arrives after a later one of
+// the same borrower.
+var ErrStaleRequest = errors.New("lending: stale request: a later one of the borrower was already received")
 
-// Count is a number of slots at one instance.
-type Count struct {
+// SlotCount is a number of slots at one instance.
+type SlotCount struct {
 	_        struct{} `cbor:",toarray"`
 	Instance model.InstanceID
 	Slots    int
@@ -68,7 +68,7 @@
 	Recover bool `cbor:"11,keyasint,omitempty"`
 	// Handover hands slots over to the receiver; the sender stops and uses none
 	// of them.
-	Handover []Count `cbor:"12,keyasint,omitempty"`
+	Handover []SlotCount `cbor:"12,keyasint,omitempty"`
 	// Receiver is the incarnation of the receiver that the handover is for. A
 	// late copy must not be applied by a later process of the receiver, which
 	// doesn't know what the sender has done since.
@@ -78,17 +78,17 @@
 // Reply is a lender's reply to a Request.
 type Reply struct {
 	// Loans lists all slots that the borrower may use from now on.
-	Loans []Count `cbor:"1,keyasint,omitempty"`
+	Loans []SlotCount `cbor:"1,keyasint,omitempty"`
 	// LeaseMS is the length of the lease in milliseconds, counted from when the
 	// borrower sent its request.
 	LeaseMS int64 `cbor:"2,keyasint"`
-	// Debt is the reply to Request.Recover.
-	Debt *Debt `cbor:"3,keyasint,omitempty"`
+	// Recovery is the reply to Request.Recover.
+	Recovery *Recovery `cbor:"3,keyasint,omitempty"`
 }
 
-// Debt lists the slots that a borrower holds of a lender whose process
+// Recovery lists the slots that a borrower holds of a lender whose process
 // restarted.
-type Debt struct {
+type Recovery struct {
 	Held []Holding `cbor:"1,keyasint,omitempty"`
 	// RunMS is how long a request on these slots may run, in milliseconds.
 	RunMS int64 `cbor:"2,keyasint,omitempty"`
@@ -127,8 +127,8 @@
 	if err := decode(data, &r); err != nil {
 		return Reply{}, err
 	}
-	if r.Debt != nil {
-		return r, errors.Join(checkCounts(r.Loans), checkHoldings(r.Debt.Held))
+	if r.Recovery != nil {
+		return r, errors.Join(checkCounts(r.Loans), checkHoldings(r.Recovery.Held))
 	}
 	return r, checkCounts(r.Loans)
 }
@@ -140,7 +140,7 @@
 	return cbor.Unmarshal(data, into)
 }
 
-func checkCounts(counts []Count) error {
+func checkCounts(counts []SlotCount) error {
 	if len(counts) > maxInstances {
 		return errors.New("lending: message lists too many instances")
 	}
--- a/internal/slots/lending/message_test.go
+++ b/internal/slots/lending/message_test.go
@@ -10,14 +10,14 @@
 	is := is.New(t)
 	request := Request{
 		Service: "drafts", Borrower: "n1", Incarnation: 7, Number: 9, Wanted: [Classes]int{1, 2, 3},
-		Held: []Holding{{Instance: "i1", Slots: 3, Usable: 2}}, RunMS: 1000, WaitMS: 400, Handover: []Count{{Instance: "i2", Slots: 1}},
+		Held: []Holding{{Instance: "i1", Slots: 3, Usable: 2}}, RunMS: 1000, WaitMS: 400, Handover: []SlotCount{{Instance: "i2", Slots: 1}},
 	}
 	data, err := EncodeRequest(request)
 	is.NoErr(err)
 	got, err := DecodeRequest(data)
 	is.NoErr(err)
 	is.Equal(got, request)
-	reply := Reply{Loans: []Count{{Instance: "i1", Slots: 3}}, LeaseMS: 1500, Debt: &Debt{Incarnation: 7, Number: 9}}
+	reply := Reply{Loans: []SlotCount{{Instance: "i1", Slots: 3}}, LeaseMS: 1500, Recovery: &Recovery{Incarnation: 7, Number: 9}}
 	data, err = EncodeReply(reply)
 	is.NoErr(err)
 	back, err := DecodeReply(data)
@@ -27,7 +27,7 @@
 		{Service: "drafts"},
 		{Service: "drafts", Borrower: "n1", Wanted: [Classes]int{-1}},
 		{Service: "drafts", Borrower: "n1", Held: []Holding{{Instance: "i", Slots: 1, Usable: 2}}},
-		{Service: "drafts", Borrower: "n1", Handover: []Count{{Instance: "i", Slots: -1}}},
+		{Service: "drafts", Borrower: "n1", Handover: []SlotCount{{Instance: "i", Slots: -1}}},
 	} {
 		data, err = EncodeRequest(bad)
 		is.NoErr(err)
@@ -37,7 +37,7 @@
 }
 
 // FuzzDecode checks that any input is either rejected or within bounds, and that
-// a ledger accepts it without losing slots.
+// a lender accepts it without losing slots.
 func FuzzDecode(f *testing.F) {
 	seed, _ := EncodeRequest(Request{Service: "s", Borrower: "b", Held: []Holding{{Instance: "i", Slots: 2, Usable: 1}}})
 	f.Add(seed)
@@ -47,7 +47,7 @@
 		if err != nil {
 			return
 		}
-		l := NewLedger(Options{})
+		l := NewLender(Options{})
 		if l.Receive(r, 0) != nil {
 			return
 		}
--- a/internal/slots/lending/options.go
+++ b/internal/slots/lending/options.go
@@ -12,32 +12,33 @@
 	KeepIdle time.Duration
 	// Spacing is the minimum time between two requests to one lender.
 	Spacing time.Duration
-	// HelpAfter is the expected wait for one of its own slots above which an entry
-	// VM borrows.
-	HelpAfter time.Duration
-	// Margin and UrgentMargin are how much longer a request at another entry VM
-	// must have waited than a local one of the same class to precede it.
-	Margin       time.Duration
-	UrgentMargin time.Duration
+	// BorrowAfter is the expected wait for one of its own slots above which an
+	// entry VM borrows.
+	BorrowAfter time.Duration
+	// LocalMargin and UrgentLocalMargin are how much longer a request at another
+	// entry VM must have waited than a local one of the same class to precede it.
+	LocalMargin       time.Duration
+	UrgentLocalMargin time.Duration
 	// Rules disables rules; for tests only.
 	Rules Rules
 }
 
 // Rules lists the rules that tests disable one by one.
 type Rules struct {
-	// FreeAtLapse frees a loan when its lease ends, although requests may still
+	// FreeAtLeaseEnd frees a loan when its lease ends, although requests may still
 	// run on it.
-	FreeAtLapse bool
-	// UseLapsed lets the borrower use a loan whose lease has ended.
-	UseLapsed bool
-	// TakeStale lets the lender accept requests that a later one has overtaken.
-	TakeStale bool
-	// ApplyStale lets the borrower apply replies to earlier requests.
-	ApplyStale bool
-	// ForgetRunning lets the borrower drop recalled slots that are in use.
-	ForgetRunning bool
-	// LendBlind lends slots that are in use.
-	LendBlind bool
+	FreeAtLeaseEnd bool
+	// UseExpired lets the borrower use a loan whose lease has ended.
+	UseExpired bool
+	// AcceptStaleRequests lets the lender accept requests that a later one has
+	// overtaken.
+	AcceptStaleRequests bool
+	// ApplyStaleReplies lets the borrower apply replies to earlier requests.
+	ApplyStaleReplies bool
+	// DropSlotsInUse lets the borrower drop recalled slots that are in use.
+	DropSlotsInUse bool
+	// LendSlotsInUse lends slots that are in use.
+	LendSlotsInUse bool
 	// SkipRecovery starts without asking other entry VMs which slots they hold
 	// from an earlier process.
 	SkipRecovery bool
@@ -45,13 +46,13 @@
 
 // Defaults of Options.
 const (
-	DefaultLease        = 1500 * time.Millisecond
-	DefaultHoldReply    = 400 * time.Millisecond
-	DefaultKeepIdle     = 250 * time.Millisecond
-	DefaultSpacing      = 2 * time.Millisecond
-	DefaultHelpAfter    = 2 * time.Millisecond
-	DefaultMargin       = 50 * time.Millisecond
-	DefaultUrgentMargin = 5 * time.Millisecond
+	DefaultLease             = 1500 * time.Millisecond
+	DefaultHoldReply         = 400 * time.Millisecond
+	DefaultKeepIdle          = 250 * time.Millisecond
+	DefaultSpacing           = 2 * time.Millisecond
+	DefaultBorrowAfter       = 2 * time.Millisecond
+	DefaultLocalMargin       = 50 * time.Millisecond
+	DefaultUrgentLocalMargin = 5 * time.Millisecond
 )
 
 // clockDriftShare is the divisor of a lease that yields the part by which the
@@ -66,8 +67,8 @@
 		fallback time.Duration
 	}{
 		{&o.Lease, DefaultLease}, {&o.HoldReply, DefaultHoldReply}, {&o.KeepIdle, DefaultKeepIdle},
-		{&o.Spacing, DefaultSpacing}, {&o.HelpAfter, DefaultHelpAfter},
-		{&o.Margin, DefaultMargin}, {&o.UrgentMargin, DefaultUrgentMargin},
+		{&o.Spacing, DefaultSpacing}, {&o.BorrowAfter, DefaultBorrowAfter},
+		{&o.LocalMargin, DefaultLocalMargin}, {&o.UrgentLocalMargin, DefaultUrgentLocalMargin},
 	} {
 		if *d.value <= 0 {
 			*d.value = d.fallback
--- a/internal/slots/peer.go
+++ b/internal/slots/peer.go
@@ -24,14 +24,14 @@
 	Lend(ctx context.Context, lender model.NodeID, r LendRequest) (LendReply, error)
 }
 
-// Caller sends an encoded request to another entry VM and returns its reply.
-type Caller func(ctx context.Context, to model.NodeID, body []byte) ([]byte, error)
+// Transport sends an encoded request to another entry VM and returns its reply.
+type Transport func(ctx context.Context, to model.NodeID, body []byte) ([]byte, error)
 
 // NewPeer returns a Peer that uses a transport of opaque bytes.
-func NewPeer(call Caller) Peer { return call }
+func NewPeer(call Transport) Peer { return call }
 
 // Lend implements Peer.
-func (c Caller) Lend(ctx context.Context, lender model.NodeID, r LendRequest) (LendReply, error) {
+func (c Transport) Lend(ctx context.Context, lender model.NodeID, r LendRequest) (LendReply, error) {
 	body, err := lending.EncodeRequest(r)
 	if err != nil {
 		return LendReply{}, err
@@ -66,8 +66,9 @@
 	return lending.EncodeReply(reply)
 }
 
-// ServeLend serves a request of a borrower. It may wait until there are slots for
-// the borrower, as long as the request allows. It is safe for concurrent use.
+// ServeLend serves a request of a borrower. It may wait until there are slots
+// for the borrower, as long as the request allows. It is safe for concurrent
+// use.
 func (d *Dispatcher) ServeLend(ctx context.Context, r LendRequest) (LendReply, error) {
 	if !d.isPeer(r.Borrower) {
 		return LendReply{}, ErrNotMember
@@ -109,7 +110,7 @@
 	call := pendingCall{r.Incarnation, r.Number, make(chan lending.Reply, 1)}
 	var err error
 	k.step(func(now model.Instant) {
-		if err = k.core.lender.Check(r); err != nil {
+		if err = k.core.lender.CheckRequest(r); err != nil {
 			return
 		}
 		if previous, ok := k.pending[r.Borrower]; ok {
--- a/internal/slots/service.go
+++ b/internal/slots/service.go
@@ -95,7 +95,7 @@
 }
 
 // deliver passes replies to the calls that wait for them.
-func (k *serviceState) deliver(replies []lending.Answer) {
+func (k *serviceState) deliver(replies []lending.DueReply) {
 	for _, a := range replies {
 		call, ok := k.pending[a.Node]
 		if ok && call.incarnation == a.Incarnation && call.number == a.Number {
@@ -106,7 +106,7 @@
 }
 
 // acquire grants or refuses a slot at once, or waits in the queue.
-func (k *serviceState) acquire(ctx context.Context, request Ask) (*Grant, error) {
+func (k *serviceState) acquire(ctx context.Context, request SlotRequest) (*Grant, error) {
 	if grant := k.tryAcquire(request); grant != nil {
 		return grant, nil
 	}
@@ -131,7 +131,7 @@
 }
 
 // tryAcquire is the fast path of a request that doesn't have to wait.
-func (k *serviceState) tryAcquire(request Ask) *Grant {
+func (k *serviceState) tryAcquire(request SlotRequest) *Grant {
 	use, ok := k.tryGrant(request)
 	if !ok {
 		return nil
@@ -141,7 +141,7 @@
 
 // tryGrant takes a free slot, unless the registry has changed and the core must
 // be updated first.
-func (k *serviceState) tryGrant(request Ask) (balance.Use, bool) {
+func (k *serviceState) tryGrant(request SlotRequest) (balance.Use, bool) {
 	config := &k.dispatcher.config
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -169,7 +169,7 @@
 // grant wraps a slot in use. Only the first release has an effect. The lock is
 // not held here, so the instance's own record must not be read: an announcement
 // may change it at the same time.
-func (k *serviceState) grant(request Ask, use balance.Use) *Grant {
+func (k *serviceState) grant(request SlotRequest, use balance.Use) *Grant {
 	k.dispatcher.counters.granted.Inc(1)
 	var released atomic.Bool
 	return NewGrant(use.Upstream, func(o Outcome) {
--- a/internal/slots/sharing_test.go
+++ b/internal/slots/sharing_test.go
@@ -181,8 +181,8 @@
 	return s, s.traffic(arrive, kill)
 }
 
-// startSuccessor starts the successor of a lost owner; known holds the slots that
-// the other entry VMs had in use.
+// startSuccessor starts the successor of a lost owner; known holds the slots
+// that the other entry VMs had in use.
 func (s *sim) startSuccessor(owner *simVM, known map[model.InstanceID]int) {
 	s.boot(owner, false, s.nodes[:1])
 	for id := range s.instances {
@@ -195,8 +195,8 @@
 // loanEndDelay is the lease of a loan plus the longest run on it.
 const loanEndDelay = lending.DefaultLease + 8*time.Second
 
-// BenchmarkSlotSharing compares methods of sharing the slots of instances between
-// entry VMs, all with the same traffic.
+// BenchmarkSlotSharing compares methods of sharing the slots of instances
+// between entry VMs, all with the same traffic.
 func BenchmarkSlotSharing(b *testing.B) {
 	everyone := func(s *sim, _ int) []model.NodeID { return s.nodes }
 	alone := func(s *sim, n int) []model.NodeID { return s.nodes[n : n+1] }
--- a/internal/slots/sim_requests_test.go
+++ b/internal/slots/sim_requests_test.go
@@ -11,7 +11,7 @@
 	s.arrivals++
 	r.vm = vm.index
 	r.arrived = s.now
-	w := &waiter{request: Ask{Service: "drafts", Priority: r.priority, Deadline: r.deadline}}
+	w := &waiter{request: SlotRequest{Service: "drafts", Priority: r.priority, Deadline: r.deadline}}
 	w.respond = func(u balance.Use, refusal *admission.Refusal) {
 		delete(vm.queued, r)
 		s.answer(vm, r, u, refusal)
--- a/internal/slots/sim_test.go
+++ b/internal/slots/sim_test.go
@@ -12,8 +12,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// tickLength is the duration of one Instant in the simulation. The cores count in
-// milliseconds; the finer resolution is needed for delays of half a millisecond.
+// tickLength is the duration of one Instant in the simulation. The cores count
+// in milliseconds; the finer resolution is needed for delays of half a
+// millisecond.
 const tickLength = 100 * time.Microsecond
 
 // scaled converts a real duration to the duration that the cores see.
@@ -161,7 +162,7 @@
 
 func scaledOptions() lending.Options {
 	o := lending.Options{}.WithDefaults()
-	for _, d := range []*time.Duration{&o.Lease, &o.HoldReply, &o.KeepIdle, &o.Spacing, &o.HelpAfter, &o.Margin, &o.UrgentMargin} {
+	for _, d := range []*time.Duration{&o.Lease, &o.HoldReply, &o.KeepIdle, &o.Spacing, &o.BorrowAfter, &o.LocalMargin, &o.UrgentLocalMargin} {
 		*d = scaled(*d)
 	}
 	return o
@@ -275,7 +276,7 @@
 			s.step(to, func() { to.core.receiveHandover(c.request, s.now) })
 			return
 		}
-		if to.core.lender.Check(c.request) != nil {
+		if to.core.lender.CheckRequest(c.request) != nil {
 			sendReply(lending.Reply{}, false)
 			return
 		}
@@ -297,8 +298,8 @@
 
 func holdTime(c peerCall) time.Duration { return time.Duration(c.request.WaitMS) * time.Millisecond }
 
-// deliver runs f after the delay of a message, unless the message is lost. It may
-// run f a second time, as for a duplicated message.
+// deliver runs f after the delay of a message, unless the message is lost. It
+// may run f a second time, as for a duplicated message.
 func (s *sim) deliver(from, to int, f func()) {
 	s.messages++
 	if s.cut(from, to) || s.random.IntN(100) < s.lossPercent {
--- a/internal/slots/takeover.go
+++ b/internal/slots/takeover.go
@@ -49,7 +49,7 @@
 // handover holds the slots that an entry VM handed over when it stopped.
 type handover struct {
 	incarnation uint64
-	slots       []lending.Count
+	slots       []lending.SlotCount
 }
 
 // successor returns the entry VM that uses the slots of a lost one at an
@@ -81,7 +81,7 @@
 }
 
 // useShare uses slots of an entry VM that is lost or has stopped.
-func (k *core) useShare(from model.NodeID, slots []lending.Count, now model.Instant) {
+func (k *core) useShare(from model.NodeID, slots []lending.SlotCount, now model.Instant) {
 	k.borrower.TakeOver(from, slots, k.promisedRun(), now)
 	k.takenOver = append(k.takenOver, from)
 }
@@ -112,12 +112,12 @@
 func (k *core) loanEndTimeout() time.Duration { return 2*k.config.lending.Lease + k.maxRun() }
 
 // inheritedSlots returns the part of a lost entry VM's share that this one uses.
-func (k *core) inheritedSlots(successors []model.NodeID, lost model.NodeID) []lending.Count {
-	var out []lending.Count
+func (k *core) inheritedSlots(successors []model.NodeID, lost model.NodeID) []lending.SlotCount {
+	var out []lending.SlotCount
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
 		if k.successor(successors, lost, id) == k.config.self {
-			out = append(out, lending.Count{Instance: id, Slots: k.shareOf(lost, i.Upstream)})
+			out = append(out, lending.SlotCount{Instance: id, Slots: k.shareOf(lost, i.Upstream)})
 		}
 	}
 	return out
@@ -135,12 +135,12 @@
 	if len(successors) == 0 {
 		return
 	}
-	slotsFor := map[model.NodeID][]lending.Count{}
+	slotsFor := map[model.NodeID][]lending.SlotCount{}
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
 		if n := k.ownSlots(id) - i.InUse; n > 0 {
 			successor := k.successor(successors, k.config.self, id)
-			slotsFor[successor] = append(slotsFor[successor], lending.Count{Instance: id, Slots: n})
+			slotsFor[successor] = append(slotsFor[successor], lending.SlotCount{Instance: id, Slots: n})
 		}
 	}
 	k.handedOver = true
@@ -222,9 +222,9 @@
 	if !k.unrecovered[from] {
 		return
 	}
-	if r.Debt != nil {
-		k.lender.Adopt(from, *r.Debt, now)
-		k.incarnations[from] = max(k.incarnations[from], r.Debt.Incarnation)
+	if r.Recovery != nil {
+		k.lender.AdoptLoans(from, *r.Recovery, now)
+		k.incarnations[from] = max(k.incarnations[from], r.Recovery.Incarnation)
 	}
 	delete(k.unrecovered, from)
 	k.updateAllAllowed()
@@ -234,5 +234,5 @@
 // recoveryReply returns the slots that are held of an entry VM that restarted.
 func (k *core) recoveryReply(r lending.Request) lending.Reply {
 	k.recordIncarnation(r)
-	return lending.Reply{Debt: k.borrower.Restarted(r.Borrower)}
+	return lending.Reply{Recovery: k.borrower.LenderRestarted(r.Borrower)}
 }
--- a/internal/slots/types.go
+++ b/internal/slots/types.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Ask describes a request that needs a slot before it may be sent.
-type Ask struct {
+// SlotRequest describes a request that needs a slot before it may be sent.
+type SlotRequest struct {
 	Service  model.ServiceID
 	Team     model.TeamID
 	Priority model.Priority
@@ -55,8 +55,8 @@
 	Reason string
 	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
-	// Unknown is true if the service does not exist.
-	Unknown bool
+	// UnknownService is true if the service does not exist.
+	UnknownService bool
 }
 
 // Error returns the reason.
@@ -67,5 +67,5 @@
 // met is rejected at once. The error is a *Rejection, or ctx's error when the
 // caller has gone away.
 type Broker interface {
-	Acquire(ctx context.Context, request Ask) (*Grant, error)
+	Acquire(ctx context.Context, request SlotRequest) (*Grant, error)
 }
