--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,12 +25,12 @@
 	IgnorePriority bool
 	// RunExpired runs requests whose deadline has passed.
 	RunExpired bool
-	// KeepHopeless keeps requests that are not expected to start before their
+	// IgnoreEstimate keeps requests that are not expected to start before their
 	// deadline.
-	KeepHopeless bool
-	// ShedNewcomer refuses each new request while the queue is full, whatever the
+	IgnoreEstimate bool
+	// RefuseWhenFull refuses each new request while the queue is full, whatever the
 	// priorities of the waiting ones.
-	ShedNewcomer bool
+	RefuseWhenFull bool
 }
 
 // Defaults of Options.
@@ -118,15 +118,15 @@
 
 // Offer adds a request to the queue. Slots is how many requests run at once;
 // capacity bounds the queue. It returns a refusal if the request was not added,
-// and the ticket that was shed for it, if any, which must get its final answer at
-// once.
+// and the ticket that was shed for it, if any, which must get its final answer
+// at once.
 func (q *Queue[T]) Offer(t *Ticket[T], slots, capacity int, now model.Instant) (*Refusal, *Dropped[T]) {
 	t.Entered = now
 	if now >= t.Deadline {
 		return q.refuse("the deadline has passed", slots), nil
 	}
-	wait := q.rate.Wait(q.ahead(t.Priority), slots)
-	if !q.options.Rules.KeepHopeless && now.Add(wait) > t.Deadline {
+	wait := q.rate.ExpectedWait(q.ahead(t.Priority), slots)
+	if !q.options.Rules.IgnoreEstimate && now.Add(wait) > t.Deadline {
 		return q.refuse(fmt.Sprintf("no slot is expected before the deadline (%s in the queue)", wait.Round(time.Millisecond)), slots), nil
 	}
 	var shed *Dropped[T]
@@ -161,7 +161,7 @@
 
 // victim returns the newest request of the lowest priority below p, or nil.
 func (q *Queue[T]) victim(p model.Priority) *Ticket[T] {
-	if q.options.Rules.ShedNewcomer {
+	if q.options.Rules.RefuseWhenFull {
 		return nil
 	}
 	for c := 0; c < Class(p); c++ {
@@ -175,7 +175,7 @@
 // refuse returns a refusal whose RetryAfter is when the requests that wait now
 // are expected to have been served.
 func (q *Queue[T]) refuse(reason string, slots int) *Refusal {
-	wait := q.rate.Wait(q.length, slots)
+	wait := q.rate.ExpectedWait(q.length, slots)
 	return &Refusal{Reason: reason, RetryAfter: min(max(wait, MinRetryAfter), MaxRetryAfter)}
 }
 
@@ -284,9 +284,9 @@
 	if q.Expired(t, now) {
 		return "no slot came free before the deadline"
 	}
-	wait := q.rate.Wait(position, slots)
+	wait := q.rate.ExpectedWait(position, slots)
 	left := t.Deadline.Sub(now)
-	if float64(wait) > estimateTolerance*float64(left) && !q.options.Rules.KeepHopeless {
+	if float64(wait) > estimateTolerance*float64(left) && !q.options.Rules.IgnoreEstimate {
 		return "no slot is expected before the deadline any more"
 	}
 	return ""
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -94,7 +94,7 @@
 			refusal, shed := q.Offer(ticket, 2, 5, now)
 			if refusal != nil {
 				answers++
-				if q.Len() >= 5 && lower > 0 && ticket.Deadline > now && q.Rate().Wait(q.ahead(ticket.Priority), 2) <= ticket.Deadline.Sub(now) {
+				if q.Len() >= 5 && lower > 0 && ticket.Deadline > now && q.Rate().ExpectedWait(q.ahead(ticket.Priority), 2) <= ticket.Deadline.Sub(now) {
 					broken = "a request was refused while requests of lower priority waited"
 				}
 			}
@@ -151,11 +151,11 @@
 func TestQuota(t *testing.T) {
 	is := is.New(t)
 	q := NewQuota()
-	is.True(q.Take("tides", 2))
-	is.True(q.Take("tides", 2))
-	is.True(!q.Take("tides", 2))
-	is.True(q.Take("cargo", 2))
-	q.Give("tides")
-	is.True(q.Take("tides", 2))
+	is.True(q.Acquire("tides", 2))
+	is.True(q.Acquire("tides", 2))
+	is.True(!q.Acquire("tides", 2))
+	is.True(q.Acquire("cargo", 2))
+	q.Release("tides")
+	is.True(q.Acquire("tides", 2))
 	is.Equal(q.InProgress("tides"), 2)
 }
--- a/internal/admission/quota.go
+++ b/internal/admission/quota.go
@@ -3,7 +3,8 @@
 import "github.com/comfreyloom/comfreyloom/internal/model"
 
 // Quota counts the requests in progress of each team at one entry VM. Waiting
-// requests count as well as running ones, so that one team can't fill the queues.
+// requests count as well as running ones, so that one team can't fill the
+// queues.
 type Quota struct {
 	running map[model.TeamID]int
 }
@@ -11,9 +12,9 @@
 // NewQuota returns a quota without requests.
 func NewQuota() *Quota { return &Quota{running: map[model.TeamID]int{}} }
 
-// Take counts a request and reports true, unless its team already has limit
+// Acquire counts a request and reports true, unless its team already has limit
 // requests in progress; 0 means no limit.
-func (q *Quota) Take(team model.TeamID, limit int) bool {
+func (q *Quota) Acquire(team model.TeamID, limit int) bool {
 	if limit > 0 && q.running[team] >= limit {
 		return false
 	}
@@ -21,8 +22,8 @@
 	return true
 }
 
-// Give ends the count of a request of the team.
-func (q *Quota) Give(team model.TeamID) {
+// Release ends the count of a request of the team.
+func (q *Quota) Release(team model.TeamID) {
 	if q.running[team] <= 1 {
 		delete(q.running, team)
 		return
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -23,10 +23,10 @@
 // sample.
 func (r *Rate) Mean() time.Duration { return time.Duration(r.mean) }
 
-// Wait estimates how long a request waits that has the given number of requests
-// ahead of it while all slots are in use: slots become free at a rate of
-// slots/mean. It returns 0 before the first sample.
-func (r *Rate) Wait(ahead, slots int) time.Duration {
+// ExpectedWait estimates how long a request waits that has the given number of
+// requests ahead of it while all slots are in use: slots become free at a rate
+// of slots/mean. It returns 0 before the first sample.
+func (r *Rate) ExpectedWait(ahead, slots int) time.Duration {
 	if r.samples == 0 {
 		return 0
 	}
--- a/internal/slots/borrow.go
+++ b/internal/slots/borrow.go
@@ -121,7 +121,7 @@
 		}
 		ahead += waiting
 		age := now.Sub(oldest)
-		expected := max(rate.Wait(ahead-1, k.concurrency()), age)
+		expected := max(rate.ExpectedWait(ahead-1, k.concurrency()), age)
 		if rate.Mean() > 0 && expected <= k.config.lending.BorrowAfter {
 			k.needsTick = true
 			continue
--- a/internal/slots/chaos_test.go
+++ b/internal/slots/chaos_test.go
@@ -295,7 +295,7 @@
 		"lend slots that are in use":          {lending: lending.Rules{LendSlotsInUse: true}},
 		"forget loans of an earlier process":  {lending: lending.Rules{SkipRecovery: true}},
 		"serve in order of arrival":           {queue: admission.Rules{IgnorePriority: true}},
-		"run what has expired":                {queue: admission.Rules{RunExpired: true, KeepHopeless: true}},
+		"run what has expired":                {queue: admission.Rules{RunExpired: true, IgnoreEstimate: true}},
 	} {
 		found, steps := "", 0
 		for seed := uint64(1); seed <= 100 && found == ""; seed++ {
--- a/internal/slots/dispatcher.go
+++ b/internal/slots/dispatcher.go
@@ -253,7 +253,7 @@
 	team, _ := d.config.Services.Team(id)
 	d.quotaMu.Lock()
 	defer d.quotaMu.Unlock()
-	if !d.quota.Take(id, team.MaxRequests) {
+	if !d.quota.Acquire(id, team.MaxRequests) {
 		return &Rejection{Reason: "the team has as many requests in progress as its quota allows", RetryAfter: teamRetry}
 	}
 	return nil
@@ -266,5 +266,5 @@
 	}
 	d.quotaMu.Lock()
 	defer d.quotaMu.Unlock()
-	d.quota.Give(id)
+	d.quota.Release(id)
 }
