--- a/internal/quorum/actions_test.go
+++ b/internal/quorum/actions_test.go
@@ -6,231 +6,234 @@
 	"slices"
 )
 
-// action is one fault, one request or a while of time; all its choices are
-// drawn from its value, so that a run can be repeated and shortened.
+// action is a fault, a request or a period of time. All its choices are derived
+// from its value, so that a run can be repeated and shrunk.
 type action uint64
 
-// kinds lists what an action may be, the more frequent ones several times.
-var kinds = []func(w *world, v *vm){
-	func(w *world, v *vm) { w.run(w.random.Uint64N(4000)) },
-	func(w *world, v *vm) { w.run(w.random.Uint64N(4000)) },
-	func(w *world, v *vm) { w.propose(1 + w.random.IntN(6)) },
-	func(w *world, v *vm) { w.propose(1 + w.random.IntN(6)) },
-	func(w *world, v *vm) { w.restart() },
-	func(w *world, v *vm) { w.cut = [5][5]bool{} },
-	func(w *world, v *vm) { w.propose(1); w.read() },
-	func(w *world, v *vm) { w.read() },
-	func(w *world, v *vm) { w.crash(v) },
-	func(w *world, v *vm) { w.crashLoop(v) },
-	func(w *world, v *vm) { w.crashEach(w.leaders()) },
-	func(w *world, v *vm) { w.crashEach(w.storing()) },
-	func(w *world, v *vm) { w.until(&w.count.elections); w.crashEach(w.leaders()) },
-	func(w *world, v *vm) { w.until(&w.count.elections); w.changeVoters(v); w.crash(w.any()) },
-	func(w *world, v *vm) { w.isolateLeaders(); w.changeVoters(v) },
-	func(w *world, v *vm) { w.until(&w.count.elections); w.isolateLeaders(); w.propose(1) },
-	func(w *world, v *vm) { w.until(&w.count.commands); w.isolateLeaders() },
-	func(w *world, v *vm) { w.split() },
-	func(w *world, v *vm) { w.startOne(v) },
-	func(w *world, v *vm) { w.cutFromLeaders(v) },
-	func(w *world, v *vm) { w.until(&w.count.commands); w.crashEach(w.leaders()) },
-	func(w *world, v *vm) { w.cut[v.index][w.random.IntN(len(w.vms))] = true },
-	func(w *world, v *vm) { w.isolate(v, w.random.IntN(3)) },
-	func(w *world, v *vm) { v.frozen = max(v.frozen, w.now+w.random.Uint64N(3000)) },
-	func(w *world, v *vm) { w.eachLeader(func(r *Raft) { _ = r.TransferLeadership(v.id) }) },
-	func(w *world, v *vm) { w.changeVoters(v) },
-	func(w *world, v *vm) { w.changeVoters(v) },
-	func(w *world, v *vm) { w.repair() },
-	func(w *world, v *vm) { w.loseDisk(v) },
-	func(w *world, v *vm) { w.worsen() },
-	func(w *world, v *vm) { w.calm() },
+// allActionKinds lists the kinds of actions; frequent kinds occur several times.
+var allActionKinds = []func(s *simulation, v *vm){
+	func(s *simulation, v *vm) { s.runFor(s.random.Uint64N(4000)) },
+	func(s *simulation, v *vm) { s.runFor(s.random.Uint64N(4000)) },
+	func(s *simulation, v *vm) { s.propose(1 + s.random.IntN(6)) },
+	func(s *simulation, v *vm) { s.propose(1 + s.random.IntN(6)) },
+	func(s *simulation, v *vm) { s.startAll() },
+	func(s *simulation, v *vm) { s.blockedLinks = [5][5]bool{} },
+	func(s *simulation, v *vm) { s.propose(1); s.read() },
+	func(s *simulation, v *vm) { s.read() },
+	func(s *simulation, v *vm) { s.crash(v) },
+	func(s *simulation, v *vm) { s.crashLoop(v) },
+	func(s *simulation, v *vm) { s.crashEach(s.leaders()) },
+	func(s *simulation, v *vm) { s.crashEach(s.writing()) },
+	func(s *simulation, v *vm) { s.runUntil(&s.count.elections); s.crashEach(s.leaders()) },
+	func(s *simulation, v *vm) { s.runUntil(&s.count.elections); s.changeVoters(v); s.crash(s.randomVM()) },
+	func(s *simulation, v *vm) { s.isolateLeaders(); s.changeVoters(v) },
+	func(s *simulation, v *vm) { s.runUntil(&s.count.elections); s.isolateLeaders(); s.propose(1) },
+	func(s *simulation, v *vm) { s.runUntil(&s.count.commands); s.isolateLeaders() },
+	func(s *simulation, v *vm) { s.split() },
+	func(s *simulation, v *vm) { s.startIfDown(v) },
+	func(s *simulation, v *vm) { s.cutFromLeaders(v) },
+	func(s *simulation, v *vm) { s.runUntil(&s.count.commands); s.crashEach(s.leaders()) },
+	func(s *simulation, v *vm) { s.blockedLinks[v.index][s.random.IntN(len(s.vms))] = true },
+	func(s *simulation, v *vm) { s.isolate(v, s.random.IntN(3)) },
+	func(s *simulation, v *vm) { v.frozenUntil = max(v.frozenUntil, s.now+s.random.Uint64N(3000)) },
+	func(s *simulation, v *vm) { s.eachLeader(func(r *Raft) { _ = r.TransferLeadership(v.id) }) },
+	func(s *simulation, v *vm) { s.changeVoters(v) },
+	func(s *simulation, v *vm) { s.changeVoters(v) },
+	func(s *simulation, v *vm) { s.repair() },
+	func(s *simulation, v *vm) { s.loseDisk(v) },
+	func(s *simulation, v *vm) { s.setRandomFaults() },
+	func(s *simulation, v *vm) { s.endFaults() },
 }
 
-// alwaysOn is how many kinds, from the first on, no run goes without.
-const alwaysOn = 6
+// alwaysIncluded is the number of kinds, from the first on, that every run uses.
+const alwaysIncluded = 6
 
-// chooseKinds leaves out about half or three quarters of the other kinds,
-// since many faults at once hide what few would show.
-func (w *world) chooseKinds(shape uint64) {
+// chooseActionKinds omits about half or two thirds of the other kinds, since
+// many kinds of faults at once mask errors that a few would reveal.
+func (s *simulation) chooseActionKinds(shape uint64) {
 	random := rand.New(rand.NewPCG(shape, 2))
-	rare := 2 + random.IntN(2)
-	for i, kind := range kinds {
-		if i < alwaysOn || random.IntN(rare) == 0 {
-			w.kinds = append(w.kinds, kind)
+	oneIn := 2 + random.IntN(2)
+	for i, kind := range allActionKinds {
+		if i < alwaysIncluded || random.IntN(oneIn) == 0 {
+			s.actionKinds = append(s.actionKinds, kind)
 		}
 	}
 }
 
-// play does an action and lets a little time pass.
-func (w *world) play(a action) error {
-	w.random = rand.New(rand.NewPCG(uint64(a), 1))
-	v := w.any()
-	w.kinds[w.random.IntN(len(w.kinds))](w, v)
-	w.run(w.random.Uint64N(400))
-	return w.err
+// perform performs an action and advances time a little.
+func (s *simulation) perform(a action) error {
+	s.random = rand.New(rand.NewPCG(uint64(a), 1))
+	v := s.randomVM()
+	s.actionKinds[s.random.IntN(len(s.actionKinds))](s, v)
+	s.runFor(s.random.Uint64N(400))
+	return s.err
 }
 
-func (w *world) worsen() {
-	w.loss, w.doubled, w.late = w.random.IntN(20), w.random.IntN(20), w.random.IntN(10)
-	w.slow = 1 + w.random.Uint64N(300)
-	if w.random.IntN(4) == 0 {
-		w.loss, w.late = w.random.IntN(40), w.random.IntN(70)
+func (s *simulation) setRandomFaults() {
+	s.lossPercent, s.duplicatePercent, s.delayPercent = s.random.IntN(20), s.random.IntN(20), s.random.IntN(10)
+	s.maxWrite = 1 + s.random.Uint64N(300)
+	if s.random.IntN(4) == 0 {
+		s.lossPercent, s.delayPercent = s.random.IntN(40), s.random.IntN(70)
 	}
 }
 
-func (w *world) crashEach(vms []*vm) {
+func (s *simulation) crashEach(vms []*vm) {
 	for _, v := range vms {
-		w.crash(v)
+		s.crash(v)
 	}
 }
 
-// leaders are all that believe to lead; there may be several.
-func (w *world) leaders() []*vm {
-	return w.which(func(v *vm) bool { return v.raft != nil && v.raft.role == RoleLeader })
+// leaders returns the VMs whose voter is in the role of leader; after a
+// partition there may be several.
+func (s *simulation) leaders() []*vm {
+	return s.filter(func(v *vm) bool { return v.raft != nil && v.raft.role == RoleLeader })
 }
 
-func (w *world) storing() []*vm { return w.which(func(v *vm) bool { return v.ready != nil }) }
+func (s *simulation) writing() []*vm { return s.filter(func(v *vm) bool { return v.ready != nil }) }
 
-func (w *world) which(is func(v *vm) bool) []*vm {
-	return slices.DeleteFunc(slices.Clone(w.vms), func(v *vm) bool { return !is(v) })
+func (s *simulation) filter(matches func(v *vm) bool) []*vm {
+	return slices.DeleteFunc(slices.Clone(s.vms), func(v *vm) bool { return !matches(v) })
 }
 
-// crashLoop is a process that ends again soon after each start.
-func (w *world) crashLoop(v *vm) {
+// crashLoop crashes a process repeatedly soon after each start.
+func (s *simulation) crashLoop(v *vm) {
 	for range 8 {
-		w.crash(v)
-		w.start(v)
-		w.run(w.random.Uint64N(2 * tickMax))
+		s.crash(v)
+		s.start(v)
+		s.runFor(s.random.Uint64N(2 * tickMax))
 	}
 }
 
-// untilStep is how soon until notices.
-const untilStep = 15
+// pollInterval is the interval at which runUntil checks its counter.
+const pollInterval = 15
 
-// until lets time pass up to shortly after the count has risen, or for a
-// while when it does not.
-func (w *world) until(count *int) {
+// runUntil advances time until shortly after the count has increased,
+// or for a limited time if it does not.
+func (s *simulation) runUntil(count *int) {
 	before := *count
-	for range 6000 / untilStep {
-		w.run(untilStep)
+	for range 6000 / pollInterval {
+		s.runFor(pollInterval)
 		if *count > before {
 			return
 		}
 	}
 }
 
-func (w *world) calm() {
-	w.cut = [5][5]bool{}
-	w.loss, w.doubled, w.late, w.slow = 0, 0, 0, 50
-	for _, v := range w.vms {
-		v.least = 0
+func (s *simulation) endFaults() {
+	s.blockedLinks = [5][5]bool{}
+	s.lossPercent, s.duplicatePercent, s.delayPercent, s.maxWrite = 0, 0, 0, 50
+	for _, v := range s.vms {
+		v.minWrite = 0
 	}
-	w.restart()
+	s.startAll()
 }
 
-func (w *world) restart() {
-	for _, v := range w.vms {
-		w.startOne(v)
+func (s *simulation) startAll() {
+	for _, v := range s.vms {
+		s.startIfDown(v)
 	}
 }
 
-func (w *world) startOne(v *vm) {
+func (s *simulation) startIfDown(v *vm) {
 	if v.raft == nil {
-		w.start(v)
+		s.start(v)
 	}
 }
 
-// isolate cuts a VM's sending, its hearing, or both.
-func (w *world) isolate(v *vm, how int) {
-	for other := range w.vms {
-		w.cut[v.index][other] = w.cut[v.index][other] || how != 0
-		w.cut[other][v.index] = w.cut[other][v.index] || how != 1
+// isolate blocks all messages to a VM (direction 0), from it (1), or both (2).
+func (s *simulation) isolate(v *vm, direction int) {
+	for other := range s.vms {
+		s.blockedLinks[v.index][other] = s.blockedLinks[v.index][other] || direction != 0
+		s.blockedLinks[other][v.index] = s.blockedLinks[other][v.index] || direction != 1
 	}
 }
 
-func (w *world) any() *vm { return w.vms[w.random.IntN(len(w.vms))] }
+func (s *simulation) randomVM() *vm { return s.vms[s.random.IntN(len(s.vms))] }
 
-// split parts the VMs into two groups.
-func (w *world) split() {
-	group := w.random.IntN(1 << len(w.vms))
-	for a := range w.vms {
-		for b := range w.vms {
-			w.cut[a][b] = group>>a&1 != group>>b&1
+// split partitions the VMs into two groups.
+func (s *simulation) split() {
+	group := s.random.IntN(1 << len(s.vms))
+	for a := range s.vms {
+		for b := range s.vms {
+			s.blockedLinks[a][b] = group>>a&1 != group>>b&1
 		}
 	}
 }
 
-// cutFromLeaders lets a VM hear no leader, while all others hear both.
-func (w *world) cutFromLeaders(v *vm) {
-	for _, l := range w.leaders() {
-		w.cut[l.index][v.index] = l != v
+// cutFromLeaders blocks messages from the leaders to one VM. The other VMs
+// still receive messages from both.
+func (s *simulation) cutFromLeaders(v *vm) {
+	for _, l := range s.leaders() {
+		s.blockedLinks[l.index][v.index] = l != v
 	}
 }
 
-func (w *world) isolateLeaders() {
-	for _, l := range w.leaders() {
-		w.isolate(l, 2)
+func (s *simulation) isolateLeaders() {
+	for _, l := range s.leaders() {
+		s.isolate(l, 2)
 	}
 }
 
-// eachLeader visits those leaders that are not frozen.
-func (w *world) eachLeader(visit func(r *Raft)) {
-	for _, v := range w.leaders() {
-		if v.frozen <= w.now {
+// eachLeader calls visit for each leader that is not frozen.
+func (s *simulation) eachLeader(visit func(r *Raft)) {
+	for _, v := range s.leaders() {
+		if v.frozenUntil <= s.now {
 			visit(v.raft)
-			w.work(v)
+			s.processReady(v)
 		}
 	}
 }
 
-func (w *world) propose(n int) {
-	w.eachLeader(func(r *Raft) {
+func (s *simulation) propose(n int) {
+	s.eachLeader(func(r *Raft) {
 		for range n {
-			w.seq++
-			_, _, _ = r.Propose(fmt.Appendf(nil, "%d", w.seq))
+			s.seq++
+			_, _, _ = r.Propose(fmt.Appendf(nil, "%d", s.seq))
 		}
 	})
 }
 
-func (w *world) read() {
-	w.eachLeader(func(r *Raft) {
-		w.seq++
-		w.reads[w.seq] = w.top
-		_ = r.ReadIndex(w.seq)
+func (s *simulation) read() {
+	s.eachLeader(func(r *Raft) {
+		s.seq++
+		s.committedAtRead[s.seq] = s.maxApplied
+		_ = r.ReadIndex(s.seq)
 	})
 }
 
-// changeVoters adds or removes a healthy VM; under the faulty rule it puts
-// one VM in another's place.
-func (w *world) changeVoters(v *vm) {
-	w.eachLeader(func(r *Raft) {
+// changeVoters adds or removes a healthy VM; with ReplaceVoters it replaces one
+// VM by another.
+func (s *simulation) changeVoters(v *vm) {
+	s.eachLeader(func(r *Raft) {
 		voters := r.log.voters()
-		if slices.ContainsFunc(voters.Members, func(id ID) bool { return !w.alive(id) }) {
-			return // removing a healthy one is a second loss before the repair
+		if slices.ContainsFunc(voters.Members, func(id ID) bool { return !s.diskExists(id) }) {
+			return // removing a healthy voter would be a second loss before the repair
 		}
 		next := voters.With(v.id)
 		if voters.Has(v.id) {
 			next = voters.Without(v.id)
 		}
-		if w.rules.ReplaceVoters && !voters.Has(v.id) {
-			next = next.Without(voters.Members[w.random.IntN(len(voters.Members))])
+		if s.faults.ReplaceVoters && !voters.Has(v.id) {
+			next = next.Without(voters.Members[s.random.IntN(len(voters.Members))])
 		}
-		if len(next.Members) > 1 || w.random.IntN(4) == 0 {
+		if len(next.Members) > 1 || s.random.IntN(4) == 0 {
 			_, _, _ = r.ProposeVoters(next)
 		}
 	})
 }
 
-// repair removes a voter whose disk is lost, or brings a small set up to three.
-func (w *world) repair() {
-	w.eachLeader(func(r *Raft) {
+// repair removes a voter whose disk is lost, or adds a voter to a set of fewer
+// than three.
+func (s *simulation) repair() {
+	s.eachLeader(func(r *Raft) {
 		voters := r.log.voters()
 		for _, id := range voters.Members {
-			if !w.alive(id) {
+			if !s.diskExists(id) {
 				_, _, _ = r.ProposeVoters(voters.Without(id))
 				return
 			}
 		}
-		for _, v := range w.vms {
+		for _, v := range s.vms {
 			if len(voters.Members) < 3 && !voters.Has(v.id) {
 				_, _, _ = r.ProposeVoters(voters.With(v.id))
 				return
@@ -239,37 +242,38 @@
 	})
 }
 
-// settle ends all faults; the site must then repair itself and go on.
-func (w *world) settle() error {
-	w.random = rand.New(rand.NewPCG(7, 7))
-	w.calm()
+// recover ends all faults; the site must then repair itself and make progress.
+func (s *simulation) recover() error {
+	s.random = rand.New(rand.NewPCG(7, 7))
+	s.endFaults()
 	goal := uint64(0)
 	for range 200 {
-		w.run(500)
-		w.repair()
+		s.runFor(500)
+		s.repair()
 		if goal == 0 {
-			w.propose(1)
-			goal = w.goal()
+			s.propose(1)
+			goal = s.recoveryGoal()
 		}
-		behind := func(id ID) bool { return w.vms[id[0]-'0'].applied < goal }
-		if w.err != nil || goal > 0 && !slices.ContainsFunc(w.voters.Members, behind) {
-			return w.err
+		behind := func(id ID) bool { return s.vms[id[0]-'0'].applied < goal }
+		if s.err != nil || goal > 0 && !slices.ContainsFunc(s.voters.Members, behind) {
+			return s.err
 		}
 	}
 	text := ""
-	for _, v := range w.vms {
+	for _, v := range s.vms {
 		text += fmt.Sprintf("\n%+v", v.raft.Status())
 	}
-	return fmt.Errorf("no progress after all faults ended: goal %d, applied %d, voters %v%s", goal, w.top, w.voters, text)
+	return fmt.Errorf("no progress after all faults ended: goal %d, applied %d, voters %v%s", goal, s.maxApplied, s.voters, text)
 }
 
-// goal is an index to reach once a leader is at work and the voters are whole.
-func (w *world) goal() uint64 {
+// recoveryGoal returns the index that all voters must apply, 0 until a leader
+// is ready and the set of voters is complete.
+func (s *simulation) recoveryGoal() uint64 {
 	goal := uint64(0)
-	w.eachLeader(func(r *Raft) {
-		lost := slices.ContainsFunc(w.voters.Members, func(id ID) bool { return !w.alive(id) })
-		if s := r.Status(); s.Ready && s.Confirmed && !s.VotersPending && !lost && len(w.voters.Members) >= 3 {
-			goal = s.Last
+	s.eachLeader(func(r *Raft) {
+		lost := slices.ContainsFunc(s.voters.Members, func(id ID) bool { return !s.diskExists(id) })
+		if status := r.Status(); status.Ready && status.Confirmed && !status.VotersPending && !lost && len(s.voters.Members) >= 3 {
+			goal = status.Last
 		}
 	})
 	return goal
--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -7,15 +7,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkCommit measures the processor time of all three voters together
-// from proposals to their commit everywhere, and the bytes the leader sends.
+// BenchmarkCommit measures the CPU time of all three voters from a proposal to
+// its commit at all of them, the messages sent, and the size of an encoded
+// heartbeat.
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("batch-%d", batch), func(b *testing.B) {
-			w := newWorld(Rules{}, 0)
-			leader := leading(w)
-			w.run(2_000)
-			for _, v := range w.vms[:3] {
+			s := newSim(Rules{}, 0)
+			leader := waitForLeader(s)
+			s.runFor(2_000)
+			for _, v := range s.vms[:3] {
 				v.raft.cfg.MaxBatchBytes, v.raft.cfg.MaxUncommittedBytes = defaultMaxBatchBytes, defaultMaxUncommitted
 			}
 			data, sent := make([]byte, 200), 0
@@ -24,7 +25,7 @@
 				for range batch {
 					_, _, _ = leader.raft.Propose(data)
 				}
-				sent += exchange(w.vms[:3])
+				sent += deliverAll(s.vms[:3])
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "messages/op")
 			encoded, _ := cbor.Marshal(Message{Kind: KindHeartbeat, From: "voter-1#0123456789abcdef", To: "voter-2#0123456789abcdef", Term: 9, Commit: 1e6, Tick: 1e6})
@@ -33,8 +34,8 @@
 	}
 }
 
-// exchange passes messages without delay until there is nothing left to do.
-func exchange(vms []*vm) (sent int) {
+// deliverAll delivers messages without delay until no voter has work left.
+func deliverAll(vms []*vm) (sent int) {
 	for busy := true; busy; {
 		busy = false
 		for _, v := range vms {
--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Defaults for the optional fields of Config.
+// Defaults of the optional fields of Config.
 const (
 	defaultMaxBatchBytes    = 256 << 10
 	defaultMaxInflight      = 16
@@ -10,97 +10,103 @@
 	defaultMaxUncommitted   = 8 << 20
 	defaultMaxSnapshotBytes = 256 << 20
 	defaultKeepEntries      = 256
-	// maxPendingReads bounds the read requests that wait for a quorum.
+	// maxPendingReads is the maximum number of reads that wait for a quorum.
 	maxPendingReads = 4096
 )
 
-// Config sets up a voter. Fields other than Self, ElectionTicks,
-// HeartbeatTicks and Random may be zero and then take a default.
+// Config configures a voter. Self, ElectionTicks, HeartbeatTicks and Random
+// are required; the other fields have defaults.
 type Config struct {
-	// Self is this voter's name and disk.
+	// Self is the ID of this voter.
 	Self ID
-	// ElectionTicks is for how long a voter that heard from a leader refuses
-	// to vote, and the shortest time until it campaigns.
+	// ElectionTicks is the minimum election timeout. A voter that received a
+	// message from a leader also refuses to vote for this long.
 	ElectionTicks int
-	// HeartbeatTicks is the time between two heartbeats of the leader.
+	// HeartbeatTicks is the interval of the leader's heartbeats.
 	HeartbeatTicks int
-	// LeaseTicks is for how long an answered heartbeat keeps the leader
-	// Confirmed, counted from when it was sent; three quarters of
-	// ElectionTicks by default. Two leaders are never Confirmed at once while
-	// the tick rates of two voters differ by less than the factor
-	// (ElectionTicks-1)/LeaseTicks.
+	// LeaseTicks is the duration of the leader's lease: the leader is
+	// Confirmed for this long after it sent a heartbeat that a quorum
+	// answered. The default is three quarters of ElectionTicks. Two leaders
+	// are never Confirmed at the same time as long as the tick rates of two
+	// voters differ by less than the factor (ElectionTicks-1)/LeaseTicks.
 	LeaseTicks int
 	// Random returns a number in [0, n).
 	Random func(n int) int
-	// MaxBatchBytes bounds the entries of one message (one is always sent).
+	// MaxBatchBytes limits the entries of one message; at least one entry is
+	// always sent.
 	MaxBatchBytes int
-	// MaxInflight bounds the batches on their way to one voter.
+	// MaxInflight is the maximum number of unacknowledged batches to one voter.
 	MaxInflight int
-	// SnapshotChunk is the number of bytes of a snapshot in one message.
+	// SnapshotChunk is the maximum number of snapshot bytes in one message.
 	SnapshotChunk int
-	// MaxSnapshotBytes bounds a snapshot that is received.
+	// MaxSnapshotBytes is the maximum size of a received snapshot.
 	MaxSnapshotBytes int
-	// MaxUncommittedBytes bounds what Propose takes before a quorum has stored it.
+	// MaxUncommittedBytes limits the proposals that are not committed yet.
 	MaxUncommittedBytes int
-	// CommitsWithNext lets followers learn of a commit with the next entry or
-	// heartbeat. Otherwise each commit costs a message of its own to every
-	// follower, so that they apply at once: for sites that read at followers.
+	// CommitsWithNext makes the leader send a new commit index only with the
+	// next entry or heartbeat. Otherwise it sends each commit index to every
+	// follower in a message of its own, so that followers apply without delay;
+	// this suits sites that read at followers.
 	CommitsWithNext bool
-	// KeepEntries is how many entries before the snapshot stay in memory, so
-	// that a voter which lags a little needs no snapshot. Negative keeps none.
+	// KeepEntries is the number of entries before the snapshot that stay in
+	// memory, so that a voter that lags slightly needs no snapshot. A negative
+	// value keeps none.
 	KeepEntries int
-	// Rules is the zero value in every real process.
+	// Rules is set only in tests.
 	Rules Rules
 }
 
-// Rules switches single rules off. It exists so that tests can show that the
-// randomised runs notice each rule's absence.
+// Rules disables single rules of the protocol, so that tests can show that the
+// randomized runs detect the absence of each rule.
 type Rules struct {
-	// SkipPreVote campaigns without asking first whether it could succeed.
+	// SkipPreVote starts an election without a pre-vote.
 	SkipPreVote bool
-	// SkipVoteSync lets a vote leave before term and vote are stored.
+	// SkipVoteSync sends a vote before term and vote are stored.
 	SkipVoteSync bool
 	// SkipAppendSync acknowledges entries before they are stored.
 	SkipAppendSync bool
-	// SkipVotedFor votes for every candidate of a term.
+	// SkipVotedFor votes for more than one candidate in a term.
 	SkipVotedFor bool
-	// SkipLogUpToDate votes for a candidate whose log is behind.
+	// SkipLogUpToDate votes for candidates whose log is not up to date.
 	SkipLogUpToDate bool
-	// CommitOldTerm commits entries of earlier terms by counting.
+	// CommitOldTerm commits entries of earlier terms by counting replicas.
 	CommitOldTerm bool
-	// SkipCheckQuorum keeps a leader that no quorum answers.
+	// SkipCheckQuorum keeps leading although no quorum answers.
 	SkipCheckQuorum bool
-	// SkipLease calls a leader Confirmed without asking for a quorum.
+	// SkipLease reports a leader as Confirmed without a quorum.
 	SkipLease bool
-	// SkipVoteHold votes although a leader was heard a moment ago.
+	// SkipVoteHold votes even shortly after a message from a leader.
 	SkipVoteHold bool
-	// SkipRestartHold votes at once after a restart.
+	// SkipRestartHold votes immediately after a restart.
 	SkipRestartHold bool
-	// LeaseAfterTransfer stays Confirmed after the successor was told to campaign.
+	// LeaseAfterTransfer stays Confirmed after the transferee was told to campaign.
 	LeaseAfterTransfer bool
-	// ReadWithoutQuorum answers a read without asking a quorum.
+	// ReadWithoutQuorum answers a read without confirmation by a quorum.
 	ReadWithoutQuorum bool
-	// ReadBeforeOwnTerm answers a read before an entry of the term is committed.
+	// ReadBeforeOwnTerm answers a read before an entry of the current term is
+	// committed.
 	ReadBeforeOwnTerm bool
 	// AllowTwoPendingVoters starts a voter change while one is pending.
 	AllowTwoPendingVoters bool
-	// VotersBeforeOwnTerm starts a voter change before an entry of the term is committed.
+	// VotersBeforeOwnTerm starts a voter change before an entry of the current
+	// term is committed.
 	VotersBeforeOwnTerm bool
-	// ReplaceVoters lets two members differ at a time.
+	// ReplaceVoters allows a voter change in which two members differ.
 	ReplaceVoters bool
-	// VoteOnlyAsVoter refuses to vote while the own log does not name this voter.
+	// VoteOnlyAsVoter refuses to vote while the voter's own log does not list it.
 	VoteOnlyAsVoter bool
-	// SkipLeaverCampaign does not campaign once the own removal is appended.
+	// SkipLeaverCampaign does not campaign once the voter's own removal is
+	// appended.
 	SkipLeaverCampaign bool
-	// SkipVotersAnswer changes to a set of which no quorum answers.
+	// SkipVotersAnswer allows a change to a set of which no quorum answers.
 	SkipVotersAnswer bool
-	// SkipTermCheck takes messages of earlier terms.
+	// SkipTermCheck accepts messages of earlier terms.
 	SkipTermCheck bool
-	// SkipPreviousCheck appends without comparing the entry before.
+	// SkipPreviousCheck appends without comparing the preceding entry.
 	SkipPreviousCheck bool
 }
 
-func (c *Config) complete() error {
+func (c *Config) applyDefaults() error {
 	switch {
 	case c.Self == "":
 		return fmt.Errorf("quorum: config: Self is empty")
--- a/internal/quorum/disk_test.go
+++ b/internal/quorum/disk_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// disk holds what survives a crash.
+// disk is the state that survives a crash.
 type disk struct {
 	hard     HardState
 	snapshot Snapshot
@@ -19,8 +19,8 @@
 	return d.snapshot.Meta.Index
 }
 
-// store writes what a Ready asks for, up to a number of records, in the order
-// snapshot, cut of the log, hard state, entries.
+// store writes the first records of a Ready, in the order snapshot, truncation
+// of the log, hard state, entries.
 func (d *disk) store(rd *Ready, records int) {
 	write := func() bool { records--; return records >= 0 }
 	if rd.Snapshot != nil && write() {
@@ -43,97 +43,99 @@
 	}
 }
 
-func (w *world) start(v *vm) {
+func (s *simulation) start(v *vm) {
 	cfg := Config{
-		Self: v.id, ElectionTicks: electionTicks, HeartbeatTicks: 2, Random: func(n int) int { return w.random.IntN(n) },
-		MaxBatchBytes: entryOverhead, MaxInflight: 3, SnapshotChunk: 16, KeepEntries: w.keep, Rules: w.rules,
+		Self: v.id, ElectionTicks: electionTicks, HeartbeatTicks: 2, Random: func(n int) int { return s.random.IntN(n) },
+		MaxBatchBytes: entryOverhead, MaxInflight: 3, SnapshotChunk: 16, KeepEntries: s.keepEntries, Rules: s.faults,
 	}
-	cfg.CommitsWithNext = w.later
+	cfg.CommitsWithNext = s.piggybackCommit
 	raft, err := New(cfg, v.disk.hard, v.disk.snapshot.Meta, slices.Clone(v.disk.entries))
 	if err != nil {
-		w.fail("%s restarts: %w", v.id, err)
+		s.fail("%s restarts: %w", v.id, err)
 		return
 	}
 	if raft.LogDropped() {
 		v.disk.entries = nil
 	}
-	v.raft, v.ready, v.frozen = raft, nil, 0
-	v.life++
-	v.period = tickMin + w.random.Uint64N(tickMax-tickMin)
-	v.due = w.now + w.random.Uint64N(v.period)
-	w.restoreMachine(v)
+	v.raft, v.ready, v.frozenUntil = raft, nil, 0
+	v.incarnation++
+	v.tickPeriod = tickMin + s.random.Uint64N(tickMax-tickMin)
+	v.nextTick = s.now + s.random.Uint64N(v.tickPeriod)
+	s.restoreStateMachine(v)
 	if v.disk.snapshot.Meta.Index > 0 {
 		raft.SetSnapshot(v.disk.snapshot)
 	}
-	w.witness.Restarted(v.id)
-	w.push(&event{at: v.due, vm: v})
+	s.checker.Restarted(v.id)
+	s.schedule(&event{at: v.nextTick, vm: v})
 }
 
-// crash loses what was not synced; of a write under way some records survive.
-func (w *world) crash(v *vm) {
+// crash loses all unsynced state; some records of a write in progress survive.
+func (s *simulation) crash(v *vm) {
 	if v.raft == nil {
 		return
 	}
 	if v.ready != nil {
-		v.disk.store(v.ready, w.random.IntN(4+len(v.ready.Entries)))
+		v.disk.store(v.ready, s.random.IntN(4+len(v.ready.Entries)))
 	}
 	v.raft, v.ready = nil, nil
-	w.count.crashes++
+	s.count.crashes++
 }
 
-// loseDisk is allowed while the voters that keep their disks are a quorum of
-// every set of voters that may be in force, including one lost before.
-func (w *world) loseDisk(v *vm) {
+// loseDisk replaces the disk of a VM by an empty one, provided that the voters
+// with intact disks remain a quorum of every set of voters that may be in force.
+// Disks that were lost before count as well.
+func (s *simulation) loseDisk(v *vm) {
 	lost := 1
-	for _, id := range w.voters.Members {
-		if id != v.id && !w.alive(id) {
+	for _, id := range s.voters.Members {
+		if id != v.id && !s.diskExists(id) {
 			lost++
 		}
 	}
-	member, size := w.voters.Has(v.id), len(w.voters.Members)
-	founded := w.top > foundingIndex
-	if member && (!founded || lost > size-w.voters.Quorum()) {
+	member, size := s.voters.Has(v.id), len(s.voters.Members)
+	founded := s.maxApplied > foundingIndex
+	if member && (!founded || lost > size-s.voters.Quorum()) {
 		return
 	}
-	if w.votersInDoubt() && (member || size < 2 || lost > 1) {
+	if s.hasUncommittedVoters() && (member || size < 2 || lost > 1) {
 		return
 	}
-	w.crash(v)
-	v.generation++
-	if !w.sameID {
-		v.id = ID(fmt.Sprintf("%d#%d", v.index, v.generation))
+	s.crash(v)
+	v.diskGeneration++
+	if !s.reuseID {
+		v.id = ID(fmt.Sprintf("%d#%d", v.index, v.diskGeneration))
 	}
 	v.disk = disk{}
-	w.count.disks++
-	w.start(v)
+	s.count.disks++
+	s.start(v)
 }
 
-func (w *world) alive(id ID) bool {
-	return slices.ContainsFunc(w.vms, func(v *vm) bool { return v.id == id })
+func (s *simulation) diskExists(id ID) bool {
+	return slices.ContainsFunc(s.vms, func(v *vm) bool { return v.id == id })
 }
 
-// votersInDoubt says whether an uncommitted change of the voters is anywhere.
-func (w *world) votersInDoubt() bool {
-	doubt := func(entries []Entry) bool {
-		return slices.ContainsFunc(entries, func(e Entry) bool { return e.Kind == EntryVoters && e.Index > w.top })
-	}
-	for _, v := range w.vms {
-		if doubt(v.disk.entries) || v.raft != nil && doubt(v.raft.log.entries) {
+// hasUncommittedVoters reports whether an uncommitted voter change exists on
+// any disk, in any log or in a message in flight.
+func (s *simulation) hasUncommittedVoters() bool {
+	uncommitted := func(entries []Entry) bool {
+		return slices.ContainsFunc(entries, func(e Entry) bool { return e.Kind == EntryVoters && e.Index > s.maxApplied })
+	}
+	for _, v := range s.vms {
+		if uncommitted(v.disk.entries) || v.raft != nil && uncommitted(v.raft.log.entries) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(w.queue, func(e *event) bool { return e.message != nil && doubt(e.message.Entries) })
+	return slices.ContainsFunc(s.queue, func(e *event) bool { return e.message != nil && uncommitted(e.message.Entries) })
 }
 
-func (w *world) takeSnapshot(v *vm) {
+func (s *simulation) takeSnapshot(v *vm) {
 	if v.applied < v.disk.snapshot.Meta.Index+20 {
 		return
 	}
 	meta, err := v.raft.SnapshotMeta(v.applied)
 	if err != nil {
-		return // a received snapshot, not installed yet, replaced the log meanwhile
+		return // a received snapshot that is not installed yet replaced the log
 	}
-	v.disk.snapshot = Snapshot{Meta: meta, Data: snapshotData(v.sum)}
-	v.disk.entries = slices.DeleteFunc(slices.Clone(v.disk.entries), func(e Entry) bool { return e.Index+uint64(w.keep) < meta.Index })
+	v.disk.snapshot = Snapshot{Meta: meta, Data: snapshotData(v.digest)}
+	v.disk.entries = slices.DeleteFunc(slices.Clone(v.disk.entries), func(e Entry) bool { return e.Index+uint64(s.keepEntries) < meta.Index })
 	v.raft.SetSnapshot(v.disk.snapshot)
 }
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -1,47 +1,47 @@
 package quorum
 
-// campaign starts an election. It first asks whether it would succeed
-// (pre-vote), so that a voter that was cut off does not raise the term and
-// depose a working leader when it comes back.
+// campaign starts a pre-vote, which asks whether an election would succeed, so
+// that a voter that was partitioned does not raise the term and depose a
+// working leader when it reconnects.
 func (r *Raft) campaign() {
 	if r.cfg.Rules.SkipPreVote {
-		r.elect(false)
+		r.startElection(false)
 		return
 	}
 	r.role = RolePreCandidate
 	r.leader = ""
 	r.resetElectionTimer()
-	if r.countVote(r.cfg.Self) {
-		r.elect(false)
+	if r.recordVote(r.cfg.Self) {
+		r.startElection(false)
 		return
 	}
-	r.askVotes(Message{Kind: KindPreVote, Term: r.hard.Term + 1})
+	r.requestVotes(Message{Kind: KindPreVote, Term: r.hard.Term + 1})
 }
 
-// elect raises the term and asks for votes. Forced marks a campaign that the
-// leader asked for.
-func (r *Raft) elect(forced bool) {
+// startElection raises the term and requests votes. forced marks an election
+// that the leader requested for a leadership transfer.
+func (r *Raft) startElection(forced bool) {
 	r.hard = HardState{Term: r.hard.Term + 1, VotedFor: r.cfg.Self}
 	r.role = RoleCandidate
 	r.leader = ""
 	r.votes = nil
 	r.resetElectionTimer()
-	r.askVotes(Message{Kind: KindVote, Forced: forced})
+	r.requestVotes(Message{Kind: KindVote, Forced: forced})
 }
 
-// countOwnVote counts the own vote once it is stored. A voter that needs no
-// other vote would else lead before that, and after a crash could vote for
-// another candidate of the same term.
-func (r *Raft) countOwnVote(stored *HardState) {
+// recordOwnVote counts this voter's own vote once it is stored. Otherwise a
+// voter that needs no other vote would become leader before that, and after a
+// crash it could vote for another candidate of the same term.
+func (r *Raft) recordOwnVote(stored *HardState) {
 	if r.role != RoleCandidate || stored == nil || stored.Term != r.hard.Term || stored.VotedFor != r.cfg.Self {
 		return
 	}
-	if r.countVote(r.cfg.Self) {
+	if r.recordVote(r.cfg.Self) {
 		r.becomeLeader()
 	}
 }
 
-func (r *Raft) askVotes(m Message) {
+func (r *Raft) requestVotes(m Message) {
 	m.Index, m.LogTerm = r.log.last(), r.log.lastTerm()
 	for _, id := range r.log.voters().Members {
 		if id != r.cfg.Self {
@@ -51,8 +51,9 @@
 	}
 }
 
-// countVote adds a granted vote and says whether a quorum granted theirs.
-func (r *Raft) countVote(id ID) bool {
+// recordVote records a granted vote and reports whether a quorum has granted
+// its votes.
+func (r *Raft) recordVote(id ID) bool {
 	if r.votes == nil {
 		r.votes = map[ID]bool{}
 	}
@@ -67,20 +68,20 @@
 	return granted >= members.Quorum()
 }
 
-// holdsVote says whether a leader was heard so lately that it may still be
-// Confirmed.
-func (r *Raft) holdsVote() bool {
+// withholdsVote reports whether this voter must not vote, because a leader
+// contacted it so recently that this leader may still be Confirmed.
+func (r *Raft) withholdsVote() bool {
 	if r.cfg.Rules.SkipVoteHold {
 		return false
 	}
 	if r.cfg.Rules.VoteOnlyAsVoter && !r.isVoter() {
 		return true
 	}
-	return r.hold > 0 || r.role == RoleLeader
+	return r.voteHold > 0 || r.role == RoleLeader
 }
 
-// upToDate says whether a log that ends with the given entry holds all that
-// this one may have helped to commit.
+// upToDate reports whether a log that ends with the given entry contains every
+// entry that this voter may have helped to commit.
 func (r *Raft) upToDate(index, term uint64) bool {
 	if r.cfg.Rules.SkipLogUpToDate {
 		return true
@@ -89,12 +90,12 @@
 	return term > ownTerm || term == ownTerm && index >= r.log.last()
 }
 
-// handlePreVote answers without a change of its own state. A voter answers
-// even when its own log does not name it as a voter: the candidate's log may
-// be newer, and a voter just added would otherwise leave the candidate short
-// of a quorum when another voter is lost right after the repair.
+// handlePreVote answers without changing this voter's state. A voter answers
+// even if its own log does not list it as a voter: the candidate's log may be
+// newer. Otherwise the candidate would lack the vote of a voter that was just
+// added, and with it the quorum if another voter is lost right after a repair.
 func (r *Raft) handlePreVote(m Message) {
-	granted := m.Term > r.hard.Term && !r.holdsVote() && r.upToDate(m.Index, m.LogTerm)
+	granted := m.Term > r.hard.Term && !r.withholdsVote() && r.upToDate(m.Index, m.LogTerm)
 	reply := Message{Kind: KindPreVoteReply, To: m.From, Reject: !granted}
 	if granted {
 		reply.Term = m.Term
@@ -103,14 +104,14 @@
 }
 
 func (r *Raft) handleVote(m Message) {
-	if !m.Forced && r.holdsVote() {
+	if !m.Forced && r.withholdsVote() {
 		return
 	}
-	free := r.hard.VotedFor == "" && r.leader == "" || r.hard.VotedFor == m.From
+	canVote := r.hard.VotedFor == "" && r.leader == "" || r.hard.VotedFor == m.From
 	if r.cfg.Rules.SkipVotedFor {
-		free = true
+		canVote = true
 	}
-	granted := free && r.role == RoleFollower && r.upToDate(m.Index, m.LogTerm)
+	granted := canVote && r.role == RoleFollower && r.upToDate(m.Index, m.LogTerm)
 	if granted {
 		r.hard.VotedFor = m.From
 		r.resetElectionTimer()
@@ -124,11 +125,11 @@
 	}
 	switch {
 	case m.Kind == KindPreVoteReply && r.role == RolePreCandidate && m.Term == r.hard.Term+1:
-		if r.countVote(m.From) {
-			r.elect(false)
+		if r.recordVote(m.From) {
+			r.startElection(false)
 		}
 	case m.Kind == KindVoteReply && r.role == RoleCandidate && m.Term == r.hard.Term:
-		if r.countVote(m.From) {
+		if r.recordVote(m.From) {
 			r.becomeLeader()
 		}
 	}
@@ -139,32 +140,34 @@
 	r.leader = r.cfg.Self
 	r.votes = nil
 	r.peers = map[ID]*progress{}
-	r.transfer = transfer{}
-	r.votersChanged()
+	r.transfer = leadershipTransfer{}
+	r.updatePeers()
 	r.termStart = r.log.last() + 1
 	r.uncommitted = 0
-	r.beatDue = true
-	// An entry of the own term must be committed before entries of earlier
-	// terms count as committed, and nobody may propose one for a long time.
-	_, _, _ = r.appendOwn(EntryNoop, nil)
+	r.heartbeatDue = true
+	// Entries of earlier terms count as committed only once an entry of this
+	// term is committed, and the next proposal may be a long time away.
+	_, _, _ = r.appendAsLeader(EntryNoop, nil)
 }
 
-// ownTermCommitted says whether the leader has committed its first entry.
+// ownTermCommitted reports whether the leader has committed an entry of its
+// own term.
 func (r *Raft) ownTermCommitted() bool {
 	return r.log.commit >= r.termStart
 }
 
-// transfer is a handover of leadership that was asked for.
-type transfer struct {
+// leadershipTransfer is a requested transfer of leadership.
+type leadershipTransfer struct {
 	to       ID
 	deadline uint64 // tick
 	sent     bool
 }
 
-// TransferLeadership hands leadership to another voter: proposals are refused
-// until it has caught up, campaigns and wins, or an election timeout passes.
-// Once the successor was told to campaign this leader is not Confirmed any
-// more, since the successor's campaign overrides the others' refusal to vote.
+// TransferLeadership transfers leadership to another voter. Proposals are
+// refused until the transferee has caught up, campaigned and won, or until an
+// election timeout passes. Once the transferee was told to campaign, this
+// leader is no longer Confirmed, because the forced election overrides the
+// other voters' refusal to vote.
 //
 // Errors: ErrNotLeader, ErrUnknownVoter, ErrTransferring.
 func (r *Raft) TransferLeadership(to ID) error {
@@ -176,13 +179,13 @@
 	case r.transfer.to != "":
 		return ErrTransferring
 	}
-	r.transfer = transfer{to: to, deadline: r.now + uint64(r.cfg.ElectionTicks)}
-	r.sendDue = true
+	r.transfer = leadershipTransfer{to: to, deadline: r.now + uint64(r.cfg.ElectionTicks)}
+	r.appendDue = true
 	r.continueTransfer()
 	return nil
 }
 
-// continueTransfer tells the successor to campaign once it has the whole log.
+// continueTransfer tells the transferee to campaign once it has the whole log.
 func (r *Raft) continueTransfer() {
 	p := r.peers[r.transfer.to]
 	if r.transfer.sent || p == nil || p.match != r.log.last() {
@@ -192,9 +195,9 @@
 	r.send(Message{Kind: KindCampaignNow, To: r.transfer.to})
 }
 
-// tickTransfer ends a handover that takes too long. When the successor was
-// told to campaign the message may still arrive at any time, so this leader
-// does not take its lease up again but steps down.
+// tickTransfer ends a leadership transfer that exceeds its deadline. If the
+// transferee was told to campaign, that message may still arrive at any time,
+// so this leader steps down instead of resuming its lease.
 func (r *Raft) tickTransfer() {
 	if r.transfer.to == "" || r.now < r.transfer.deadline && r.peers[r.transfer.to] != nil {
 		return
@@ -203,11 +206,11 @@
 		r.becomeFollower(r.hard.Term, "")
 		return
 	}
-	r.transfer = transfer{}
+	r.transfer = leadershipTransfer{}
 }
 
 func (r *Raft) handleCampaignNow() {
 	if r.role != RoleLeader && r.mayCampaign() {
-		r.elect(true)
+		r.startElection(true)
 	}
 }
--- a/internal/quorum/follower.go
+++ b/internal/quorum/follower.go
@@ -6,30 +6,30 @@
 	if err := r.skipCommitted(&m); err != nil {
 		return err
 	}
-	if !r.log.matches(m.Index, m.LogTerm) && !r.followsBlindly(m) {
-		r.reject(m)
+	if !r.log.matchesTerm(m.Index, m.LogTerm) && !r.skipsPreviousCheck(m) {
+		r.sendReject(m)
 		return nil
 	}
-	if err := r.storeEntries(m); err != nil {
+	if err := r.appendMissing(m); err != nil {
 		return err
 	}
 	last := m.Index + uint64(len(m.Entries))
 	if commit := min(m.Commit, last); commit > r.log.commit {
 		r.commitTo(commit)
 	}
-	r.acknowledge(m, last)
+	r.sendAck(m, last)
 	return nil
 }
 
-// skipCommitted cuts off entries that are committed here, as they agree with
-// every leader's log and may be compacted.
+// skipCommitted removes entries that are committed locally: they agree with
+// every leader's log and may already be compacted.
 func (r *Raft) skipCommitted(m *Message) error {
 	if m.Index >= r.log.commit {
 		return nil
 	}
 	skip := min(r.log.commit-m.Index, uint64(len(m.Entries)))
 	for _, e := range m.Entries[:skip] {
-		if e.Index > r.log.baseIndex && !r.log.matches(e.Index, e.Term) {
+		if e.Index > r.log.baseIndex && !r.log.matchesTerm(e.Index, e.Term) {
 			return r.diverged(m.From, e.Index)
 		}
 	}
@@ -40,20 +40,21 @@
 }
 
 func (r *Raft) diverged(from ID, index uint64) error {
-	r.violation("committed never lost: %q overwrites committed entry %d", from, index)
+	r.recordViolation("committed never lost: %q overwrites committed entry %d", from, index)
 	return fmt.Errorf("%w: entry %d from %q", ErrDiverged, index, from)
 }
 
-// followsBlindly is true only under the faulty rule SkipPreviousCheck.
-func (r *Raft) followsBlindly(m Message) bool {
+// skipsPreviousCheck reports whether the comparison of the preceding entry is
+// skipped, which happens only with SkipPreviousCheck.
+func (r *Raft) skipsPreviousCheck(m Message) bool {
 	return r.cfg.Rules.SkipPreviousCheck && m.Index <= r.log.last()
 }
 
-// storeEntries appends what is missing and overwrites what differs. Entries
-// that agree are left alone even when the log goes on behind them: the
-// message may be late, and what follows may be acknowledged already.
-func (r *Raft) storeEntries(m Message) error {
-	conflict := r.log.conflict(m.Entries)
+// appendMissing appends missing entries and overwrites conflicting ones. If
+// all entries match, the log is not truncated after them: the message may be
+// delayed, and later entries may already be acknowledged.
+func (r *Raft) appendMissing(m Message) error {
+	conflict := r.log.firstConflict(m.Entries)
 	if conflict == 0 {
 		return nil
 	}
@@ -67,16 +68,16 @@
 	if err := r.log.append(missing); err != nil {
 		return err
 	}
-	r.votersChanged()
+	r.updatePeers()
 	return nil
 }
 
-func (r *Raft) acknowledge(m Message, index uint64) {
+func (r *Raft) sendAck(m Message, index uint64) {
 	r.send(Message{Kind: KindAppendReply, To: m.From, Index: index, Tick: m.Tick, SyncTicks: r.syncTicks})
 }
 
-func (r *Raft) reject(m Message) {
-	hint, term := r.log.lastAtMost(m.Index, m.LogTerm)
+func (r *Raft) sendReject(m Message) {
+	hint, term := r.log.lastWithTermAtMost(m.Index, m.LogTerm)
 	r.send(Message{
 		Kind: KindAppendReply, To: m.From, Index: m.Index, Reject: true,
 		Hint: hint, HintTerm: term, Tick: m.Tick,
@@ -85,7 +86,7 @@
 
 func (r *Raft) handleHeartbeat(m Message) error {
 	if m.Commit > r.log.last() {
-		r.violation("committed never lost: %q says that %d is stored here, the last is %d", m.From, m.Commit, r.log.last())
+		r.recordViolation("committed never lost: %q says that %d is stored here, the last is %d", m.From, m.Commit, r.log.last())
 		return fmt.Errorf("%w: commit %d from %q", ErrDiverged, m.Commit, m.From)
 	}
 	if m.Commit > r.log.commit {
--- a/internal/quorum/leader.go
+++ b/internal/quorum/leader.go
@@ -1,8 +1,8 @@
 package quorum
 
-// Propose appends a command. Returned index and term say where it stands; it
-// takes effect only if that very index and term is committed. The data is
-// kept and must not be changed.
+// Propose appends a command and returns its index and term. The command takes
+// effect only if an entry with exactly that index and term is committed. The
+// data is retained and must not be modified.
 //
 // Errors: ErrNotLeader, ErrTransferring, ErrBusy.
 func (r *Raft) Propose(data []byte) (index, term uint64, err error) {
@@ -14,46 +14,47 @@
 	case r.uncommitted+len(data) > r.cfg.MaxUncommittedBytes && r.uncommitted > 0:
 		return 0, 0, ErrBusy
 	}
-	return r.appendOwn(EntryCommand, data)
+	return r.appendAsLeader(EntryCommand, data)
 }
 
-func (r *Raft) appendOwn(kind EntryKind, data []byte) (index, term uint64, err error) {
+func (r *Raft) appendAsLeader(kind EntryKind, data []byte) (index, term uint64, err error) {
 	e := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: kind, Data: data}
 	if err := r.log.append([]Entry{e}); err != nil {
 		return 0, 0, err
 	}
 	r.uncommitted += entrySize(&e)
-	r.sendDue = true
+	r.appendDue = true
 	if kind == EntryVoters {
-		r.votersChanged()
+		r.updatePeers()
 	}
 	r.advanceCommit()
 	return e.Index, e.Term, nil
 }
 
-// flush queues what the followers lack. It runs once a Ready, so that all
-// proposals since the last one go out in one batch.
+// flush queues heartbeats and missing entries for the followers. It runs once
+// per Ready, so that all proposals since the previous Ready are sent in one
+// batch.
 func (r *Raft) flush() {
-	if r.beatDue {
-		r.beat()
+	if r.heartbeatDue {
+		r.sendHeartbeats()
 	}
 	r.confirmReads()
-	if !r.sendDue {
+	if !r.appendDue {
 		return
 	}
-	r.sendDue = false
+	r.appendDue = false
 	for _, id := range r.log.voters().Members {
 		if p := r.peers[id]; p != nil {
-			r.sendTo(id, p)
+			r.sendAppends(id, p)
 		}
 	}
 }
 
-func (r *Raft) beat() {
-	r.beatDue = false
-	r.beatIn = r.cfg.HeartbeatTicks
-	if n := len(r.reads); n > 0 {
-		r.round = max(r.round, r.reads[n-1].round)
+func (r *Raft) sendHeartbeats() {
+	r.heartbeatDue = false
+	r.heartbeatIn = r.cfg.HeartbeatTicks
+	if n := len(r.pendingReads); n > 0 {
+		r.readRound = max(r.readRound, r.pendingReads[n-1].round)
 	}
 	for _, id := range r.log.voters().Members {
 		p := r.peers[id]
@@ -61,56 +62,57 @@
 			continue
 		}
 		commit := min(p.match, r.log.commit)
-		p.commit = max(p.commit, commit)
-		r.send(Message{Kind: KindHeartbeat, To: id, Commit: commit, Tick: r.now, Round: r.round})
+		p.sentCommit = max(p.sentCommit, commit)
+		r.send(Message{Kind: KindHeartbeat, To: id, Commit: commit, Tick: r.now, Round: r.readRound})
 	}
 }
 
-func (r *Raft) sendTo(id ID, p *progress) {
+func (r *Raft) sendAppends(id ID, p *progress) {
 	switch p.state {
-	case sendProbe:
-		if !p.paused {
-			p.paused = r.sendAppend(id, p)
+	case stateProbe:
+		if !p.probePending {
+			p.probePending = r.sendAppend(id, p)
 		}
-	case sendStream:
+	case stateReplicate:
 		for len(p.inflight) < r.cfg.MaxInflight && p.next <= r.log.last() {
 			if !r.sendAppend(id, p) {
 				return
 			}
 		}
-		// The followers apply as soon as they know the commit index; without
+		// Followers apply entries once they receive the commit index; without
 		// this message they would wait for the next entry or heartbeat.
-		if !r.cfg.CommitsWithNext && p.commit < r.log.commit && p.next > r.log.last() {
+		if !r.cfg.CommitsWithNext && p.sentCommit < r.log.commit && p.next > r.log.last() {
 			r.sendAppend(id, p)
 		}
-	case sendSnapshot:
+	case stateSnapshot:
 	}
 }
 
-// sendAppend sends the next batch, which may be empty. It returns false when
-// the follower needs a snapshot instead.
+// sendAppend sends the next batch, which may be empty. It returns false if the
+// follower needs a snapshot instead.
 func (r *Raft) sendAppend(id ID, p *progress) bool {
 	previous := p.next - 1
 	term, ok := r.log.term(previous)
 	if !ok {
-		r.startSnapshot(id, p)
+		r.startSnapshotTransfer(id, p)
 		return false
 	}
 	entries := r.log.batch(p.next, r.cfg.MaxBatchBytes)
-	p.commit = r.log.commit
+	p.sentCommit = r.log.commit
 	r.send(Message{
 		Kind: KindAppend, To: id, Index: previous, LogTerm: term,
 		Entries: entries, Commit: r.log.commit, Tick: r.now,
 	})
-	if n := len(entries); n > 0 && p.state == sendStream {
+	if n := len(entries); n > 0 && p.state == stateReplicate {
 		p.next = entries[n-1].Index + 1
 		p.inflight = append(p.inflight, entries[n-1].Index)
 	}
 	return true
 }
 
-// heardFrom notes an answer to a message sent at the given tick.
-func (r *Raft) heardFrom(m Message) *progress {
+// recordReply records the reply to a message that this leader sent at m.Tick.
+// It returns the sender's progress, nil if the reply must be ignored.
+func (r *Raft) recordReply(m Message) *progress {
 	p := r.peers[m.From]
 	if r.role != RoleLeader || p == nil {
 		return nil
@@ -118,100 +120,104 @@
 	if m.Tick > r.now {
 		return nil
 	}
-	p.heard = max(p.heard, m.Tick)
+	p.ackedTick = max(p.ackedTick, m.Tick)
 	p.syncTicks = m.SyncTicks
 	return p
 }
 
 func (r *Raft) handleAppendReply(m Message) {
-	p := r.heardFrom(m)
+	p := r.recordReply(m)
 	if p == nil {
 		return
 	}
-	r.sendDue = true
+	r.appendDue = true
 	if m.Reject {
 		r.handleReject(m, p)
 		return
 	}
 	if m.Index > r.log.last() {
-		r.violation("log matching: %q acknowledges %d, the leader's last is %d", m.From, m.Index, r.log.last())
+		r.recordViolation("log matching: %q acknowledges %d, the leader's last is %d", m.From, m.Index, r.log.last())
 		return
 	}
 	p.acknowledge(m.Index)
-	r.afterAcknowledge(p)
+	r.resumeSending(p)
 	r.advanceCommit()
 	if r.role == RoleLeader {
 		r.continueTransfer()
 	}
 }
 
-func (r *Raft) afterAcknowledge(p *progress) {
+// resumeSending updates how entries are sent to a follower after it
+// acknowledged some.
+func (r *Raft) resumeSending(p *progress) {
 	switch p.state {
-	case sendProbe:
-		p.paused = false
-		p.state = sendStream
-	case sendSnapshot:
+	case stateProbe:
+		p.probePending = false
+		p.state = stateReplicate
+	case stateSnapshot:
 		if p.match >= min(r.log.baseIndex, p.snapshot.snapshot.Meta.Index) {
-			p.probe(p.match + 1)
+			p.becomeProbe(p.match + 1)
 		}
-	case sendStream:
+	case stateReplicate:
 	}
 }
 
-// handleReject searches backwards for an entry that both logs hold, whole
-// terms at a time.
+// handleReject searches backwards, one term at a time, for an entry that both
+// logs contain.
 func (r *Raft) handleReject(m Message, p *progress) {
-	if m.Index <= p.match || p.state == sendProbe && m.Index != p.next-1 || p.state == sendSnapshot {
+	if m.Index <= p.match || p.state == stateProbe && m.Index != p.next-1 || p.state == stateSnapshot {
 		return
 	}
-	index, _ := r.log.lastAtMost(m.Hint, m.HintTerm)
-	p.probe(min(index, m.Index-1) + 1)
+	index, _ := r.log.lastWithTermAtMost(m.Hint, m.HintTerm)
+	p.becomeProbe(min(index, m.Index-1) + 1)
 }
 
 func (r *Raft) handleHeartbeatReply(m Message) {
-	p := r.heardFrom(m)
+	p := r.recordReply(m)
 	if p == nil {
 		return
 	}
-	p.round = max(p.round, m.Round)
+	p.ackedRound = max(p.ackedRound, m.Round)
 	r.confirmReads()
-	r.repeatLost(m.From, p)
+	r.retryLostAppend(m.From, p)
 }
 
-// repeatLost sends again when the follower made no progress since its answer
-// before although it lacks entries: the message or its answer was lost.
-func (r *Raft) repeatLost(id ID, p *progress) {
-	stuck := p.match == p.stuckAt
-	p.stuckAt = p.match
+// retryLostAppend resends entries or a snapshot chunk if the follower lacks
+// entries and made no progress since its previous heartbeat reply: the message
+// or its reply was lost.
+func (r *Raft) retryLostAppend(id ID, p *progress) {
+	noProgress := p.match == p.prevMatch
+	p.prevMatch = p.match
 	switch {
-	case p.state == sendSnapshot:
-		r.repeatChunk(id, p)
-	case p.match < r.log.last() && (stuck || p.state == sendProbe):
-		p.probe(p.match + 1)
-		r.sendDue = true
+	case p.state == stateSnapshot:
+		r.resendOverdueChunk(id, p)
+	case p.match < r.log.last() && (noProgress || p.state == stateProbe):
+		p.becomeProbe(p.match + 1)
+		r.appendDue = true
 	}
 }
 
-// advanceCommit commits what a quorum stores. The leader counts itself only
-// with what is durable here. Entries of earlier terms are committed only
-// together with one of this term: a quorum that stores an old entry does not
-// rule out that a voter with a newer log is elected and overwrites it.
+// advanceCommit commits the entries that a quorum stores. The leader counts
+// itself only up to its last durable entry. Entries of earlier terms are
+// committed only together with an entry of this term: even if a quorum stores
+// an old entry, a voter with a more recent log may be elected and overwrite it.
 func (r *Raft) advanceCommit() {
 	if r.role != RoleLeader {
 		return
 	}
-	index := r.quorumValue(r.stored)
+	index := r.quorumValue(r.matchOf)
 	term, ok := r.log.term(index)
 	if index <= r.log.commit || !ok || term != r.hard.Term && !r.cfg.Rules.CommitOldTerm {
 		return
 	}
 	r.commitTo(index)
-	r.sendDue = true
+	r.appendDue = true
 	r.startWaitingReads()
-	r.leaveIfRemoved()
+	r.stepDownIfRemoved()
 }
 
-func (r *Raft) stored(id ID) uint64 {
+// matchOf returns the last index that a voter is known to store durably.
+func (r *Raft) matchOf(id ID) uint64 {
 	if id == r.cfg.Self {
 		return r.log.stable
 	}
@@ -227,37 +233,42 @@
 	r.log.commit = index
 }
 
-// leaveIfRemoved steps down once the change that removes this leader is
-// committed; until then it leads without counting itself.
-func (r *Raft) leaveIfRemoved() {
-	if r.isVoter() || r.votersPending() {
+// stepDownIfRemoved steps down once the voter change that removes this leader
+// is committed. Until then it leads without counting itself.
+func (r *Raft) stepDownIfRemoved() {
+	if r.isVoter() || r.voterChangePending() {
 		return
 	}
 	r.flush()
 	r.becomeFollower(r.hard.Term, "")
 }
 
-// heardBefore says whether no quorum answered a message of the last ticks.
-func (r *Raft) heardBefore(ticks int) bool {
-	return r.quorumValue(r.heardOrAdded)+uint64(ticks) <= r.now
+// noQuorumWithin reports whether no quorum answered a message that was sent
+// within the last ticks. A voter that was just added counts as answering.
+func (r *Raft) noQuorumWithin(ticks int) bool {
+	return r.quorumValue(r.ackedOrAddedTick)+uint64(ticks) <= r.now
 }
 
-func (r *Raft) heardOrAdded(id ID) uint64 {
+// ackedOrAddedTick returns the tick of ackedTick, or the tick at which the voter
+// was added if that is later.
+func (r *Raft) ackedOrAddedTick(id ID) uint64 {
 	if id == r.cfg.Self {
 		return r.now
 	}
-	return max(r.peers[id].heard, r.peers[id].since)
+	return max(r.peers[id].ackedTick, r.peers[id].addedTick)
 }
 
-func (r *Raft) heardAt(id ID) uint64 {
+// ackedTick returns the tick at which the latest message that the voter
+// answered was sent.
+func (r *Raft) ackedTick(id ID) uint64 {
 	if id == r.cfg.Self {
 		return r.now
 	}
-	return r.peers[id].heard
+	return r.peers[id].ackedTick
 }
 
-// confirmed says whether a quorum answered so lately that no other voter can
-// have become leader.
+// confirmed reports whether the leader's lease is valid: a quorum answered so
+// recently that no other voter can have become leader.
 func (r *Raft) confirmed() bool {
 	switch {
 	case r.role != RoleLeader:
@@ -267,5 +278,5 @@
 	case r.transfer.sent && !r.cfg.Rules.LeaseAfterTransfer:
 		return false
 	}
-	return r.quorumValue(r.heardAt)+uint64(r.cfg.LeaseTicks) > r.now
+	return r.quorumValue(r.ackedTick)+uint64(r.cfg.LeaseTicks) > r.now
 }
--- a/internal/quorum/log.go
+++ b/internal/quorum/log.go
@@ -6,33 +6,34 @@
 	"sort"
 )
 
-// entryLog holds the entries after base in memory, with the marks of how far
-// they are stored, committed and handed out.
+// entryLog holds the entries after the base in memory, and the indexes up to
+// which they are stable, committed, handed out and applied.
 type entryLog struct {
 	baseIndex uint64
 	baseTerm  uint64
 	entries   []Entry // entries[i].Index == baseIndex+1+i
-	stable    uint64  // last index that is durable here
+	stable    uint64  // last index that is durable locally
 	commit    uint64
-	handed    uint64 // last index handed out to be applied
+	applying  uint64 // last index handed out to be applied
 	applied   uint64
-	dropped   bool       // entries that were recovered do not go on from the snapshot
-	sets      []voterSet // ascending; the first is in force at baseIndex
+	dropped   bool       // recovered entries do not continue from the snapshot
+	voterSets []voterSet // ascending; the first is in force at baseIndex
 }
 
-// voterSet is a set of voters and the index from which on it is in force.
+// voterSet is a set of voters and the index from which it is in force.
 type voterSet struct {
 	index  uint64
 	voters Voters
 }
 
-// newLog takes what was recovered. Entries that the snapshot covers are
-// dropped; if they contradict it, so is everything after them, as a crash
-// between saving a received snapshot and cutting the log leaves them behind.
+// newLog returns a log with the recovered state. Entries that the snapshot
+// covers are dropped. If they contradict the snapshot, all later entries are
+// dropped as well: they remain after a crash between saving a received snapshot
+// and truncating the log.
 func newLog(meta SnapshotMeta, entries []Entry, commit uint64) (*entryLog, error) {
 	l := &entryLog{}
-	l.reset(meta)
-	tail, dropped, err := afterSnapshot(meta, entries)
+	l.resetToSnapshot(meta)
+	tail, dropped, err := entriesAfterSnapshot(meta, entries)
 	if err != nil {
 		return nil, err
 	}
@@ -45,9 +46,9 @@
 	return l, nil
 }
 
-// afterSnapshot returns the entries that go on from the snapshot, and whether
-// there were others that do not.
-func afterSnapshot(meta SnapshotMeta, entries []Entry) (tail []Entry, dropped bool, err error) {
+// entriesAfterSnapshot returns the entries that continue from the snapshot. If
+// the entries end before the snapshot or contradict it, dropped is true.
+func entriesAfterSnapshot(meta SnapshotMeta, entries []Entry) (tail []Entry, dropped bool, err error) {
 	if len(entries) == 0 {
 		return nil, false, nil
 	}
@@ -68,12 +69,12 @@
 	return entries[skip:], false, nil
 }
 
-// reset makes the log empty after a snapshot.
-func (l *entryLog) reset(meta SnapshotMeta) {
+// resetToSnapshot empties the log and sets its base to the snapshot.
+func (l *entryLog) resetToSnapshot(meta SnapshotMeta) {
 	l.baseIndex, l.baseTerm = meta.Index, meta.Term
 	l.entries = nil
-	l.stable, l.commit, l.handed = meta.Index, meta.Index, meta.Index
-	l.sets = []voterSet{{index: meta.Index, voters: meta.Voters.normal()}}
+	l.stable, l.commit, l.applying = meta.Index, meta.Index, meta.Index
+	l.voterSets = []voterSet{{index: meta.Index, voters: meta.Voters.sorted()}}
 }
 
 func (l *entryLog) last() uint64 {
@@ -85,7 +86,7 @@
 	return term
 }
 
-// term returns the term of an index, false when it is compacted or not reached.
+// term returns the term of an index, false if it is compacted or not reached.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
@@ -97,12 +98,12 @@
 	}
 }
 
-func (l *entryLog) matches(index, term uint64) bool {
+func (l *entryLog) matchesTerm(index, term uint64) bool {
 	t, ok := l.term(index)
 	return ok && t == term
 }
 
-// slice returns the entries from lo to hi, both included.
+// slice returns the entries from lo to hi, inclusive.
 func (l *entryLog) slice(lo, hi uint64) []Entry {
 	if lo <= l.baseIndex || lo > hi {
 		return nil
@@ -111,7 +112,7 @@
 	return l.entries[from:to:to]
 }
 
-// batch returns entries from lo on, of at most maxBytes but at least one.
+// batch returns entries from lo on, limited to maxBytes but at least one.
 func (l *entryLog) batch(lo uint64, maxBytes int) []Entry {
 	all := l.slice(lo, l.last())
 	size := 0
@@ -124,16 +125,17 @@
 	return all
 }
 
-// entryOverhead is about what an entry costs on the wire besides its data, in bytes.
+// entryOverhead is the approximate size of an encoded entry without its data,
+// in bytes.
 const entryOverhead = 24
 
 func entrySize(e *Entry) int {
 	return len(e.Data) + entryOverhead
 }
 
-// append adds entries after the last one.
+// append adds entries at the end of the log.
 func (l *entryLog) append(entries []Entry) error {
-	sets := l.sets
+	sets := l.voterSets
 	for i := range entries {
 		if entries[i].Kind != EntryVoters {
 			continue
@@ -144,32 +146,32 @@
 		}
 		sets = append(sets, voterSet{index: entries[i].Index, voters: v})
 	}
-	l.sets = sets
+	l.voterSets = sets
 	l.entries = append(l.entries, entries...)
 	return nil
 }
 
-// truncate drops the entries from index on. The slice is clipped so that a
-// later append cannot write into entries which were handed out.
+// truncate drops the entries from index on. It limits the capacity of the
+// slice, so that a later append cannot overwrite entries that were handed out.
 func (l *entryLog) truncate(index uint64) {
 	keep := index - l.baseIndex - 1
 	l.entries = l.entries[:keep:keep]
 	l.stable = min(l.stable, index-1)
-	for len(l.sets) > 1 && l.sets[len(l.sets)-1].index >= index {
-		l.sets = l.sets[:len(l.sets)-1]
+	for len(l.voterSets) > 1 && l.voterSets[len(l.voterSets)-1].index >= index {
+		l.voterSets = l.voterSets[:len(l.voterSets)-1]
 	}
 }
 
-// compact forgets the entries up to index.
+// compact drops the entries up to index.
 func (l *entryLog) compact(index uint64) {
-	if index <= l.baseIndex || index > l.handed {
+	if index <= l.baseIndex || index > l.applying {
 		return
 	}
 	term, _ := l.term(index)
 	l.entries = slices.Clone(l.entries[index-l.baseIndex:])
 	l.baseIndex, l.baseTerm = index, term
-	for len(l.sets) > 1 && l.sets[1].index <= index {
-		l.sets = l.sets[1:]
+	for len(l.voterSets) > 1 && l.voterSets[1].index <= index {
+		l.voterSets = l.voterSets[1:]
 	}
 }
 
@@ -177,30 +179,32 @@
 	return l.slice(l.stable+1, l.last())
 }
 
-func (l *entryLog) toApply() []Entry {
-	return l.slice(l.handed+1, l.commit)
+func (l *entryLog) nextCommitted() []Entry {
+	return l.slice(l.applying+1, l.commit)
 }
 
-// stableTo notes what was stored, unless it was overwritten in the meantime.
+// stableTo records that the log is durable up to index, unless that entry was
+// overwritten in the meantime.
 func (l *entryLog) stableTo(index, term uint64) {
-	if index > l.stable && l.matches(index, term) {
+	if index > l.stable && l.matchesTerm(index, term) {
 		l.stable = index
 	}
 }
 
-// conflict returns the first of the entries that is not in the log, 0 when
-// all are.
-func (l *entryLog) conflict(entries []Entry) uint64 {
+// firstConflict returns the index of the first entry that is not in the log, 0
+// if all are.
+func (l *entryLog) firstConflict(entries []Entry) uint64 {
 	for i := range entries {
-		if !l.matches(entries[i].Index, entries[i].Term) {
+		if !l.matchesTerm(entries[i].Index, entries[i].Term) {
 			return entries[i].Index
 		}
 	}
 	return 0
 }
 
-// lastAtMost returns the last entry up to index whose term is at most term.
-func (l *entryLog) lastAtMost(index, term uint64) (uint64, uint64) {
+// lastWithTermAtMost returns the index and term of the last entry up to index
+// whose term is at most term.
+func (l *entryLog) lastWithTermAtMost(index, term uint64) (uint64, uint64) {
 	index = min(index, l.last())
 	if index < l.baseIndex {
 		return index, 0
@@ -213,18 +217,19 @@
 	return l.entries[above-1].Index, l.entries[above-1].Term
 }
 
-// voters returns the set in force: the last one in the log, committed or not.
+// voters returns the set in force: the last one in the log, whether committed
+// or not.
 func (l *entryLog) voters() Voters {
-	return l.sets[len(l.sets)-1].voters
+	return l.voterSets[len(l.voterSets)-1].voters
 }
 
 func (l *entryLog) votersIndex() uint64 {
-	return l.sets[len(l.sets)-1].index
+	return l.voterSets[len(l.voterSets)-1].index
 }
 
 func (l *entryLog) votersAt(index uint64) Voters {
-	v := l.sets[0].voters
-	for _, s := range l.sets[1:] {
+	v := l.voterSets[0].voters
+	for _, s := range l.voterSets[1:] {
 		if s.index <= index {
 			v = s.voters
 		}
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -2,68 +2,73 @@
 
 import "fmt"
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
 const (
-	// KindPreVote asks whether the sender would win an election; it binds nobody.
+	// KindPreVote asks whether the sender would win an election. Granting it
+	// does not commit the voter to anything.
 	KindPreVote MessageKind = iota + 1
 	// KindPreVoteReply answers KindPreVote.
 	KindPreVoteReply
-	// KindVote asks for the vote of a term.
+	// KindVote requests the receiver's vote in a term.
 	KindVote
 	// KindVoteReply answers KindVote.
 	KindVoteReply
-	// KindAppend carries entries that follow (Index, LogTerm).
+	// KindAppend carries the entries that follow (Index, LogTerm).
 	KindAppend
-	// KindAppendReply says that everything up to Index is stored and agrees
-	// with the leader, or, with Reject, that Index does not agree.
+	// KindAppendReply acknowledges that the log is stored and matches the
+	// leader's up to Index or, with Reject, that it does not match at Index.
 	KindAppendReply
-	// KindHeartbeat keeps followers from campaigning and confirms reads.
+	// KindHeartbeat prevents followers from campaigning and confirms reads.
 	KindHeartbeat
 	// KindHeartbeatReply answers KindHeartbeat.
 	KindHeartbeatReply
-	// KindSnapshot carries a part of a snapshot.
+	// KindSnapshot carries a chunk of a snapshot.
 	KindSnapshot
-	// KindSnapshotReply says which byte of the snapshot is wanted next.
+	// KindSnapshotReply requests the snapshot from an offset on.
 	KindSnapshotReply
-	// KindCampaignNow tells a voter to campaign at once, as the leader hands over.
+	// KindCampaignNow tells the transferee of a leadership transfer to start an
+	// election immediately.
 	KindCampaignNow
-	// KindStale tells the sender of an earlier term which term it is.
+	// KindStale informs a leader of an earlier term of the current term.
 	KindStale
 	kindEnd
 )
 
-// Message goes from one voter to another. It may be lost, doubled, reordered
-// or late. Which fields count depends on Kind.
+// Message is sent from one voter to another. It may be lost, duplicated,
+// reordered or delayed. Kind determines which fields are used.
 type Message struct {
 	Kind MessageKind `cbor:"1,keyasint"`
 	From ID          `cbor:"2,keyasint"`
 	To   ID          `cbor:"3,keyasint"`
-	// Term is the sender's term; that of the planned election in KindPreVote
-	// and in an answer that grants it.
+	// Term is the sender's term. In KindPreVote and in a reply that grants it,
+	// it is the term of the planned election.
 	Term uint64 `cbor:"4,keyasint"`
-	// Index and LogTerm are the last entry of a candidate, the entry before
-	// Entries, what a reply acknowledges or rejects, or the snapshot's index.
+	// Index and LogTerm identify the last entry of a candidate or the entry
+	// before Entries. In replies to entries, Index is the acknowledged or
+	// rejected index; for snapshots it is the snapshot's index.
 	Index   uint64  `cbor:"5,keyasint,omitempty"`
 	LogTerm uint64  `cbor:"6,keyasint,omitempty"`
 	Entries []Entry `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Reject  bool    `cbor:"9,keyasint,omitempty"`
-	// Hint and HintTerm are an entry of a rejecting follower from which the
-	// leader may search backwards.
+	// Hint and HintTerm identify an entry of the rejecting follower from which
+	// the leader may search backwards.
 	Hint     uint64 `cbor:"10,keyasint,omitempty"`
 	HintTerm uint64 `cbor:"11,keyasint,omitempty"`
-	// Tick is the leader's clock when it sent; replies return it.
+	// Tick is the leader's tick at the time of sending; replies return it.
 	Tick uint64 `cbor:"12,keyasint,omitempty"`
-	// Round numbers the read requests that a heartbeat confirms; replies return it.
+	// Round is the number of the read round that a heartbeat confirms; replies
+	// return it.
 	Round uint64 `cbor:"13,keyasint,omitempty"`
-	// Forced marks a vote that the leader itself asked for; it is not held back.
+	// Forced marks an election that the leader itself requested; its votes are
+	// not withheld.
 	Forced bool   `cbor:"14,keyasint,omitempty"`
 	Chunk  *Chunk `cbor:"15,keyasint,omitempty"`
-	// Offset is the first byte of the snapshot that a follower still lacks.
+	// Offset is the first byte of the snapshot that the follower lacks.
 	Offset uint64 `cbor:"16,keyasint,omitempty"`
-	// SyncTicks is how long the sender's recent syncs took, in replies to
+	// SyncTicks is the duration of the sender's recent syncs, in replies to
 	// entries and heartbeats; 0 while its disk is fast.
 	SyncTicks int `cbor:"17,keyasint,omitempty"`
 }
@@ -77,9 +82,10 @@
 	Data   []byte       `cbor:"5,keyasint,omitempty"`
 }
 
-// Promises says whether the message follows from what its Ready asks to
-// store, so that it must not leave before that is durable. Others may be sent
-// while storing, which saves the leader's own fsync from the commit latency.
+// Promises reports whether the message depends on the state that its Ready
+// asks to store, so that it must not be sent before that state is durable.
+// Other messages may be sent while storing is in progress, which removes the
+// leader's own fsync from the commit latency.
 func (m *Message) Promises() bool {
 	switch m.Kind {
 	case KindAppend, KindHeartbeat, KindSnapshot, KindPreVote, KindPreVoteReply:
@@ -93,11 +99,11 @@
 	return m.Kind == KindAppend || m.Kind == KindHeartbeat || m.Kind == KindSnapshot
 }
 
-// check refuses messages that no correct voter sends.
-func (m *Message) check() error {
-	// An empty voter refuses a pre-vote in term 0; nothing else is ever sent there.
-	noTerm := m.Term == 0 && m.Kind != KindPreVoteReply
-	if m.Kind == 0 || m.Kind >= kindEnd || m.From == "" || m.From == m.To || noTerm {
+// validate returns an error for a message that no correct voter sends.
+func (m *Message) validate() error {
+	// Only an empty voter that refuses a pre-vote sends a message in term 0.
+	missingTerm := m.Term == 0 && m.Kind != KindPreVoteReply
+	if m.Kind == 0 || m.Kind >= kindEnd || m.From == "" || m.From == m.To || missingTerm {
 		return fmt.Errorf("%w: kind %d from %q to %q term %d", ErrBadMessage, m.Kind, m.From, m.To, m.Term)
 	}
 	if m.Kind == KindSnapshot && !m.Chunk.valid() {
@@ -113,8 +119,8 @@
 	return c != nil && c.Meta.Index > 0 && c.Offset <= c.Total && uint64(len(c.Data)) <= c.Total-c.Offset
 }
 
-// checkEntries says whether entries follow (index, term) without a gap and
-// with terms that never fall and do not exceed limit.
+// checkEntries returns an error unless the entries follow (index, term) without
+// a gap and their terms never decrease or exceed limit.
 func checkEntries(index, term, limit uint64, entries []Entry) error {
 	for i := range entries {
 		e := &entries[i]
--- a/internal/quorum/progress.go
+++ b/internal/quorum/progress.go
@@ -1,41 +1,42 @@
 package quorum
 
-// sendState says how the leader sends entries to a follower.
-type sendState uint8
+// progressState is how the leader sends entries to a follower.
+type progressState uint8
 
 const (
-	// sendProbe looks for the place from which on the follower lacks entries:
-	// one batch at a time.
-	sendProbe sendState = iota
-	// sendStream sends batches ahead of the answers.
-	sendStream
-	// sendSnapshot sends a snapshot, one chunk at a time.
-	sendSnapshot
+	// stateProbe searches for the first entry that the follower lacks, with one
+	// batch in flight at a time.
+	stateProbe progressState = iota
+	// stateReplicate sends batches without waiting for the acknowledgement of
+	// earlier ones.
+	stateReplicate
+	// stateSnapshot sends a snapshot, one chunk at a time.
+	stateSnapshot
 )
 
-// progress is what a leader knows of a follower.
+// progress is the replication state of a follower as the leader sees it.
 type progress struct {
-	state sendState
-	match uint64 // the follower stores everything up to here
+	state progressState
+	match uint64 // the follower stores all entries up to this index
 	next  uint64 // the next entry to send
-	// inflight holds the last index of each batch that is not answered yet.
-	inflight []uint64
-	paused   bool   // the probe is not answered yet
-	commit   uint64 // the highest commit index sent
-	since    uint64 // tick at which the follower was added
-	heard    uint64 // tick at which the latest answered message was sent
-	round    uint64 // the latest read round that was answered
-	stuckAt  uint64 // match at the heartbeat reply before
-	snapshot *sending
-	// syncTicks is how long its recent syncs took, as it last said.
+	// inflight holds the last index of each unacknowledged batch.
+	inflight     []uint64
+	probePending bool   // a probe is in flight
+	sentCommit   uint64 // the highest commit index sent
+	addedTick    uint64 // tick at which the follower was added
+	ackedTick    uint64 // tick at which the latest answered message was sent
+	ackedRound   uint64 // the latest read round that the follower answered
+	prevMatch    uint64 // match at the previous heartbeat reply
+	snapshot     *snapshotTransfer
+	// syncTicks is the duration of its recent syncs, as last reported.
 	syncTicks int
 }
 
 func newProgress(last, now uint64) *progress {
-	return &progress{next: last + 1, since: now}
+	return &progress{next: last + 1, addedTick: now}
 }
 
-// acknowledge follows an answer that everything up to index is stored.
+// acknowledge records that the follower stores all entries up to index.
 func (p *progress) acknowledge(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
@@ -46,11 +47,11 @@
 	p.inflight = p.inflight[n:]
 }
 
-// probe starts again from an index.
-func (p *progress) probe(next uint64) {
-	p.state = sendProbe
+// becomeProbe restarts probing at index next.
+func (p *progress) becomeProbe(next uint64) {
+	p.state = stateProbe
 	p.next = max(next, p.match+1)
 	p.inflight = nil
-	p.paused = false
+	p.probePending = false
 	p.snapshot = nil
 }
--- a/internal/quorum/raft.go
+++ b/internal/quorum/raft.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// Role is what a voter is in its term.
+// Role is the role of a voter in its current term.
 type Role uint8
 
 const (
-	// RoleFollower stores what a leader sends.
+	// RoleFollower stores the entries that a leader sends.
 	RoleFollower Role = iota
-	// RolePreCandidate asks whether it would win an election.
+	// RolePreCandidate asks for pre-votes: whether it would win an election.
 	RolePreCandidate
 	// RoleCandidate asks for votes.
 	RoleCandidate
-	// RoleLeader appends and replicates.
+	// RoleLeader appends entries and replicates them.
 	RoleLeader
 )
 
-// String returns the role's name in logs and status.
+// String returns the name of the role in logs and in the status.
 func (r Role) String() string {
 	switch r {
 	case RolePreCandidate:
@@ -30,57 +30,57 @@
 	}
 }
 
-// Raft is one voter's part in the protocol. It is not safe for concurrent use.
+// Raft is the protocol state of one voter. It is not safe for concurrent use.
 type Raft struct {
 	cfg  Config
 	role Role
-	// hard is the current term and vote; saved is what was handed out to be
-	// stored. Their Commit is not used, log.commit is.
-	hard   HardState
-	saved  HardState
-	leader ID
-	log    *entryLog
+	// hard is the current term and vote; prevHard is the one last handed out
+	// to be stored. Their Commit is unused: log.commit is the commit index.
+	hard     HardState
+	prevHard HardState
+	leader   ID
+	log      *entryLog
 
-	now     uint64 // ticks, counted from an offset that makes 0 long ago
-	elapsed int    // ticks since the election timer was reset
-	timeout int    // ticks until this voter campaigns
-	hold    int    // ticks for which this voter still refuses to vote
+	now             uint64 // ticks; starts above 0, so that tick 0 is long past
+	electionElapsed int    // ticks since the election timer was reset
+	electionTimeout int    // election timeout in ticks, randomized
+	voteHold        int    // remaining ticks during which this voter refuses to vote
 
-	votes map[ID]bool // answers to the campaign
-	// syncTicks is how long recent syncs took here, 0 while the disk is fast.
+	votes map[ID]bool // granted votes or pre-votes
+	// syncTicks is the duration of recent local syncs, 0 while the disk is fast.
 	syncTicks int
 
-	// Of a leader.
-	peers       map[ID]*progress
-	termStart   uint64 // index of its first entry
-	beatIn      int    // ticks until the next heartbeat
-	beatDue     bool
-	sendDue     bool
-	uncommitted int // bytes
-	transfer    transfer
-	round       uint64
-	reads       []pendingRead
-	waiting     []uint64 // tokens that wait for an entry of the term to be committed
+	// Leader state.
+	peers         map[ID]*progress
+	termStart     uint64 // index of the first entry of the term
+	heartbeatIn   int    // ticks until the next heartbeat
+	heartbeatDue  bool
+	appendDue     bool
+	uncommitted   int // bytes
+	transfer      leadershipTransfer
+	readRound     uint64
+	pendingReads  []pendingRead
+	deferredReads []uint64 // read tokens that wait for the commit of an entry of this term
 
-	// Snapshots: the local one to send, the one being received, and the one
-	// received that the caller must install.
-	snapshot *outgoingSnapshot
-	incoming *incomingSnapshot
-	install  *Snapshot
+	// snapshot is the local snapshot to send, incoming the one being received,
+	// and toInstall the received one that the caller must install.
+	snapshot  *outgoingSnapshot
+	incoming  *incomingSnapshot
+	toInstall *Snapshot
 
-	messages    []Message
-	readStates  []ReadState
-	outstanding bool // a Ready was handed out and Advance was not called yet
-	broken      []string
-	values      []uint64 // scratch of quorumValue
+	messages        []Message
+	readStates      []ReadState
+	awaitingAdvance bool // Ready was called and Advance was not called since
+	violations      []string
+	scratch         []uint64 // buffer reused by quorumValue
 }
 
-// New returns a voter that continues from what was stored: the hard state,
-// the place of the latest snapshot and the entries of the log, which may
-// begin before the snapshot's end. It refuses with ErrCorrupt what
-// contradicts itself.
+// New returns a voter that continues from the stored state: the hard state,
+// the metadata of the latest snapshot and the entries of the log, which may
+// begin before the snapshot's index. It returns ErrCorrupt if the stored state
+// is inconsistent.
 func New(cfg Config, hard HardState, meta SnapshotMeta, entries []Entry) (*Raft, error) {
-	if err := cfg.complete(); err != nil {
+	if err := cfg.applyDefaults(); err != nil {
 		return nil, err
 	}
 	log, err := newLog(meta, entries, hard.Commit)
@@ -92,53 +92,54 @@
 	}
 	log.applied = meta.Index
 	hard.Commit = 0
-	r := &Raft{cfg: cfg, hard: hard, saved: hard, log: log, now: uint64(2 * cfg.ElectionTicks)}
+	r := &Raft{cfg: cfg, hard: hard, prevHard: hard, log: log, now: uint64(2 * cfg.ElectionTicks)}
 	if r.hard.Term < meta.Term {
 		r.hard = HardState{Term: meta.Term}
 	}
-	// This voter may have answered a heartbeat just before it went down. The
-	// leader's lease counts on that answer, so no vote is given until it has
-	// lapsed; otherwise a quick restart would let a second leader arise
-	// while the first is still Confirmed.
+	// This voter may have answered a heartbeat just before it stopped. The
+	// leader's lease relies on that answer, so this voter grants no vote until
+	// the lease has expired. Otherwise a quick restart would allow a second
+	// leader to be elected while the first is still Confirmed.
 	if !cfg.Rules.SkipRestartHold {
-		r.hold = cfg.ElectionTicks
+		r.voteHold = cfg.ElectionTicks
 	}
 	r.resetElectionTimer()
 	return r, nil
 }
 
-// LogDropped says that New dropped entries which the snapshot replaces: a
-// crash came after a received snapshot was saved and before the stored log
-// was restarted behind it. The caller must do that, at the snapshot's index,
-// before it stores anything else. Otherwise new entries would stand behind
-// the old ones, and the next restart would find them contradict the snapshot
-// and drop the new ones too, although they were acknowledged.
+// LogDropped reports whether New dropped entries that the snapshot replaces,
+// because the process crashed after it saved a received snapshot and before it
+// restarted the stored log at the snapshot. The caller must restart the stored
+// log at the snapshot's index before it stores anything else. Otherwise new
+// entries would follow the old ones, and the next restart would find that the
+// old ones contradict the snapshot and drop the new ones as well, although
+// they were acknowledged.
 func (r *Raft) LogDropped() bool {
 	return r.log.dropped
 }
 
-// Tick lets one interval pass. The caller ticks by a monotonic clock that
-// also counts while the process is suspended, and lets all missed ticks pass
-// before it steps messages or uses Status.
+// Tick advances the logical clock by one tick. The caller uses a monotonic
+// clock that continues while the process is suspended, and delivers all missed
+// ticks before it calls Step or uses Status.
 func (r *Raft) Tick() {
 	r.now++
-	if r.hold > 0 {
-		r.hold--
+	if r.voteHold > 0 {
+		r.voteHold--
 	}
-	r.elapsed++
+	r.electionElapsed++
 	if r.role == RoleLeader {
 		r.tickLeader()
 		return
 	}
-	if r.elapsed >= r.timeout+r.patience() && r.mayCampaign() {
+	if r.electionElapsed >= r.electionTimeout+r.slowSyncAllowance() && r.mayCampaign() {
 		r.campaign()
 	}
 }
 
 func (r *Raft) tickLeader() {
-	if r.heardBefore(r.cfg.ElectionTicks+r.patience()) && !r.cfg.Rules.SkipCheckQuorum {
-		// Cut off from the quorum: without this step a leader that can send
-		// but not hear would keep the others from electing another one.
+	if r.noQuorumWithin(r.cfg.ElectionTicks+r.slowSyncAllowance()) && !r.cfg.Rules.SkipCheckQuorum {
+		// Check quorum: a leader that can send but not receive would otherwise
+		// keep the other voters from electing a new one.
 		r.becomeFollower(r.hard.Term, "")
 		return
 	}
@@ -146,76 +147,79 @@
 	if r.role != RoleLeader {
 		return
 	}
-	r.beatIn--
-	if r.beatIn <= 0 {
-		r.beatDue = true
+	r.heartbeatIn--
+	if r.heartbeatIn <= 0 {
+		r.heartbeatDue = true
 	}
 }
 
-// SetSyncTicks says how long this voter's recent syncs took, 0 while its disk
-// is fast. Replies tell it to the leader.
+// SetSyncTicks sets the duration of this voter's recent syncs, 0 while its
+// disk is fast. Replies report it to the leader.
 func (r *Raft) SetSyncTicks(ticks int) {
 	r.syncTicks = max(ticks, 0)
 }
 
-// patienceLimit bounds the patience of a voter with a slow disk, in election
-// timeouts: where its disk alone is slow, a lost leader is replaced by the
-// others, but where few voters are left it may be needed for it.
-const patienceLimit = 2
+// maxSlowSyncAllowance limits the allowance of a voter with a slow disk, in
+// election timeouts. If only its disk is slow, the other voters replace a lost
+// leader, but where few voters are left this voter may be needed for that.
+const maxSlowSyncAllowance = 2
 
-// patience is how many ticks more than usual a voter waits for a leader, and a
-// leader for its followers, while its own disk is slow.
+// slowSyncAllowance returns the additional ticks that a voter waits for a
+// leader, and a leader for its followers, while the voter's own disk is slow.
 //
-// Where all voters sync to one slow storage, a leader sends nothing while it
-// syncs, and its followers answer no heartbeat meanwhile; each election costs
-// every voter a sync more, and the next leader is no faster. One notices by
-// several changes of leader a second, and by requests refused as not run all the
-// while. A leader needs a sync, and its followers another, before an answer can
-// be there. Only campaigns and resignations wait: leases and votes that are
-// held back keep their bounds, so two leaders are no more confirmed at once than
-// before.
-func (r *Raft) patience() int {
-	return min(2*r.syncTicks, patienceLimit*r.cfg.ElectionTicks)
+// If all voters sync to one slow storage, a leader sends nothing while it
+// syncs, and its followers do not answer heartbeats while they sync. Each
+// election costs every voter another sync, and the next leader is no faster.
+// The symptoms are several changes of leader per second and requests that are
+// refused as not run throughout. A reply takes one sync of the leader and one
+// of the follower, hence twice the sync time. The allowance applies only to
+// campaigns and to a leader's check quorum: leases and the time during which
+// votes are withheld are unchanged, so two leaders still cannot be Confirmed
+// at the same time.
+func (r *Raft) slowSyncAllowance() int {
+	return min(2*r.syncTicks, maxSlowSyncAllowance*r.cfg.ElectionTicks)
 }
 
 func (r *Raft) resetElectionTimer() {
-	r.elapsed = 0
-	r.timeout = r.cfg.ElectionTicks + r.cfg.Random(r.cfg.ElectionTicks)
+	r.electionElapsed = 0
+	r.electionTimeout = r.cfg.ElectionTicks + r.cfg.Random(r.cfg.ElectionTicks)
 }
 
 func (r *Raft) isVoter() bool {
 	return r.log.voters().Has(r.cfg.Self)
 }
 
-// mayCampaign is also true for a voter whose removal is not committed: it may
-// be the only one that holds the removal, the others then need its vote but
-// cannot get it because their logs are behind, and nobody could lead.
+// mayCampaign reports whether this voter may start an election. A voter whose
+// removal is appended but not committed may: it may be the only one that
+// stores the removal. The others then need its vote but cannot get it, because
+// their logs are not up to date, and no leader could be elected.
 func (r *Raft) mayCampaign() bool {
-	return r.isVoter() || !r.cfg.Rules.SkipLeaverCampaign && r.votersPending() && r.log.votersAt(r.log.votersIndex()-1).Has(r.cfg.Self)
+	return r.isVoter() || !r.cfg.Rules.SkipLeaverCampaign && r.voterChangePending() && r.log.votersAt(r.log.votersIndex()-1).Has(r.cfg.Self)
 }
 
-// Step takes a message from another voter. ErrWrongAddressee and
-// ErrBadMessage mean that it was dropped; on ErrDiverged the caller must stop.
+// Step processes a message from another voter. ErrWrongAddressee and
+// ErrBadMessage mean that it was dropped; after ErrDiverged the caller must
+// stop this voter.
 func (r *Raft) Step(m Message) error {
 	if m.To != r.cfg.Self {
 		return ErrWrongAddressee
 	}
-	if err := m.check(); err != nil {
+	if err := m.validate(); err != nil {
 		return err
 	}
 	if m.Term < r.hard.Term && !r.cfg.Rules.SkipTermCheck {
-		r.answerStale(m)
+		r.replyStale(m)
 		return nil
 	}
-	if m.Term > r.hard.Term && !r.enterTerm(m) {
+	if m.Term > r.hard.Term && !r.enterHigherTerm(m) {
 		return nil
 	}
 	return r.dispatch(m)
 }
 
-// enterTerm follows a message of a higher term. It returns false when the
-// message is to be ignored.
-func (r *Raft) enterTerm(m Message) bool {
+// enterHigherTerm handles the higher term of a message. It returns false if
+// the message must be ignored.
+func (r *Raft) enterHigherTerm(m Message) bool {
 	switch m.Kind {
 	case KindPreVote:
 		return true
@@ -224,7 +228,7 @@
 			return true
 		}
 	case KindVote:
-		if !m.Forced && r.holdsVote() {
+		if !m.Forced && r.withholdsVote() {
 			return false
 		}
 	}
@@ -232,9 +236,9 @@
 	return true
 }
 
-// answerStale tells the sender that its term is over, so that a leader or
-// candidate that was cut off learns it.
-func (r *Raft) answerStale(m Message) {
+// replyStale answers a message of an earlier term, so that a leader or
+// candidate that was partitioned learns of the current term.
+func (r *Raft) replyStale(m Message) {
 	switch m.Kind {
 	case KindAppend, KindHeartbeat, KindSnapshot:
 		r.send(Message{Kind: KindStale, To: m.From})
@@ -246,7 +250,7 @@
 }
 
 func (r *Raft) dispatch(m Message) error {
-	if m.fromLeader() && !r.followLeader(m) {
+	if m.fromLeader() && !r.acceptLeader(m) {
 		return nil
 	}
 	switch m.Kind {
@@ -274,21 +278,22 @@
 	return nil
 }
 
-// followLeader accepts the sender as leader of this term.
-func (r *Raft) followLeader(m Message) bool {
+// acceptLeader records the sender as leader of this term. It returns false if
+// the term has another leader.
+func (r *Raft) acceptLeader(m Message) bool {
 	if m.Term == r.hard.Term && r.leader != "" && r.leader != m.From {
-		r.violation("one leader a term: %q and %q both lead term %d", r.leader, m.From, r.hard.Term)
+		r.recordViolation("one leader a term: %q and %q both lead term %d", r.leader, m.From, r.hard.Term)
 		return false
 	}
 	if r.role != RoleFollower {
 		r.becomeFollower(r.hard.Term, m.From)
 	}
 	if m.Term < r.hard.Term {
-		return true // only under the faulty rule SkipTermCheck
+		return true // only with SkipTermCheck
 	}
 	r.leader = m.From
-	r.elapsed = 0
-	r.hold = r.cfg.ElectionTicks
+	r.electionElapsed = 0
+	r.voteHold = r.cfg.ElectionTicks
 	return true
 }
 
@@ -299,19 +304,19 @@
 	r.role = RoleFollower
 	r.leader = leader
 	r.votes = nil
-	r.dropLeadership()
+	r.clearLeaderState()
 	r.resetElectionTimer()
 }
 
-func (r *Raft) dropLeadership() {
+func (r *Raft) clearLeaderState() {
 	r.peers = nil
-	r.transfer = transfer{}
-	r.reads, r.waiting = nil, nil
-	r.beatDue, r.sendDue = false, false
+	r.transfer = leadershipTransfer{}
+	r.pendingReads, r.deferredReads = nil, nil
+	r.heartbeatDue, r.appendDue = false, false
 	r.uncommitted = 0
 }
 
-// send queues a message; the term is this voter's unless it is set.
+// send queues a message. It sets the current term if the message has no term.
 func (r *Raft) send(m Message) {
 	m.From = r.cfg.Self
 	if m.Term == 0 {
@@ -320,9 +325,9 @@
 	r.messages = append(r.messages, m)
 }
 
-func (r *Raft) violation(format string, args ...any) {
-	const kept = 16
-	if len(r.broken) < kept {
-		r.broken = append(r.broken, fmt.Sprintf(format, args...))
+func (r *Raft) recordViolation(format string, args ...any) {
+	const maxRecorded = 16
+	if len(r.violations) < maxRecorded {
+		r.violations = append(r.violations, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -2,65 +2,66 @@
 
 import "slices"
 
-// Ready is what the caller must do, in this order: store Hard, Snapshot and
-// Entries durably; send Messages; restore Snapshot and apply Committed to the
-// state machine; answer Reads once their index is applied; call Advance.
+// Ready is the work that the caller must do, in this order: store Hard,
+// Snapshot and Entries durably; send Messages; restore Snapshot and apply
+// Committed to the state machine; answer Reads once their index is applied;
+// call Advance.
 //
 // Only messages whose Promises is false may be sent before storing is done.
 type Ready struct {
-	// Hard is nil when it need not be stored.
+	// Hard is nil if there is no hard state to store.
 	Hard *HardState
-	// Snapshot replaces the whole log and the state machine. Entries of this
-	// Ready come after it.
+	// Snapshot replaces the whole log and the state machine. The Entries of
+	// this Ready follow it.
 	Snapshot *Snapshot
-	// Entries may overwrite earlier indexes: storage drops what it has from
-	// the first one's index on.
+	// Entries may overwrite stored entries: storage drops its entries from the
+	// index of the first one on.
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
 	Reads     []ReadState
 }
 
-// HasReady says whether Ready would return anything. It is false between
+// HasReady reports whether Ready would return any work. It is false between
 // Ready and Advance.
 func (r *Raft) HasReady() bool {
-	if r.outstanding {
+	if r.awaitingAdvance {
 		return false
 	}
-	return r.beatDue || r.sendDue || r.install != nil || len(r.messages) > 0 || len(r.readStates) > 0 ||
-		r.termChanged() || r.log.stable < r.log.last() || r.log.handed < r.log.commit
+	return r.heartbeatDue || r.appendDue || r.toInstall != nil || len(r.messages) > 0 || len(r.readStates) > 0 ||
+		r.termOrVoteChanged() || r.log.stable < r.log.last() || r.log.applying < r.log.commit
 }
 
-// Ready hands out the work that has come up. Until Advance it hands out
-// nothing more. Its slices must not be changed.
+// Ready returns the pending work. Until Advance is called, further calls return
+// an empty Ready. Its slices must not be modified.
 func (r *Raft) Ready() Ready {
-	if r.outstanding {
+	if r.awaitingAdvance {
 		return Ready{}
 	}
 	if r.role == RoleLeader {
 		r.flush()
 	}
-	r.dropOutdated()
+	r.dropOutdatedMessages()
 	rd := Ready{
-		Snapshot:  r.install,
+		Snapshot:  r.toInstall,
 		Entries:   r.log.unstable(),
 		Messages:  r.messages,
-		Committed: r.log.toApply(),
+		Committed: r.log.nextCommitted(),
 		Reads:     r.readStates,
 	}
 	r.messages, r.readStates = nil, nil
-	r.log.handed = max(r.log.handed, r.log.commit)
-	r.withholdUnsynced(&rd)
-	r.addHard(&rd)
-	r.outstanding = true
+	r.log.applying = max(r.log.applying, r.log.commit)
+	r.omitUnsyncedEntries(&rd)
+	r.addHardState(&rd)
+	r.awaitingAdvance = true
 	return rd
 }
 
-// dropOutdated drops promises of an earlier term that were not handed out
-// before the term rose. What they promise is not stored as such any more, and
-// to the protocol they are lost messages.
-func (r *Raft) dropOutdated() {
-	if !r.termChanged() {
+// dropOutdatedMessages drops queued messages of an earlier term that depend on
+// stored state: that state is no longer going to be stored. To the protocol
+// these are lost messages.
+func (r *Raft) dropOutdatedMessages() {
+	if !r.termOrVoteChanged() {
 		return
 	}
 	r.messages = slices.DeleteFunc(r.messages, func(m Message) bool {
@@ -68,41 +69,42 @@
 	})
 }
 
-func (r *Raft) termChanged() bool {
-	return r.hard.Term != r.saved.Term || r.hard.VotedFor != r.saved.VotedFor
+func (r *Raft) termOrVoteChanged() bool {
+	return r.hard.Term != r.prevHard.Term || r.hard.VotedFor != r.prevHard.VotedFor
 }
 
-// addHard hands out the hard state when term or vote changed, and else only
-// when something is stored anyhow: a commit index alone is not worth a sync.
-func (r *Raft) addHard(rd *Ready) {
-	if !r.termChanged() && rd.Snapshot == nil && len(rd.Entries) == 0 {
+// addHardState adds the hard state if term or vote changed or if the Ready
+// stores something else: a change of the commit index alone does not justify a
+// sync.
+func (r *Raft) addHardState(rd *Ready) {
+	if !r.termOrVoteChanged() && rd.Snapshot == nil && len(rd.Entries) == 0 {
 		return
 	}
 	if r.cfg.Rules.SkipVoteSync && len(rd.Messages) > 0 && len(rd.Entries) == 0 {
 		return
 	}
-	r.saved = r.hard
-	// The commit index must not count entries of this Ready: should the hard
-	// state become durable and the entries not, a restart would take older
-	// entries at the same indexes for committed.
+	r.prevHard = r.hard
+	// The commit index must not cover entries of this Ready: if the hard state
+	// became durable and the entries did not, a restart would treat older
+	// entries at the same indexes as committed.
 	rd.Hard = &HardState{Term: r.hard.Term, VotedFor: r.hard.VotedFor, Commit: min(r.log.commit, r.log.stable)}
 }
 
-// withholdUnsynced is the faulty rule SkipAppendSync: messages leave one
-// Ready before the entries that they acknowledge are stored.
-func (r *Raft) withholdUnsynced(rd *Ready) {
+// omitUnsyncedEntries implements SkipAppendSync: messages are sent one Ready
+// before the entries that they acknowledge are stored.
+func (r *Raft) omitUnsyncedEntries(rd *Ready) {
 	if r.cfg.Rules.SkipAppendSync && len(rd.Messages) > 0 && r.role == RoleFollower {
 		rd.Entries = nil
 	}
 }
 
-// Advance says that everything in the Ready is done.
+// Advance reports that all work of the Ready is done.
 func (r *Raft) Advance(rd Ready) {
-	r.outstanding = false
+	r.awaitingAdvance = false
 	if rd.Snapshot != nil {
 		r.log.applied = max(r.log.applied, rd.Snapshot.Meta.Index)
-		if r.install == rd.Snapshot {
-			r.install = nil
+		if r.toInstall == rd.Snapshot {
+			r.toInstall = nil
 		}
 	}
 	if n := len(rd.Entries); n > 0 {
@@ -111,6 +113,6 @@
 	if n := len(rd.Committed); n > 0 {
 		r.log.applied = max(r.log.applied, rd.Committed[n-1].Index)
 	}
-	r.countOwnVote(rd.Hard)
+	r.recordOwnVote(rd.Hard)
 	r.advanceCommit()
 }
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// outgoingSnapshot is the latest local snapshot.
+// outgoingSnapshot is the latest local snapshot and its checksum.
 type outgoingSnapshot struct {
 	Snapshot
 	sum uint64
 }
 
-// sending is how far a snapshot got to one follower. It keeps its snapshot
-// even when a newer one is taken meanwhile, else frequent snapshots would
-// start a slow transfer over again and again.
-type sending struct {
+// snapshotTransfer is the state of sending a snapshot to one follower. It keeps
+// its snapshot even if a newer one is taken meanwhile; otherwise frequent
+// snapshots would restart a slow transfer repeatedly.
+type snapshotTransfer struct {
 	snapshot *outgoingSnapshot
-	offset   uint64 // the follower has everything before it
+	offset   uint64 // the follower has all bytes before it
 	sentAt   uint64 // tick of the latest chunk
 }
 
-// incomingSnapshot collects the chunks of one snapshot.
+// incomingSnapshot collects the received chunks of one snapshot.
 type incomingSnapshot struct {
 	meta  SnapshotMeta
 	total uint64
@@ -29,22 +29,24 @@
 	data  []byte
 }
 
-// SetSnapshot gives the latest local snapshot, also after a restart. It is
-// sent to followers that lag too far behind, and entries that it covers are
-// forgotten but for Config.KeepEntries. One older than the last is ignored.
+// SetSnapshot sets the latest local snapshot; the caller also calls it after a
+// restart. The snapshot is sent to followers that lag too far behind, and
+// entries that it covers are dropped except for the last Config.KeepEntries.
+// It is ignored unless it is newer than the previous one.
 func (r *Raft) SetSnapshot(s Snapshot) {
-	if r.snapshot != nil && s.Meta.Index <= r.snapshot.Meta.Index || s.Meta.Index > r.log.handed {
+	if r.snapshot != nil && s.Meta.Index <= r.snapshot.Meta.Index || s.Meta.Index > r.log.applying {
 		return
 	}
 	r.snapshot = &outgoingSnapshot{Snapshot: s, sum: xxhash.Sum64(s.Data)}
 	if keep := uint64(max(r.cfg.KeepEntries, 0)); s.Meta.Index > keep {
 		r.log.compact(s.Meta.Index - keep)
 	}
-	r.sendDue = r.role == RoleLeader
+	r.appendDue = r.role == RoleLeader
 }
 
-// SnapshotMeta returns the place of a snapshot taken now at an applied index.
-// Error: ErrUnknownIndex.
+// SnapshotMeta returns the metadata of a snapshot taken at an applied index.
+//
+// Errors: ErrUnknownIndex.
 func (r *Raft) SnapshotMeta(index uint64) (SnapshotMeta, error) {
 	term, ok := r.log.term(index)
 	if !ok || index > r.log.applied {
@@ -53,13 +55,13 @@
 	return SnapshotMeta{Index: index, Term: term, Voters: r.log.votersAt(index)}, nil
 }
 
-func (r *Raft) startSnapshot(id ID, p *progress) {
+func (r *Raft) startSnapshotTransfer(id ID, p *progress) {
 	if r.snapshot == nil {
 		return
 	}
-	p.state = sendSnapshot
+	p.state = stateSnapshot
 	p.inflight = nil
-	p.snapshot = &sending{snapshot: r.snapshot}
+	p.snapshot = &snapshotTransfer{snapshot: r.snapshot}
 	r.sendChunk(id, p)
 }
 
@@ -77,19 +79,20 @@
 	})
 }
 
-// repeatChunk sends the chunk again when its answer is overdue.
-func (r *Raft) repeatChunk(id ID, p *progress) {
+// resendOverdueChunk resends the latest chunk if its reply is overdue.
+func (r *Raft) resendOverdueChunk(id ID, p *progress) {
 	if p.snapshot != nil && r.now >= p.snapshot.sentAt+uint64(r.cfg.HeartbeatTicks) {
 		r.sendChunk(id, p)
 	}
 }
 
-// handleSnapshotReply goes on from the byte that the follower wants. It goes
-// back only when the answer is to the latest chunk, as the follower then lost
-// what it had; late and doubled answers would else multiply the chunks.
+// handleSnapshotReply continues at the offset that the follower requests. It
+// goes back to an earlier offset only if the reply is to the latest chunk,
+// since only then the follower lost what it had received. Otherwise delayed
+// and duplicated replies would multiply the chunks.
 func (r *Raft) handleSnapshotReply(m Message) {
-	p := r.heardFrom(m)
-	if p == nil || p.state != sendSnapshot || m.Index != p.snapshot.snapshot.Meta.Index {
+	p := r.recordReply(m)
+	if p == nil || p.state != stateSnapshot || m.Index != p.snapshot.snapshot.Meta.Index {
 		return
 	}
 	s := p.snapshot
@@ -105,21 +108,21 @@
 func (r *Raft) handleSnapshot(m Message) error {
 	c := m.Chunk
 	if c.Meta.Index <= r.log.commit {
-		r.acknowledge(m, r.log.commit)
+		r.sendAck(m, r.log.commit)
 		return nil
 	}
-	if r.log.matches(c.Meta.Index, c.Meta.Term) {
-		// The log holds what the snapshot stands for; it may hold more that
-		// was acknowledged, which installing would throw away.
+	if r.log.matchesTerm(c.Meta.Index, c.Meta.Term) {
+		// The log contains everything that the snapshot covers. It may contain
+		// further acknowledged entries, which installing would discard.
 		r.commitTo(c.Meta.Index)
-		r.acknowledge(m, c.Meta.Index)
+		r.sendAck(m, c.Meta.Index)
 		return nil
 	}
 	if c.Total > uint64(r.cfg.MaxSnapshotBytes) {
 		return fmt.Errorf("%w: snapshot of %d bytes exceeds %d", ErrBadMessage, c.Total, r.cfg.MaxSnapshotBytes)
 	}
-	if r.collect(c) {
-		r.acknowledge(m, c.Meta.Index)
+	if r.addChunk(c) {
+		r.sendAck(m, c.Meta.Index)
 		return nil
 	}
 	wanted := uint64(0)
@@ -130,10 +133,10 @@
 	return nil
 }
 
-// collect adds a chunk and returns true when the snapshot is complete and was
-// installed. A transfer goes on where it stopped, also under another leader
-// that sends the same bytes.
-func (r *Raft) collect(c *Chunk) bool {
+// addChunk adds a received chunk and returns true if it completed the snapshot
+// and the snapshot was restored. An interrupted transfer is resumed, also by
+// another leader that sends the same bytes.
+func (r *Raft) addChunk(c *Chunk) bool {
 	in := r.incoming
 	same := in != nil && in.meta.Index == c.Meta.Index && in.meta.Term == c.Meta.Term && in.total == c.Total && in.sum == c.Sum
 	if !same {
@@ -151,14 +154,14 @@
 	if xxhash.Sum64(in.data) != in.sum {
 		return false
 	}
-	r.restore(Snapshot{Meta: in.meta, Data: in.data})
+	r.restoreSnapshot(Snapshot{Meta: in.meta, Data: in.data})
 	return true
 }
 
-// restore replaces the log by a snapshot.
-func (r *Raft) restore(s Snapshot) {
-	r.log.reset(s.Meta)
-	r.install = &s
+// restoreSnapshot replaces the log by a snapshot.
+func (r *Raft) restoreSnapshot(s Snapshot) {
+	r.log.resetToSnapshot(s.Meta)
+	r.toInstall = &s
 	r.snapshot = &outgoingSnapshot{Snapshot: s, sum: xxhash.Sum64(s.Data)}
-	r.votersChanged()
+	r.updatePeers()
 }
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -1,53 +1,58 @@
 package quorum
 
-// Status is a voter's view of the protocol.
+// Status is the protocol state of a voter.
 type Status struct {
 	Self   ID
 	Role   Role
 	Term   uint64
-	Leader ID // empty when unknown
-	// Commit, Applied and Last are indexes of the log. Applied counts what
-	// Advance reported; First is the oldest entry in memory.
+	Leader ID // empty if unknown
+	// Commit, Applied, First and Last are indexes of the log. Applied is the
+	// last applied index that Advance reported; First is the oldest entry in
+	// memory.
 	Commit  uint64
 	Applied uint64
 	First   uint64
 	Last    uint64
-	// Voters is the set in force; VotersPending says that it is not committed yet.
+	// Voters is the set in force; VotersPending reports that it is not
+	// committed yet.
 	Voters        Voters
 	VotersPending bool
-	// Ready says that this leader has committed an entry of its own term, so
-	// that reads are served and voters may be changed.
+	// Ready reports that this leader has committed an entry of its own term, so
+	// that it serves reads and accepts voter changes.
 	Ready bool
-	// Confirmed says that this leader heard from a quorum within its lease.
+	// Confirmed reports that this leader holds a valid lease: a quorum answered
+	// it recently.
 	Confirmed bool
-	// Transferring says that leadership is being handed over.
+	// Transferring reports that a leadership transfer is in progress.
 	Transferring bool
 }
 
-// PeerStatus is what a leader knows of another voter.
+// PeerStatus is the replication state of another voter as the leader sees it.
 type PeerStatus struct {
 	ID    ID
 	Match uint64
-	// Silent is for how many ticks nothing sent to it was answered.
+	// Silent is the number of ticks since the latest message that it answered
+	// was sent, or since it was added.
 	Silent uint64
-	// Snapshot says that it is being sent a snapshot.
+	// Snapshot reports that a snapshot is being sent to it.
 	Snapshot bool
-	// SyncTicks is how long its recent syncs took, 0 while its disk is fast.
+	// SyncTicks is the duration of its recent syncs, 0 while its disk is fast.
 	SyncTicks int
 }
 
-// Status returns the voter's view of now.
+// Status returns the current state of the voter.
 func (r *Raft) Status() Status {
 	return Status{
 		Self: r.cfg.Self, Role: r.role, Term: r.hard.Term, Leader: r.leader,
 		Commit: r.log.commit, Applied: r.log.applied, First: r.log.baseIndex + 1, Last: r.log.last(),
-		Voters: r.log.voters(), VotersPending: r.votersPending(),
+		Voters: r.log.voters(), VotersPending: r.voterChangePending(),
 		Ready:     r.role == RoleLeader && r.ownTermCommitted(),
 		Confirmed: r.confirmed(), Transferring: r.transfer.to != "",
 	}
 }
 
-// Peers returns the other voters as the leader sees them, nil on others.
+// Peers returns the other voters as the leader sees them, nil if this voter
+// does not lead.
 func (r *Raft) Peers() []PeerStatus {
 	if r.role != RoleLeader {
 		return nil
@@ -58,15 +63,16 @@
 		if p == nil {
 			continue
 		}
-		silent := r.now - r.heardOrAdded(id)
-		peers = append(peers, PeerStatus{ID: id, Match: p.match, Silent: silent, Snapshot: p.state == sendSnapshot, SyncTicks: p.syncTicks})
+		unresponsive := r.now - r.ackedOrAddedTick(id)
+		peers = append(peers, PeerStatus{ID: id, Match: p.match, Silent: unresponsive, Snapshot: p.state == stateSnapshot, SyncTicks: p.syncTicks})
 	}
 	return peers
 }
 
-// Entries returns committed entries from an index on, of at most maxBytes but
-// at least one, for followers that do not vote. Error: ErrUnknownIndex when
-// the index is compacted and a snapshot is needed.
+// Entries returns committed entries from an index on, limited to maxBytes but
+// at least one, for followers that do not vote.
+//
+// Errors: ErrUnknownIndex if the index is compacted and a snapshot is needed.
 func (r *Raft) Entries(from uint64, maxBytes int) ([]Entry, error) {
 	if from <= r.log.baseIndex {
 		return nil, ErrUnknownIndex
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -1,23 +1,23 @@
 package quorum
 
-// ID names a voter together with the identity of its disk ("name#disk"). A
-// voter that lost its disk comes back under another ID, so that it can never
-// vote a second time in a term it voted in before.
+// ID identifies a voter together with its disk ("name#disk"). A voter that
+// lost its disk restarts under another ID, so that it cannot vote a second
+// time in a term in which it has already voted.
 type ID string
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of an entry's data.
 type EntryKind uint8
 
 const (
 	// EntryCommand holds a command for the state machine.
 	EntryCommand EntryKind = iota + 1
-	// EntryNoop is a leader's first entry; committing it commits all before.
+	// EntryNoop is a leader's first entry; committing it commits all earlier entries.
 	EntryNoop
-	// EntryVoters holds an encoded Voters, in force from when it is appended.
+	// EntryVoters holds an encoded Voters, which is in force once it is appended.
 	EntryVoters
 )
 
-// Entry is one position of the log.
+// Entry is one record of the replicated log.
 type Entry struct {
 	Index uint64    `cbor:"1,keyasint"`
 	Term  uint64    `cbor:"2,keyasint"`
@@ -25,27 +25,28 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// Voters is the set of voters; at most one member differs from the set before.
+// Voters is a set of voters. Consecutive sets differ in at most one member.
 type Voters struct {
 	Members []ID `cbor:"1,keyasint"`
 }
 
-// HardState must be durable before any message that follows from it is sent.
+// HardState is the state that must be durable before a message that depends on
+// it is sent.
 type HardState struct {
 	Term     uint64 `cbor:"1,keyasint"`
 	VotedFor ID     `cbor:"2,keyasint,omitempty"`
-	// Commit need not be durable at once; it only saves work at a restart.
+	// Commit need not be durable at once; it only saves work after a restart.
 	Commit uint64 `cbor:"3,keyasint"`
 }
 
-// SnapshotMeta says which entries a snapshot stands for.
+// SnapshotMeta is the last entry that a snapshot covers and the voters in force there.
 type SnapshotMeta struct {
 	Index  uint64 `cbor:"1,keyasint"`
 	Term   uint64 `cbor:"2,keyasint"`
 	Voters Voters `cbor:"3,keyasint"`
 }
 
-// Snapshot is a state machine's content with its place in the log.
+// Snapshot is the content of the state machine at one position of the log.
 type Snapshot struct {
 	Meta SnapshotMeta `cbor:"1,keyasint"`
 	Data []byte       `cbor:"2,keyasint,omitempty"`
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -7,27 +7,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// foundingIndex and foundingTerm place the snapshot that a site starts from.
+// foundingIndex and foundingTerm are the position of the snapshot from which a
+// site starts.
 const (
 	foundingIndex = 1
 	foundingTerm  = 1
 )
 
-// FoundingMeta is where the log of a new site begins: the founder saves a
-// snapshot of the empty state machine under it, the other voters get it as a
-// snapshot and so learn who the voters are.
+// FoundingMeta returns the metadata of the snapshot at which the log of a new
+// site begins. The founder saves a snapshot of the empty state machine with it;
+// the other voters receive that snapshot and with it the set of voters.
 func FoundingMeta(v Voters) SnapshotMeta {
-	return SnapshotMeta{Index: foundingIndex, Term: foundingTerm, Voters: v.normal()}
+	return SnapshotMeta{Index: foundingIndex, Term: foundingTerm, Voters: v.sorted()}
 }
 
-// Has says whether the ID is a voter.
+// Has reports whether the ID is in the set.
 func (v Voters) Has(id ID) bool {
 	return slices.Contains(v.Members, id)
 }
 
 // With returns the set with one more member.
 func (v Voters) With(id ID) Voters {
-	return Voters{Members: append(slices.Clone(v.Members), id)}.normal()
+	return Voters{Members: append(slices.Clone(v.Members), id)}.sorted()
 }
 
 // Without returns the set without the member.
@@ -36,23 +37,24 @@
 	return Voters{Members: slices.DeleteFunc(slices.Clone(v.Members), isID)}
 }
 
-// Quorum is the least number of voters of which two sets always share one.
+// Quorum returns the size of a majority: any two majorities share a voter.
 func (v Voters) Quorum() int {
 	return len(v.Members)/2 + 1
 }
 
-func (v Voters) normal() Voters {
+// sorted returns a copy of the set with its members in ascending order.
+func (v Voters) sorted() Voters {
 	members := slices.Clone(v.Members)
 	slices.Sort(members)
 	return Voters{Members: members}
 }
 
 func (v Voters) valid() bool {
-	sorted := v.normal().Members
+	sorted := v.sorted().Members
 	return len(sorted) > 0 && sorted[0] != "" && len(slices.Compact(sorted)) == len(v.Members)
 }
 
-// difference counts the members that are in one set only.
+// difference returns the number of members that are in only one of the sets.
 func (v Voters) difference(w Voters) int {
 	n := 0
 	for _, id := range v.Members {
@@ -85,10 +87,10 @@
 }
 
 // ProposeVoters appends a change of the set of voters. Exactly one member is
-// added or removed, so that a quorum of the set before and one of the set
-// after always share a voter; a replacement is a removal and then an addition
-// (with the old disk gone, the removal first costs no availability). The new
-// set is in force once it is appended.
+// added or removed, so that any quorum of the old set and any quorum of the new
+// set share a voter. A replacement is a removal followed by an addition: since
+// the old disk is lost, removing it first costs no availability. The new set
+// is in force once it is appended.
 //
 // Errors: ErrNotLeader, ErrTransferring, ErrVotersDiffer, ErrVotersPending,
 // ErrNoOwnTerm, ErrVotersSilent.
@@ -102,11 +104,11 @@
 	if err := r.checkVoterChange(v); err != nil {
 		return 0, 0, err
 	}
-	data, err := encodeVoters(v.normal())
+	data, err := encodeVoters(v.sorted())
 	if err != nil {
 		return 0, 0, err
 	}
-	return r.appendOwn(EntryVoters, data)
+	return r.appendAsLeader(EntryVoters, data)
 }
 
 func (r *Raft) checkVoterChange(v Voters) error {
@@ -114,43 +116,44 @@
 	if !v.valid() || difference == 0 || difference > 1 && !r.cfg.Rules.ReplaceVoters {
 		return ErrVotersDiffer
 	}
-	if r.votersPending() && !r.cfg.Rules.AllowTwoPendingVoters {
+	if r.voterChangePending() && !r.cfg.Rules.AllowTwoPendingVoters {
 		return ErrVotersPending
 	}
-	// Two leaders of successive terms could otherwise each append a change to
-	// the same set, and their new sets need not overlap. An entry of the own
-	// term that is committed rules out the other change.
+	// Otherwise two leaders of successive terms could each append a change to
+	// the same set, and quorums of the two new sets need not overlap. A
+	// committed entry of this term rules out the other change.
 	if !r.ownTermCommitted() && !r.cfg.Rules.VotersBeforeOwnTerm {
 		return ErrNoOwnTerm
 	}
-	if !r.answers(v) && !r.cfg.Rules.SkipVotersAnswer {
+	if !r.quorumResponsive(v) && !r.cfg.Rules.SkipVotersAnswer {
 		return ErrVotersSilent
 	}
 	return nil
 }
 
-// answers says whether a quorum of a new set is at work; a member to be added
-// counts, as the caller has just heard from it. Without this rule a healthy
-// voter could be removed while another one is lost, and the site would stay
-// without a quorum for good once the removal is stored at one voter.
-func (r *Raft) answers(v Voters) bool {
+// quorumResponsive reports whether a quorum of a new set answers. A member to be
+// added counts, since the caller has just received a reply from it. Without
+// this rule a healthy voter could be removed while another one is lost, and
+// the site would permanently lose its quorum once one voter stores the removal.
+func (r *Raft) quorumResponsive(v Voters) bool {
 	n := 0
 	for _, id := range v.Members {
 		p := r.peers[id]
-		if p == nil || p.heard+uint64(r.cfg.ElectionTicks) > r.now {
+		if p == nil || p.ackedTick+uint64(r.cfg.ElectionTicks) > r.now {
 			n++
 		}
 	}
 	return n >= v.Quorum()
 }
 
-func (r *Raft) votersPending() bool {
+// voterChangePending reports whether the set in force is not committed yet.
+func (r *Raft) voterChangePending() bool {
 	return r.log.votersIndex() > r.log.commit
 }
 
-// votersChanged follows a change of the set in force: by an append, a
-// truncation or a snapshot.
-func (r *Raft) votersChanged() {
+// updatePeers adjusts the leader's peers to the set in force after it changed
+// by an append, a truncation or a snapshot.
+func (r *Raft) updatePeers() {
 	if r.role != RoleLeader {
 		return
 	}
@@ -165,19 +168,19 @@
 			r.peers[id] = newProgress(r.log.last(), r.now)
 		}
 	}
-	r.sendDue = true
+	r.appendDue = true
 }
 
-// quorumValue returns the greatest value that a quorum of voters reaches.
+// quorumValue returns the greatest value that a quorum of voters has reached.
 func (r *Raft) quorumValue(value func(id ID) uint64) uint64 {
 	members := r.log.voters().Members
 	if len(members) == 0 {
 		return 0
 	}
-	r.values = r.values[:0]
+	r.scratch = r.scratch[:0]
 	for _, id := range members {
-		r.values = append(r.values, value(id))
+		r.scratch = append(r.scratch, value(id))
 	}
-	slices.Sort(r.values)
-	return r.values[len(r.values)-r.log.voters().Quorum()]
+	slices.Sort(r.scratch)
+	return r.scratch[len(r.scratch)-r.log.voters().Quorum()]
 }
--- a/internal/quorum/world_test.go
+++ b/internal/quorum/world_test.go
@@ -9,21 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Units of the world's time; a tick takes between tickMin and tickMax, which
-// keeps the drift of two clocks within the bound of Config.LeaseTicks.
+// tickMin and tickMax bound the duration of a tick, in units of simulated time,
+// so that the drift of two clocks stays within the bound of Config.LeaseTicks.
 const (
 	tickMin       = 100
 	tickMax       = 128
 	electionTicks = 10
 )
 
-// event is a tick, a message or the end of a write at one VM.
+// event is a tick, the arrival of a message or the end of a write at one VM.
 type event struct {
-	at, seq uint64
-	vm      *vm
-	life    int
-	message *Message
-	stored  bool
+	at, seq     uint64
+	vm          *vm
+	incarnation int
+	message     *Message
+	writeDone   bool
 }
 
 type events []*event
@@ -40,267 +40,271 @@
 	return last
 }
 
-// vm is a place for a voter; it comes back under a new ID when its disk is lost.
+// vm runs one voter, which restarts under a new ID after its disk is lost.
 type vm struct {
-	index, generation, life int
-	id                      ID
-	disk                    disk
-	raft                    *Raft  // nil while it is down
-	ready                   *Ready // being stored
-	period, due, frozen     uint64
-	storing, least          uint64 // when the write under way began, and the shortest write
-	applied, sum            uint64 // the state machine: a digest of all commands
+	index, diskGeneration, incarnation int
+	id                                 ID
+	disk                               disk
+	raft                               *Raft  // nil while it is down
+	ready                              *Ready // being stored
+	tickPeriod, nextTick, frozenUntil  uint64
+	writeStarted, minWrite             uint64 // start of the current write, shortest duration of a write
+	applied, digest                    uint64 // the state machine: applied index and digest of all commands
 }
 
-// world is a site with a faulty network, faulty disks and drifting clocks.
-type world struct {
-	rules   Rules
-	sameID  bool // faulty: a lost disk comes back under the old ID
-	kinds   []func(w *world, v *vm)
-	random  *rand.Rand
-	now     uint64
-	seq     uint64
-	queue   events
-	vms     []*vm
-	cut     [5][5]bool
-	loss    int // percent, as are doubled and late
-	doubled int
-	late    int
-	slow    uint64 // longest write
-	// paced says that voters are told how long their writes took.
-	paced   bool
-	later   bool // followers learn of commits with the next message
-	keep    int
-	witness *Witness
-	sums    map[uint64]uint64 // state by index
-	reads   map[uint64]uint64 // committed when the read was asked for
-	top     uint64            // highest index applied anywhere
-	voters  Voters            // as of top
-	count   *counts
-	err     error
+// simulation is a site with a faulty network, faulty disks and drifting clocks.
+type simulation struct {
+	faults           Rules
+	reuseID          bool // fault: a lost disk is replaced under the old ID
+	actionKinds      []func(s *simulation, v *vm)
+	random           *rand.Rand
+	now              uint64
+	seq              uint64
+	queue            events
+	vms              []*vm
+	blockedLinks     [5][5]bool
+	lossPercent      int
+	duplicatePercent int
+	delayPercent     int
+	maxWrite         uint64 // longest duration of a write
+	// reportSyncTicks passes the duration of each write to SetSyncTicks.
+	reportSyncTicks bool
+	piggybackCommit bool // see Config.CommitsWithNext
+	keepEntries     int
+	checker         *Witness
+	digests         map[uint64]uint64 // digest of the state by applied index
+	committedAtRead map[uint64]uint64 // highest committed index when a read was requested, by token
+	maxApplied      uint64            // highest index that any VM applied
+	voters          Voters            // the set in force at maxApplied
+	count           *counts
+	err             error
 }
 
-// counts says what a run exercised.
+// counts counts the events of a run.
 type counts struct{ ticks, messages, commands, elections, crashes, reads, voters, disks, snapshots int }
 
-func newWorld(rules Rules, shape uint32) *world { return newWorldOf(rules, shape, false) }
+func newSim(faults Rules, shape uint32) *simulation { return newSimWith(faults, shape, false) }
 
-func newWorldOf(rules Rules, shape uint32, later bool) *world {
+func newSimWith(faults Rules, shape uint32, piggybackCommit bool) *simulation {
 	voters := 3 + int(shape%3)
-	w := &world{
-		rules: rules, later: later, slow: 50, keep: 8, witness: NewWitness(), count: &counts{},
-		sums: map[uint64]uint64{}, reads: map[uint64]uint64{}, random: rand.New(rand.NewPCG(0, 0)),
+	s := &simulation{
+		faults: faults, piggybackCommit: piggybackCommit, maxWrite: 50, keepEntries: 8, checker: NewWitness(), count: &counts{},
+		digests: map[uint64]uint64{}, committedAtRead: map[uint64]uint64{}, random: rand.New(rand.NewPCG(0, 0)),
 	}
-	w.chooseKinds(uint64(shape))
-	for i := range w.cut {
-		w.vms = append(w.vms, &vm{index: i, id: ID(fmt.Sprintf("%d#0", i))})
+	s.chooseActionKinds(uint64(shape))
+	for i := range s.blockedLinks {
+		s.vms = append(s.vms, &vm{index: i, id: ID(fmt.Sprintf("%d#0", i))})
 	}
-	for _, v := range w.vms[:voters] {
-		w.voters = w.voters.With(v.id)
+	for _, v := range s.vms[:voters] {
+		s.voters = s.voters.With(v.id)
 	}
-	w.vms[0].disk.snapshot = Snapshot{Meta: FoundingMeta(w.voters), Data: snapshotData(0)}
-	w.top = foundingIndex
-	for _, v := range w.vms {
-		w.start(v)
+	s.vms[0].disk.snapshot = Snapshot{Meta: FoundingMeta(s.voters), Data: snapshotData(0)}
+	s.maxApplied = foundingIndex
+	for _, v := range s.vms {
+		s.start(v)
 	}
-	return w
+	return s
 }
 
-// snapshotData is long enough for several chunks.
+// snapshotData returns data long enough for several chunks.
 func snapshotData(sum uint64) []byte {
 	return fmt.Appendf(nil, "%020d%020d", sum, sum)
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.err == nil {
-		w.err = fmt.Errorf(format, args...)
+func (s *simulation) fail(format string, args ...any) {
+	if s.err == nil {
+		s.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (w *world) restoreMachine(v *vm) {
-	v.applied, v.sum = v.disk.snapshot.Meta.Index, 0
+func (s *simulation) restoreStateMachine(v *vm) {
+	v.applied, v.digest = v.disk.snapshot.Meta.Index, 0
 	if v.applied == 0 {
 		return
 	}
-	_, _ = fmt.Sscanf(string(v.disk.snapshot.Data[:20]), "%d", &v.sum)
-	w.checkState(v)
+	_, _ = fmt.Sscanf(string(v.disk.snapshot.Data[:20]), "%d", &v.digest)
+	s.checkState(v)
 }
 
-func (w *world) checkState(v *vm) {
-	if known, ok := w.sums[v.applied]; ok && known != v.sum {
-		w.fail("%s has another state at %d", v.id, v.applied)
+func (s *simulation) checkState(v *vm) {
+	if known, ok := s.digests[v.applied]; ok && known != v.digest {
+		s.fail("%s has another state at %d", v.id, v.applied)
 	}
-	w.sums[v.applied] = v.sum
+	s.digests[v.applied] = v.digest
 }
 
-func (w *world) push(e *event) {
-	w.seq++
-	e.seq, e.life = w.seq, e.vm.life
-	heap.Push(&w.queue, e)
+func (s *simulation) schedule(e *event) {
+	s.seq++
+	e.seq, e.incarnation = s.seq, e.vm.incarnation
+	heap.Push(&s.queue, e)
 }
 
-// run lets time pass.
-func (w *world) run(duration uint64) {
-	end := w.now + duration
-	for w.err == nil && len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(*event)
-		w.now = max(w.now, e.at)
-		w.happen(e)
+// runFor processes the events of the given duration.
+func (s *simulation) runFor(duration uint64) {
+	end := s.now + duration
+	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(*event)
+		s.now = max(s.now, e.at)
+		s.handle(e)
 	}
-	w.now = end
+	s.now = end
 }
 
-func (w *world) happen(e *event) {
+func (s *simulation) handle(e *event) {
 	v := e.vm
-	if v.raft == nil || e.life != v.life && e.message == nil {
+	if v.raft == nil || e.incarnation != v.incarnation && e.message == nil {
 		return
 	}
-	// A cut also stops half of what is on its way.
-	if e.message != nil && w.cut[e.message.From[0]-'0'][v.index] && w.random.IntN(2) == 0 {
+	// A partition also drops half of the messages in flight.
+	if e.message != nil && s.blockedLinks[e.message.From[0]-'0'][v.index] && s.random.IntN(2) == 0 {
 		return
 	}
-	if v.frozen > w.now {
-		// Ticks that were missed come before messages that waited.
-		at := v.frozen
-		if e.message != nil || e.stored {
+	if v.frozenUntil > s.now {
+		// Missed ticks are delivered before messages that waited.
+		at := v.frozenUntil
+		if e.message != nil || e.writeDone {
 			at++
 		}
 		again := *e
 		again.at = at
-		w.push(&again)
+		s.schedule(&again)
 		return
 	}
 	switch {
 	case e.message != nil:
-		w.count.messages++
-		w.witness.Message(e.message)
+		s.count.messages++
+		s.checker.Message(e.message)
 		if err := v.raft.Step(*e.message); err != nil && !errors.Is(err, ErrWrongAddressee) {
-			w.fail("%s: %w", v.id, err)
+			s.fail("%s: %w", v.id, err)
 		}
-	case e.stored:
-		if w.paced {
-			v.raft.SetSyncTicks(int((w.now - v.storing) / v.period))
+	case e.writeDone:
+		if s.reportSyncTicks {
+			v.raft.SetSyncTicks(int((s.now - v.writeStarted) / v.tickPeriod))
 		}
-		w.stored(v)
+		s.finishWrite(v)
 	default:
-		w.tick(v)
+		s.tick(v)
 	}
-	w.work(v)
+	s.processReady(v)
 }
 
-func (w *world) tick(v *vm) {
-	for v.due <= w.now {
-		w.count.ticks++
+func (s *simulation) tick(v *vm) {
+	for v.nextTick <= s.now {
+		s.count.ticks++
 		v.raft.Tick()
-		v.due += v.period
+		v.nextTick += v.tickPeriod
 	}
-	w.push(&event{at: v.due, vm: v})
+	s.schedule(&event{at: v.nextTick, vm: v})
 }
 
-// work hands out what came up; messages that promise nothing leave at once.
-func (w *world) work(v *vm) {
-	for w.err == nil {
-		w.check(v)
+// processReady starts the work of the next Ready. Messages that do not depend on
+// stored state are sent at once.
+func (s *simulation) processReady(v *vm) {
+	for s.err == nil {
+		s.checkInvariants(v)
 		if v.ready != nil || !v.raft.HasReady() {
 			return
 		}
 		rd := v.raft.Ready()
 		v.ready = &rd
-		w.send(v, false)
+		s.send(v, false)
 		if rd.Hard != nil || rd.Snapshot != nil || len(rd.Entries) > 0 {
-			v.storing = w.now
-			w.push(&event{at: w.now + v.least + w.random.Uint64N(w.slow), vm: v, stored: true})
+			v.writeStarted = s.now
+			s.schedule(&event{at: s.now + v.minWrite + s.random.Uint64N(s.maxWrite), vm: v, writeDone: true})
 			return
 		}
-		w.stored(v)
+		s.finishWrite(v)
 	}
 }
 
-func (w *world) stored(v *vm) {
+// finishWrite completes the Ready of a voter after its state is stored.
+func (s *simulation) finishWrite(v *vm) {
 	rd := v.ready
 	v.disk.store(rd, 4+len(rd.Entries))
-	w.send(v, true)
-	w.witness.Ready(v.id, rd)
+	s.send(v, true)
+	s.checker.Ready(v.id, rd)
 	if rd.Snapshot != nil {
-		w.count.snapshots++
-		w.restoreMachine(v)
+		s.count.snapshots++
+		s.restoreStateMachine(v)
 	}
 	for i := range rd.Committed {
-		w.apply(v, &rd.Committed[i])
+		s.apply(v, &rd.Committed[i])
 	}
 	for _, read := range rd.Reads {
-		w.count.reads++
-		w.witness.Read(v.id, w.reads[read.Token], read.Index)
-		delete(w.reads, read.Token)
+		s.count.reads++
+		s.checker.Read(v.id, s.committedAtRead[read.Token], read.Index)
+		delete(s.committedAtRead, read.Token)
 	}
 	v.ready = nil
 	v.raft.Advance(*rd)
-	w.takeSnapshot(v)
+	s.takeSnapshot(v)
 }
 
-func (w *world) apply(v *vm, e *Entry) {
+func (s *simulation) apply(v *vm, e *Entry) {
 	if e.Index != v.applied+1 {
-		w.fail("%s applies %d after %d", v.id, e.Index, v.applied)
+		s.fail("%s applies %d after %d", v.id, e.Index, v.applied)
 	}
 	v.applied = e.Index
-	v.sum = xxhash.Sum64(fmt.Appendf(nil, "%d %s", v.sum, e.Data))
-	w.checkState(v)
-	if e.Index <= w.top {
+	v.digest = xxhash.Sum64(fmt.Appendf(nil, "%d %s", v.digest, e.Data))
+	s.checkState(v)
+	if e.Index <= s.maxApplied {
 		return
 	}
-	w.top = e.Index
+	s.maxApplied = e.Index
 	if e.Kind == EntryCommand {
-		w.count.commands++
+		s.count.commands++
 	}
 	if e.Kind == EntryVoters {
-		w.count.voters++
-		w.voters, _ = DecodeVoters(e.Data)
+		s.count.voters++
+		s.voters, _ = DecodeVoters(e.Data)
 	}
 }
 
-func (w *world) send(v *vm, promises bool) {
+func (s *simulation) send(v *vm, afterSync bool) {
 	for _, m := range v.ready.Messages {
-		if m.Promises() != promises {
+		if m.Promises() != afterSync {
 			continue
 		}
-		// With a rule off, the run shall find what comes of it, not just that it is off.
-		if w.rules == (Rules{}) {
-			w.witness.Promise(&m, v.disk.hard, v.disk.last())
+		// With a rule disabled, the run must detect the consequences, not merely
+		// that the rule is disabled.
+		if s.faults == (Rules{}) {
+			s.checker.Promise(&m, v.disk.hard, v.disk.last())
 		}
-		w.transmit(v, m)
-		if w.random.IntN(100) < w.doubled {
-			w.transmit(v, m)
+		s.transmit(v, m)
+		if s.random.IntN(100) < s.duplicatePercent {
+			s.transmit(v, m)
 		}
 	}
 }
 
-func (w *world) transmit(v *vm, m Message) {
-	to := w.vms[m.To[0]-'0']
-	if w.cut[v.index][to.index] || w.random.IntN(100) < w.loss {
+func (s *simulation) transmit(v *vm, m Message) {
+	to := s.vms[m.To[0]-'0']
+	if s.blockedLinks[v.index][to.index] || s.random.IntN(100) < s.lossPercent {
 		return
 	}
-	delay := 1 + w.random.Uint64N(30)
-	if w.random.IntN(100) < w.late {
-		delay = w.random.Uint64N(6000)
+	delay := 1 + s.random.Uint64N(30)
+	if s.random.IntN(100) < s.delayPercent {
+		delay = s.random.Uint64N(6000)
 	}
-	w.push(&event{at: w.now + delay, vm: to, message: &m})
+	s.schedule(&event{at: s.now + delay, vm: to, message: &m})
 }
 
-// check runs the invariants after a voter did something.
-func (w *world) check(v *vm) {
-	term := w.witness.topTerm
-	w.witness.Voter(v.raft)
-	if w.witness.topTerm != term {
-		w.count.elections++
-		for _, other := range w.vms {
-			// A frozen process cannot use its lease; missed ticks come first.
-			if other.raft != nil && other.due > w.now {
-				s := other.raft.Status()
-				w.witness.Confirmed(&s)
+// checkInvariants checks the invariants after a voter processed an event.
+func (s *simulation) checkInvariants(v *vm) {
+	term := s.checker.maxLeaderTerm
+	s.checker.Voter(v.raft)
+	if s.checker.maxLeaderTerm != term {
+		s.count.elections++
+		for _, other := range s.vms {
+			// A frozen process cannot use its lease: it processes the missed
+			// ticks first.
+			if other.raft != nil && other.nextTick > s.now {
+				status := other.raft.Status()
+				s.checker.Confirmed(&status)
 			}
 		}
 	}
-	if n, broken := w.witness.Broken(); n > 0 {
-		w.fail("%s", broken[0])
+	if n, broken := s.checker.Broken(); n > 0 {
+		s.fail("%s", broken[0])
 	}
 }
