--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -1,5 +1,5 @@
-// Package steady is the clock for leases: monotonic, and it goes on while the
-// machine is suspended.
+// Package steady provides the clock for leases: it is monotonic and continues
+// while the machine is suspended.
 package steady
 
 import (
@@ -8,9 +8,9 @@
 	"unsafe"
 )
 
-// clockBoottime is CLOCK_BOOTTIME of Linux. With a clock that stands still
-// while the machine is suspended, a process that slept past its lease would
-// wake up and believe that it still holds it.
+// clockBoottime is CLOCK_BOOTTIME of Linux. With a clock that stops while the
+// machine is suspended, a process that was suspended beyond the end of its
+// lease would resume in the belief that it still holds the lease.
 const clockBoottime = 7
 
 // Now returns the time since the machine was booted.
--- a/internal/steady/pause.go
+++ b/internal/steady/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for d or until ctx ends.
+// Pause blocks until d has passed or ctx is done.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
