--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("batch-%d", batch), func(b *testing.B) {
-			s := newSim(Rules{}, 0)
+			s := newSim(Faults{}, 0)
 			leader := waitForLeader(s)
 			s.runFor(2_000)
 			for _, v := range s.vms[:3] {
--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -43,22 +43,22 @@
 	MaxSnapshotBytes int
 	// MaxUncommittedBytes limits the proposals that are not committed yet.
 	MaxUncommittedBytes int
-	// CommitsWithNext makes the leader send a new commit index only with the
+	// PiggybackCommit makes the leader send a new commit index only with the
 	// next entry or heartbeat. Otherwise it sends each commit index to every
 	// follower in a message of its own, so that followers apply without delay;
 	// this suits sites that read at followers.
-	CommitsWithNext bool
+	PiggybackCommit bool
 	// KeepEntries is the number of entries before the snapshot that stay in
 	// memory, so that a voter that lags slightly needs no snapshot. A negative
 	// value keeps none.
 	KeepEntries int
-	// Rules is set only in tests.
-	Rules Rules
+	// Faults is set only in tests.
+	Faults Faults
 }
 
-// Rules disables single rules of the protocol, so that tests can show that the
+// Faults disables single rules of the protocol, so that tests can show that the
 // randomized runs detect the absence of each rule.
-type Rules struct {
+type Faults struct {
 	// SkipPreVote starts an election without a pre-vote.
 	SkipPreVote bool
 	// SkipVoteSync sends a vote before term and vote are stored.
@@ -95,11 +95,11 @@
 	ReplaceVoters bool
 	// VoteOnlyAsVoter refuses to vote while the voter's own log does not list it.
 	VoteOnlyAsVoter bool
-	// SkipLeaverCampaign does not campaign once the voter's own removal is
+	// SkipRemovedCampaign does not campaign once the voter's own removal is
 	// appended.
-	SkipLeaverCampaign bool
-	// SkipVotersAnswer allows a change to a set of which no quorum answers.
-	SkipVotersAnswer bool
+	SkipRemovedCampaign bool
+	// SkipNewQuorumCheck allows a change to a set of which no quorum answers.
+	SkipNewQuorumCheck bool
 	// SkipTermCheck accepts messages of earlier terms.
 	SkipTermCheck bool
 	// SkipPreviousCheck appends without comparing the preceding entry.
--- a/internal/quorum/disk_test.go
+++ b/internal/quorum/disk_test.go
@@ -46,9 +46,9 @@
 func (s *simulation) start(v *vm) {
 	cfg := Config{
 		Self: v.id, ElectionTicks: electionTicks, HeartbeatTicks: 2, Random: func(n int) int { return s.random.IntN(n) },
-		MaxBatchBytes: entryOverhead, MaxInflight: 3, SnapshotChunk: 16, KeepEntries: s.keepEntries, Rules: s.faults,
+		MaxBatchBytes: entryOverhead, MaxInflight: 3, SnapshotChunk: 16, KeepEntries: s.keepEntries, Faults: s.faults,
 	}
-	cfg.CommitsWithNext = s.piggybackCommit
+	cfg.PiggybackCommit = s.piggybackCommit
 	raft, err := New(cfg, v.disk.hard, v.disk.snapshot.Meta, slices.Clone(v.disk.entries))
 	if err != nil {
 		s.fail("%s restarts: %w", v.id, err)
@@ -65,7 +65,7 @@
 	if v.disk.snapshot.Meta.Index > 0 {
 		raft.SetSnapshot(v.disk.snapshot)
 	}
-	s.checker.Restarted(v.id)
+	s.checker.VoterRestarted(v.id)
 	s.schedule(&event{at: v.nextTick, vm: v})
 }
 
--- a/internal/quorum/doc.go
+++ b/internal/quorum/doc.go
@@ -5,7 +5,7 @@
 //
 // The caller runs a loop: it calls Step, Tick or Propose and then Ready. It
 // stores HardState, Snapshot and Entries durably, only then sends Messages,
-// then applies Committed and calls Advance. Messages whose Promises is false
+// then applies Committed and calls Advance. Messages whose RequiresSync is false
 // may be sent while storing is in progress.
 //
 // A voter that lost its disk restarts empty under a new ID; the leader then
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -4,7 +4,7 @@
 // that a voter that was partitioned does not raise the term and depose a
 // working leader when it reconnects.
 func (r *Raft) campaign() {
-	if r.cfg.Rules.SkipPreVote {
+	if r.cfg.Faults.SkipPreVote {
 		r.startElection(false)
 		return
 	}
@@ -71,10 +71,10 @@
 // withholdsVote reports whether this voter must not vote, because a leader
 // contacted it so recently that this leader may still be Confirmed.
 func (r *Raft) withholdsVote() bool {
-	if r.cfg.Rules.SkipVoteHold {
+	if r.cfg.Faults.SkipVoteHold {
 		return false
 	}
-	if r.cfg.Rules.VoteOnlyAsVoter && !r.isVoter() {
+	if r.cfg.Faults.VoteOnlyAsVoter && !r.isVoter() {
 		return true
 	}
 	return r.voteHold > 0 || r.role == RoleLeader
@@ -83,7 +83,7 @@
 // upToDate reports whether a log that ends with the given entry contains every
 // entry that this voter may have helped to commit.
 func (r *Raft) upToDate(index, term uint64) bool {
-	if r.cfg.Rules.SkipLogUpToDate {
+	if r.cfg.Faults.SkipLogUpToDate {
 		return true
 	}
 	ownTerm := r.log.lastTerm()
@@ -108,7 +108,7 @@
 		return
 	}
 	canVote := r.hard.VotedFor == "" && r.leader == "" || r.hard.VotedFor == m.From
-	if r.cfg.Rules.SkipVotedFor {
+	if r.cfg.Faults.SkipVotedFor {
 		canVote = true
 	}
 	granted := canVote && r.role == RoleFollower && r.upToDate(m.Index, m.LogTerm)
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -13,14 +13,14 @@
 	ErrTransferring = errors.New("quorum: leadership is being transferred")
 	// ErrVotersPending means that the previous voter change is not committed yet.
 	ErrVotersPending = errors.New("quorum: a voter change is pending")
-	// ErrVotersDiffer means that the new set is invalid or does not differ in
+	// ErrInvalidVoterChange means that the new set is invalid or does not differ in
 	// exactly one member.
-	ErrVotersDiffer = errors.New("quorum: exactly one voter may be added or removed at a time")
-	// ErrNoOwnTerm means that the leader has not committed an entry of its own
+	ErrInvalidVoterChange = errors.New("quorum: exactly one voter may be added or removed at a time")
+	// ErrNoCommitInTerm means that the leader has not committed an entry of its own
 	// term yet.
-	ErrNoOwnTerm = errors.New("quorum: no entry of this term is committed yet")
-	// ErrVotersSilent means that no quorum of the new set answers the leader.
-	ErrVotersSilent = errors.New("quorum: no quorum of the new voters answers")
+	ErrNoCommitInTerm = errors.New("quorum: no entry of this term is committed yet")
+	// ErrNewVotersUnresponsive means that no quorum of the new set answers the leader.
+	ErrNewVotersUnresponsive = errors.New("quorum: no quorum of the new voters answers")
 	// ErrUnknownVoter means that an ID is not in the set of voters.
 	ErrUnknownVoter = errors.New("quorum: not a voter")
 	// ErrWrongAddressee means that a message is for another ID, such as the ID
--- a/internal/quorum/follower.go
+++ b/internal/quorum/follower.go
@@ -47,7 +47,7 @@
 // skipsPreviousCheck reports whether the comparison of the preceding entry is
 // skipped, which happens only with SkipPreviousCheck.
 func (r *Raft) skipsPreviousCheck(m Message) bool {
-	return r.cfg.Rules.SkipPreviousCheck && m.Index <= r.log.last()
+	return r.cfg.Faults.SkipPreviousCheck && m.Index <= r.log.last()
 }
 
 // appendMissing appends missing entries and overwrites conflicting ones. If
--- a/internal/quorum/leader.go
+++ b/internal/quorum/leader.go
@@ -81,7 +81,7 @@
 		}
 		// Followers apply entries once they receive the commit index; without
 		// this message they would wait for the next entry or heartbeat.
-		if !r.cfg.CommitsWithNext && p.sentCommit < r.log.commit && p.next > r.log.last() {
+		if !r.cfg.PiggybackCommit && p.sentCommit < r.log.commit && p.next > r.log.last() {
 			r.sendAppend(id, p)
 		}
 	case stateSnapshot:
@@ -207,7 +207,7 @@
 	}
 	index := r.quorumValue(r.matchOf)
 	term, ok := r.log.term(index)
-	if index <= r.log.commit || !ok || term != r.hard.Term && !r.cfg.Rules.CommitOldTerm {
+	if index <= r.log.commit || !ok || term != r.hard.Term && !r.cfg.Faults.CommitOldTerm {
 		return
 	}
 	r.commitTo(index)
@@ -273,9 +273,9 @@
 	switch {
 	case r.role != RoleLeader:
 		return false
-	case r.cfg.Rules.SkipLease:
+	case r.cfg.Faults.SkipLease:
 		return true
-	case r.transfer.sent && !r.cfg.Rules.LeaseAfterTransfer:
+	case r.transfer.sent && !r.cfg.Faults.LeaseAfterTransfer:
 		return false
 	}
 	return r.quorumValue(r.ackedTick)+uint64(r.cfg.LeaseTicks) > r.now
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -82,11 +82,11 @@
 	Data   []byte       `cbor:"5,keyasint,omitempty"`
 }
 
-// Promises reports whether the message depends on the state that its Ready
+// RequiresSync reports whether the message depends on the state that its Ready
 // asks to store, so that it must not be sent before that state is durable.
 // Other messages may be sent while storing is in progress, which removes the
 // leader's own fsync from the commit latency.
-func (m *Message) Promises() bool {
+func (m *Message) RequiresSync() bool {
 	switch m.Kind {
 	case KindAppend, KindHeartbeat, KindSnapshot, KindPreVote, KindPreVoteReply:
 		return false
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -37,12 +37,12 @@
 // without a leader, under any mix of crashes that lose unsynced state, lost
 // disks, one-way partitions, delayed, duplicated and lost messages, frozen
 // processes, drifting clocks, leadership transfers and voter changes. Each rule
-// of Rules prevents one of these failures; see TestEverySafetyRuleIsNeeded and
-// TestEveryLivenessRuleIsNeeded.
+// that Faults can disable prevents one of these failures; see
+// TestEverySafetyRuleIsNeeded and TestEveryLivenessRuleIsNeeded.
 func TestQuorumUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := scenarios.Draw(t, "run")
-		if _, err := r.run(newSim(Rules{}, r.shape)); err != nil {
+		if _, err := r.run(newSim(Faults{}, r.shape)); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -53,7 +53,7 @@
 func TestQuorumUnderFaultsWithPiggybackedCommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := scenarios.Draw(t, "run")
-		if _, err := r.run(newSimWith(Rules{}, r.shape, true)); err != nil {
+		if _, err := r.run(newSimWith(Faults{}, r.shape, true)); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -65,7 +65,7 @@
 func TestQuorumUnderFaultsWithReportedSyncTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := scenarios.Draw(t, "run")
-		s := newSim(Rules{}, r.shape)
+		s := newSim(Faults{}, r.shape)
 		s.reportSyncTicks = true
 		for i, v := range s.vms {
 			v.minWrite = uint64(r.shape>>(2*i)%4) * 3 * tickMax
@@ -87,7 +87,7 @@
 	played, seed := 0, 0
 	for ; played < steps; seed++ {
 		r := scenarios.Example(seed)
-		s := newSim(Rules{}, r.shape)
+		s := newSim(Faults{}, r.shape)
 		s.count = total
 		n, err := r.run(s)
 		if err != nil {
--- a/internal/quorum/raft.go
+++ b/internal/quorum/raft.go
@@ -100,7 +100,7 @@
 	// leader's lease relies on that answer, so this voter grants no vote until
 	// the lease has expired. Otherwise a quick restart would allow a second
 	// leader to be elected while the first is still Confirmed.
-	if !cfg.Rules.SkipRestartHold {
+	if !cfg.Faults.SkipRestartHold {
 		r.voteHold = cfg.ElectionTicks
 	}
 	r.resetElectionTimer()
@@ -137,7 +137,7 @@
 }
 
 func (r *Raft) tickLeader() {
-	if r.noQuorumWithin(r.cfg.ElectionTicks+r.slowSyncAllowance()) && !r.cfg.Rules.SkipCheckQuorum {
+	if r.noQuorumWithin(r.cfg.ElectionTicks+r.slowSyncAllowance()) && !r.cfg.Faults.SkipCheckQuorum {
 		// Check quorum: a leader that can send but not receive would otherwise
 		// keep the other voters from electing a new one.
 		r.becomeFollower(r.hard.Term, "")
@@ -194,7 +194,7 @@
 // stores the removal. The others then need its vote but cannot get it, because
 // their logs are not up to date, and no leader could be elected.
 func (r *Raft) mayCampaign() bool {
-	return r.isVoter() || !r.cfg.Rules.SkipLeaverCampaign && r.voterChangePending() && r.log.votersAt(r.log.votersIndex()-1).Has(r.cfg.Self)
+	return r.isVoter() || !r.cfg.Faults.SkipRemovedCampaign && r.voterChangePending() && r.log.votersAt(r.log.votersIndex()-1).Has(r.cfg.Self)
 }
 
 // Step processes a message from another voter. ErrWrongAddressee and
@@ -207,7 +207,7 @@
 	if err := m.validate(); err != nil {
 		return err
 	}
-	if m.Term < r.hard.Term && !r.cfg.Rules.SkipTermCheck {
+	if m.Term < r.hard.Term && !r.cfg.Faults.SkipTermCheck {
 		r.replyStale(m)
 		return nil
 	}
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -27,9 +27,9 @@
 		return ErrNotLeader
 	case len(r.pendingReads)+len(r.deferredReads) >= maxPendingReads:
 		return ErrBusy
-	case r.cfg.Rules.ReadWithoutQuorum:
+	case r.cfg.Faults.ReadWithoutQuorum:
 		r.readStates = append(r.readStates, ReadState{Token: token, Index: r.log.commit})
-	case r.ownTermCommitted() || r.cfg.Rules.ReadBeforeOwnTerm:
+	case r.ownTermCommitted() || r.cfg.Faults.ReadBeforeOwnTerm:
 		r.startRead(token)
 	default:
 		// The commit index of a new leader may be lower than the one up to
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -7,7 +7,7 @@
 // Committed to the state machine; answer Reads once their index is applied;
 // call Advance.
 //
-// Only messages whose Promises is false may be sent before storing is done.
+// Only messages whose RequiresSync is false may be sent before storing is done.
 type Ready struct {
 	// Hard is nil if there is no hard state to store.
 	Hard *HardState
@@ -65,7 +65,7 @@
 		return
 	}
 	r.messages = slices.DeleteFunc(r.messages, func(m Message) bool {
-		return m.Promises() && m.Term < r.hard.Term
+		return m.RequiresSync() && m.Term < r.hard.Term
 	})
 }
 
@@ -80,7 +80,7 @@
 	if !r.termOrVoteChanged() && rd.Snapshot == nil && len(rd.Entries) == 0 {
 		return
 	}
-	if r.cfg.Rules.SkipVoteSync && len(rd.Messages) > 0 && len(rd.Entries) == 0 {
+	if r.cfg.Faults.SkipVoteSync && len(rd.Messages) > 0 && len(rd.Entries) == 0 {
 		return
 	}
 	r.prevHard = r.hard
@@ -93,7 +93,7 @@
 // omitUnsyncedEntries implements SkipAppendSync: messages are sent one Ready
 // before the entries that they acknowledge are stored.
 func (r *Raft) omitUnsyncedEntries(rd *Ready) {
-	if r.cfg.Rules.SkipAppendSync && len(rd.Messages) > 0 && r.role == RoleFollower {
+	if r.cfg.Faults.SkipAppendSync && len(rd.Messages) > 0 && r.role == RoleFollower {
 		rd.Entries = nil
 	}
 }
--- a/internal/quorum/regress_test.go
+++ b/internal/quorum/regress_test.go
@@ -175,12 +175,12 @@
 // Guards against a leader of many voters that spends its CPU time on messages
 // without entries. Entries are committed one after the other. By default each
 // commit index is sent to every follower in a message of its own; with
-// CommitsWithNext it must be sent with the next entry or heartbeat.
+// PiggybackCommit it must be sent with the next entry or heartbeat.
 func TestCommitIndexIsPiggybacked(t *testing.T) {
 	for _, piggyback := range []bool{false, true} {
 		is := is.New(t)
 		r := newVoter(is, HardState{}, FoundingMeta(Voters{Members: []ID{"1#0", "2#0"}}), nil)
-		r.cfg.CommitsWithNext = piggyback
+		r.cfg.PiggybackCommit = piggyback
 		makeLeader(is, r)
 		index, _, err := r.Propose([]byte("x"))
 		is.NoErr(err)
@@ -241,7 +241,7 @@
 // each write takes nine to sixteen ticks, the minimum election timeout is ten.
 func electionsOnSlowDisks(reportSyncTicks bool) (elections, commands int) {
 	for seed := range uint64(20) {
-		s := newSim(Rules{}, uint32(seed))
+		s := newSim(Faults{}, uint32(seed))
 		s.random = rand.New(rand.NewPCG(seed, 3))
 		s.runFor(40 * tickMax)
 		before := *s.count
--- a/internal/quorum/rules_test.go
+++ b/internal/quorum/rules_test.go
@@ -15,26 +15,26 @@
 // set, the search starts at seed 0, as for the table in docs/design/quorum.md.
 var unsafeVariants = []struct {
 	name    string
-	faults  Rules
+	faults  Faults
 	reuseID bool
 	from    int
 }{
-	{name: "vote before it is stored", faults: Rules{SkipVoteSync: true}, from: 19066},
-	{name: "acknowledge before it is stored", faults: Rules{SkipAppendSync: true}, from: 112},
-	{name: "two votes in a term", faults: Rules{SkipVotedFor: true}, from: 105},
-	{name: "vote for a log that is behind", faults: Rules{SkipLogUpToDate: true}, from: 2},
-	{name: "commit entries of an old term", faults: Rules{CommitOldTerm: true}, from: 15053},
-	{name: "lease without a quorum", faults: Rules{SkipLease: true}, from: 85},
-	{name: "vote although a leader was heard", faults: Rules{SkipVoteHold: true}, from: 123},
-	{name: "vote right after a restart", faults: Rules{SkipRestartHold: true}, from: 9638},
-	{name: "lease after a handover", faults: Rules{LeaseAfterTransfer: true}, from: 433},
-	{name: "read without a quorum", faults: Rules{ReadWithoutQuorum: true}, from: 326},
-	{name: "read before an own entry", faults: Rules{ReadBeforeOwnTerm: true}, from: 391},
-	{name: "two voter changes pending", faults: Rules{AllowTwoPendingVoters: true}, from: 387},
-	{name: "voter change before an own entry", faults: Rules{VotersBeforeOwnTerm: true}, from: 23195},
-	{name: "two voters differ at a time", faults: Rules{ReplaceVoters: true}, from: 148},
-	{name: "messages of an old term", faults: Rules{SkipTermCheck: true}, from: 491},
-	{name: "append without comparing", faults: Rules{SkipPreviousCheck: true}, from: 8},
+	{name: "vote before it is stored", faults: Faults{SkipVoteSync: true}, from: 19066},
+	{name: "acknowledge before it is stored", faults: Faults{SkipAppendSync: true}, from: 112},
+	{name: "two votes in a term", faults: Faults{SkipVotedFor: true}, from: 105},
+	{name: "vote for a log that is behind", faults: Faults{SkipLogUpToDate: true}, from: 2},
+	{name: "commit entries of an old term", faults: Faults{CommitOldTerm: true}, from: 15053},
+	{name: "lease without a quorum", faults: Faults{SkipLease: true}, from: 85},
+	{name: "vote although a leader was heard", faults: Faults{SkipVoteHold: true}, from: 123},
+	{name: "vote right after a restart", faults: Faults{SkipRestartHold: true}, from: 9638},
+	{name: "lease after a handover", faults: Faults{LeaseAfterTransfer: true}, from: 433},
+	{name: "read without a quorum", faults: Faults{ReadWithoutQuorum: true}, from: 326},
+	{name: "read before an own entry", faults: Faults{ReadBeforeOwnTerm: true}, from: 391},
+	{name: "two voter changes pending", faults: Faults{AllowTwoPendingVoters: true}, from: 387},
+	{name: "voter change before an own entry", faults: Faults{VotersBeforeOwnTerm: true}, from: 23195},
+	{name: "two voters differ at a time", faults: Faults{ReplaceVoters: true}, from: 148},
+	{name: "messages of an old term", faults: Faults{SkipTermCheck: true}, from: 491},
+	{name: "append without comparing", faults: Faults{SkipPreviousCheck: true}, from: 8},
 	{name: "lost disk under the old ID", reuseID: true, from: 12},
 }
 
@@ -68,12 +68,12 @@
 
 // simulationWithLeader returns a site of three voters with a leader and the given
 // rules disabled.
-func simulationWithLeader(faults Rules) *simulation {
-	s := newSim(Rules{}, 0)
+func simulationWithLeader(faults Faults) *simulation {
+	s := newSim(Faults{}, 0)
 	waitForLeader(s)
 	s.faults = faults
 	for _, v := range s.vms {
-		v.raft.cfg.Rules = faults
+		v.raft.cfg.Faults = faults
 	}
 	return s
 }
@@ -97,11 +97,11 @@
 func TestEveryLivenessRuleIsNeeded(t *testing.T) {
 	cases := []struct {
 		name     string
-		faults   Rules
+		faults   Faults
 		succeeds func(s *simulation) bool
 	}{
 		// A partitioned voter reconnects after it raised its term alone.
-		{"pre-vote", Rules{SkipPreVote: true}, func(s *simulation) bool {
+		{"pre-vote", Faults{SkipPreVote: true}, func(s *simulation) bool {
 			leader := waitForLeader(s)
 			term := leader.raft.hard.Term
 			s.isolate(s.vms[(leader.index+1)%3], 2)
@@ -111,7 +111,7 @@
 			return leader.raft.role == RoleLeader && leader.raft.hard.Term == term
 		}},
 		// A leader can send but not receive, so that no other voter campaigns.
-		{"check-quorum", Rules{SkipCheckQuorum: true}, func(s *simulation) bool {
+		{"check-quorum", Faults{SkipCheckQuorum: true}, func(s *simulation) bool {
 			cutOff := waitForLeader(s)
 			s.isolate(cutOff, 0)
 			s.runFor(8_000)
@@ -121,7 +121,7 @@
 			return cutOff.raft.role != RoleLeader && s.maxApplied > before
 		}},
 		// A voter is lost, and then a healthy one is removed by mistake.
-		{"new voters answer", Rules{SkipVotersAnswer: true}, func(s *simulation) bool {
+		{"new voters answer", Faults{SkipNewQuorumCheck: true}, func(s *simulation) bool {
 			leader := waitForLeader(s)
 			lost, healthy := s.vms[(leader.index+1)%3], s.vms[(leader.index+2)%3]
 			s.runFor(2_000)
@@ -132,7 +132,7 @@
 		}},
 		// A second voter is lost right after a repair, before the repaired one
 		// has received the entry that makes it a voter.
-		{"vote of the new voter", Rules{VoteOnlyAsVoter: true}, func(s *simulation) bool {
+		{"vote of the new voter", Faults{VoteOnlyAsVoter: true}, func(s *simulation) bool {
 			first := waitForLeader(s)
 			s.runFor(2_000)
 			repaired := s.vms[(first.index+1)%3]
@@ -147,7 +147,7 @@
 			return s.count.disks == 2 && s.recover() == nil
 		}},
 		// The leader of two voters removes itself, stores the removal and restarts.
-		{"leaver campaigns", Rules{SkipLeaverCampaign: true}, func(s *simulation) bool {
+		{"leaver campaigns", Faults{SkipRemovedCampaign: true}, func(s *simulation) bool {
 			leader := waitForLeader(s)
 			_, _, _ = leader.raft.ProposeVoters(s.voters.Without(s.vms[(leader.index+1)%3].id))
 			s.runFor(2_000)
@@ -163,7 +163,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s := simulationWithLeader(Rules{})
+			s := simulationWithLeader(Faults{})
 			is.True(c.succeeds(s))
 			is.NoErr(s.err)
 			s = simulationWithLeader(c.faults)
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -31,9 +31,9 @@
 type PeerStatus struct {
 	ID    ID
 	Match uint64
-	// Silent is the number of ticks since the latest message that it answered
-	// was sent, or since it was added.
-	Silent uint64
+	// UnresponsiveTicks is the number of ticks since the latest message that it
+	// answered was sent, or since it was added.
+	UnresponsiveTicks uint64
 	// Snapshot reports that a snapshot is being sent to it.
 	Snapshot bool
 	// SyncTicks is the duration of its recent syncs, 0 while its disk is fast.
@@ -64,7 +64,7 @@
 			continue
 		}
 		unresponsive := r.now - r.ackedOrAddedTick(id)
-		peers = append(peers, PeerStatus{ID: id, Match: p.match, Silent: unresponsive, Snapshot: p.state == stateSnapshot, SyncTicks: p.syncTicks})
+		peers = append(peers, PeerStatus{ID: id, Match: p.match, UnresponsiveTicks: unresponsive, Snapshot: p.state == stateSnapshot, SyncTicks: p.syncTicks})
 	}
 	return peers
 }
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -92,8 +92,8 @@
 // the old disk is lost, removing it first costs no availability. The new set
 // is in force once it is appended.
 //
-// Errors: ErrNotLeader, ErrTransferring, ErrVotersDiffer, ErrVotersPending,
-// ErrNoOwnTerm, ErrVotersSilent.
+// Errors: ErrNotLeader, ErrTransferring, ErrInvalidVoterChange, ErrVotersPending,
+// ErrNoCommitInTerm, ErrNewVotersUnresponsive.
 func (r *Raft) ProposeVoters(v Voters) (index, term uint64, err error) {
 	if r.role != RoleLeader {
 		return 0, 0, ErrNotLeader
@@ -113,20 +113,20 @@
 
 func (r *Raft) checkVoterChange(v Voters) error {
 	difference := v.difference(r.log.voters())
-	if !v.valid() || difference == 0 || difference > 1 && !r.cfg.Rules.ReplaceVoters {
-		return ErrVotersDiffer
+	if !v.valid() || difference == 0 || difference > 1 && !r.cfg.Faults.ReplaceVoters {
+		return ErrInvalidVoterChange
 	}
-	if r.voterChangePending() && !r.cfg.Rules.AllowTwoPendingVoters {
+	if r.voterChangePending() && !r.cfg.Faults.AllowTwoPendingVoters {
 		return ErrVotersPending
 	}
 	// Otherwise two leaders of successive terms could each append a change to
 	// the same set, and quorums of the two new sets need not overlap. A
 	// committed entry of this term rules out the other change.
-	if !r.ownTermCommitted() && !r.cfg.Rules.VotersBeforeOwnTerm {
-		return ErrNoOwnTerm
+	if !r.ownTermCommitted() && !r.cfg.Faults.VotersBeforeOwnTerm {
+		return ErrNoCommitInTerm
 	}
-	if !r.quorumResponsive(v) && !r.cfg.Rules.SkipVotersAnswer {
-		return ErrVotersSilent
+	if !r.quorumResponsive(v) && !r.cfg.Faults.SkipNewQuorumCheck {
+		return ErrNewVotersUnresponsive
 	}
 	return nil
 }
--- a/internal/quorum/witness.go
+++ b/internal/quorum/witness.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	// checkedWindow is the number of recent indexes that a Witness remembers.
+	// checkedWindow is the number of recent indexes that an InvariantChecker
+	// remembers.
 	checkedWindow = 4096
-	// maxViolationTexts is the number of violations whose text a Witness keeps.
+	// maxViolationTexts is the number of violations whose text an
+	// InvariantChecker keeps.
 	maxViolationTexts = 16
 )
 
-// Witness checks the invariants of the protocol over the messages, Readys and
-// status that are passed to it, of one voter in a process or of all voters in
-// a test. Its memory is bounded. It is not safe for concurrent use.
-type Witness struct {
+// InvariantChecker checks the invariants of the protocol over the messages,
+// Readys and status that are passed to it, of one voter in a process or of all
+// voters in a test. Its memory is bounded. It is not safe for concurrent use.
+type InvariantChecker struct {
 	leaders       map[uint64]ID // by term
 	maxLeaderTerm uint64        // the highest term with a known leader
 	// entries holds by index the entries that were seen, one per term, and
@@ -36,9 +38,9 @@
 	sum      uint64
 }
 
-// NewWitness returns an empty Witness.
-func NewWitness() *Witness {
-	return &Witness{
+// NewInvariantChecker returns an empty InvariantChecker.
+func NewInvariantChecker() *InvariantChecker {
+	return &InvariantChecker{
 		leaders:    map[uint64]ID{},
 		entries:    map[uint64][]fingerprint{},
 		committed:  map[uint64]fingerprint{},
@@ -46,27 +48,27 @@
 	}
 }
 
-// Broken returns the number of failed checks and the texts of the first ones.
-func (c *Witness) Broken() (uint64, []string) {
+// Violations returns the number of failed checks and the texts of the first ones.
+func (c *InvariantChecker) Violations() (uint64, []string) {
 	return c.violationCount, c.violations
 }
 
-func (c *Witness) fail(format string, args ...any) {
+func (c *InvariantChecker) fail(format string, args ...any) {
 	c.violationCount++
 	if len(c.violations) < maxViolationTexts {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Restarted forgets the last status of a voter: its commit index and the
+// VoterRestarted forgets the last status of a voter: its commit index and the
 // entries that it applied since its snapshot may go back at a restart.
-func (c *Witness) Restarted(id ID) {
+func (c *InvariantChecker) VoterRestarted(id ID) {
 	delete(c.lastStatus, id)
 }
 
-// Message checks a message that was sent or received: at most one leader per
+// CheckMessage checks a message that was sent or received: at most one leader per
 // term, and log matching.
-func (c *Witness) Message(m *Message) {
+func (c *InvariantChecker) CheckMessage(m *Message) {
 	if m.fromLeader() {
 		c.checkLeader(m.From, m.Term)
 	}
@@ -75,7 +77,7 @@
 	}
 }
 
-func (c *Witness) checkLeader(id ID, term uint64) {
+func (c *InvariantChecker) checkLeader(id ID, term uint64) {
 	known, ok := c.leaders[term]
 	if ok && known != id {
 		c.fail("one leader a term: %q and %q in term %d", known, id, term)
@@ -86,10 +88,10 @@
 	delete(c.leaders, term-checkedWindow)
 }
 
-// Ready checks the work of one voter: that the entries it stores satisfy log
+// CheckReady checks the work of one voter: that the entries it stores satisfy log
 // matching, and that it applies the same entry at each index as the other
 // voters.
-func (c *Witness) Ready(id ID, rd *Ready) {
+func (c *InvariantChecker) CheckReady(id ID, rd *Ready) {
 	c.checkLogMatching(id, 0, rd.Entries)
 	for i := range rd.Committed {
 		c.checkCommitted(id, &rd.Committed[i])
@@ -99,7 +101,7 @@
 // checkLogMatching checks that index and term determine an entry and the term
 // of the preceding entry. By induction, two logs that share an entry are then
 // identical up to it.
-func (c *Witness) checkLogMatching(id ID, previous uint64, entries []Entry) {
+func (c *InvariantChecker) checkLogMatching(id ID, previous uint64, entries []Entry) {
 	for i := range entries {
 		e := &entries[i]
 		if e.Index+checkedWindow > c.maxCommitted {
@@ -109,7 +111,7 @@
 	}
 }
 
-func (c *Witness) checkEntry(id ID, e *Entry, previous uint64) {
+func (c *InvariantChecker) checkEntry(id ID, e *Entry, previous uint64) {
 	f := fingerprintOf(e, previous)
 	known := c.entries[e.Index]
 	for i := range known {
@@ -126,7 +128,7 @@
 	c.entries[e.Index] = append(known, f)
 }
 
-func (c *Witness) checkCommitted(id ID, e *Entry) {
+func (c *InvariantChecker) checkCommitted(id ID, e *Entry) {
 	if e.Index+checkedWindow <= c.maxCommitted {
 		return
 	}
@@ -141,7 +143,7 @@
 }
 
 // advanceWindow moves the window of remembered indexes.
-func (c *Witness) advanceWindow(index uint64) {
+func (c *InvariantChecker) advanceWindow(index uint64) {
 	if index <= c.maxCommitted {
 		return
 	}
@@ -156,11 +158,11 @@
 	return fingerprint{term: e.Term, previous: previous, sum: xxhash.Sum64(e.Data) + uint64(e.Kind)}
 }
 
-// Voter checks a voter after it processed an event: its own state, that term,
+// CheckVoter checks a voter after it processed an event: its own state, that term,
 // commit and applied index did not decrease, that there is at most one leader
 // per term, that a new leader has all committed entries, and that no leader of
 // an earlier term is Confirmed.
-func (c *Witness) Voter(r *Raft) {
+func (c *InvariantChecker) CheckVoter(r *Raft) {
 	s := r.Status()
 	for _, b := range r.Check() {
 		c.fail("%q: %s", s.Self, b)
@@ -179,10 +181,10 @@
 	if elected {
 		c.checkElected(r, &s)
 	}
-	c.Confirmed(&s)
+	c.CheckLease(&s)
 }
 
-func (c *Witness) checkElected(r *Raft, s *Status) {
+func (c *InvariantChecker) checkElected(r *Raft, s *Status) {
 	c.checkLeader(s.Self, s.Term)
 	// The deciding vote may have been delayed: entries that leaders of later
 	// terms committed in the meantime need not be in this log.
@@ -198,18 +200,18 @@
 	}
 }
 
-// Confirmed checks that a Confirmed leader has the highest term of all known
+// CheckLease checks that a Confirmed leader has the highest term of all known
 // leaders. Tests also call it for the other voters when a leader is elected.
-func (c *Witness) Confirmed(s *Status) {
+func (c *InvariantChecker) CheckLease(s *Status) {
 	if s.Confirmed && s.Term < c.maxLeaderTerm {
 		c.fail("lease: %q is Confirmed in term %d while term %d has a leader", s.Self, s.Term, c.maxLeaderTerm)
 	}
 }
 
-// Promise checks that the state on which a message depends is durable before
+// CheckDurable checks that the state on which a message depends is durable before
 // the message is sent: hard is the stored hard state and last the last index
 // of the stored log.
-func (c *Witness) Promise(m *Message, hard HardState, last uint64) {
+func (c *InvariantChecker) CheckDurable(m *Message, hard HardState, last uint64) {
 	vote := ID("")
 	switch {
 	case m.Kind == KindVote:
@@ -224,15 +226,15 @@
 	if m.Kind == KindAppendReply && !m.Reject {
 		durable = durable && m.Index <= last
 	}
-	if m.Promises() && !durable {
+	if m.RequiresSync() && !durable {
 		c.fail("durable before send: kind %d of term %d index %d from %q to %q, stored are %+v and %d",
 			m.Kind, m.Term, m.Index, m.From, m.To, hard, last)
 	}
 }
 
-// Read checks that the index of a confirmed read covers all entries that were
+// CheckRead checks that the index of a confirmed read covers all entries that were
 // committed when the read was requested.
-func (c *Witness) Read(id ID, committedBefore, index uint64) {
+func (c *InvariantChecker) CheckRead(id ID, committedBefore, index uint64) {
 	if index < committedBefore {
 		c.fail("no stale read: %q answers %d, %d was committed before the read", id, index, committedBefore)
 	}
--- a/internal/quorum/world_test.go
+++ b/internal/quorum/world_test.go
@@ -54,7 +54,7 @@
 
 // simulation is a site with a faulty network, faulty disks and drifting clocks.
 type simulation struct {
-	faults           Rules
+	faults           Faults
 	reuseID          bool // fault: a lost disk is replaced under the old ID
 	actionKinds      []func(s *simulation, v *vm)
 	random           *rand.Rand
@@ -69,9 +69,9 @@
 	maxWrite         uint64 // longest duration of a write
 	// reportSyncTicks passes the duration of each write to SetSyncTicks.
 	reportSyncTicks bool
-	piggybackCommit bool // see Config.CommitsWithNext
+	piggybackCommit bool // see Config.PiggybackCommit
 	keepEntries     int
-	checker         *Witness
+	checker         *InvariantChecker
 	digests         map[uint64]uint64 // digest of the state by applied index
 	committedAtRead map[uint64]uint64 // highest committed index when a read was requested, by token
 	maxApplied      uint64            // highest index that any VM applied
@@ -83,12 +83,12 @@
 // counts counts the events of a run.
 type counts struct{ ticks, messages, commands, elections, crashes, reads, voters, disks, snapshots int }
 
-func newSim(faults Rules, shape uint32) *simulation { return newSimWith(faults, shape, false) }
+func newSim(faults Faults, shape uint32) *simulation { return newSimWith(faults, shape, false) }
 
-func newSimWith(faults Rules, shape uint32, piggybackCommit bool) *simulation {
+func newSimWith(faults Faults, shape uint32, piggybackCommit bool) *simulation {
 	voters := 3 + int(shape%3)
 	s := &simulation{
-		faults: faults, piggybackCommit: piggybackCommit, maxWrite: 50, keepEntries: 8, checker: NewWitness(), count: &counts{},
+		faults: faults, piggybackCommit: piggybackCommit, maxWrite: 50, keepEntries: 8, checker: NewInvariantChecker(), count: &counts{},
 		digests: map[uint64]uint64{}, committedAtRead: map[uint64]uint64{}, random: rand.New(rand.NewPCG(0, 0)),
 	}
 	s.chooseActionKinds(uint64(shape))
@@ -173,7 +173,7 @@
 	switch {
 	case e.message != nil:
 		s.count.messages++
-		s.checker.Message(e.message)
+		s.checker.CheckMessage(e.message)
 		if err := v.raft.Step(*e.message); err != nil && !errors.Is(err, ErrWrongAddressee) {
 			s.fail("%s: %w", v.id, err)
 		}
@@ -222,7 +222,7 @@
 	rd := v.ready
 	v.disk.store(rd, 4+len(rd.Entries))
 	s.send(v, true)
-	s.checker.Ready(v.id, rd)
+	s.checker.CheckReady(v.id, rd)
 	if rd.Snapshot != nil {
 		s.count.snapshots++
 		s.restoreStateMachine(v)
@@ -232,7 +232,7 @@
 	}
 	for _, read := range rd.Reads {
 		s.count.reads++
-		s.checker.Read(v.id, s.committedAtRead[read.Token], read.Index)
+		s.checker.CheckRead(v.id, s.committedAtRead[read.Token], read.Index)
 		delete(s.committedAtRead, read.Token)
 	}
 	v.ready = nil
@@ -262,13 +262,13 @@
 
 func (s *simulation) send(v *vm, afterSync bool) {
 	for _, m := range v.ready.Messages {
-		if m.Promises() != afterSync {
+		if m.RequiresSync() != afterSync {
 			continue
 		}
 		// With a rule disabled, the run must detect the consequences, not merely
 		// that the rule is disabled.
-		if s.faults == (Rules{}) {
-			s.checker.Promise(&m, v.disk.hard, v.disk.last())
+		if s.faults == (Faults{}) {
+			s.checker.CheckDurable(&m, v.disk.hard, v.disk.last())
 		}
 		s.transmit(v, m)
 		if s.random.IntN(100) < s.duplicatePercent {
@@ -292,7 +292,7 @@
 // checkInvariants checks the invariants after a voter processed an event.
 func (s *simulation) checkInvariants(v *vm) {
 	term := s.checker.maxLeaderTerm
-	s.checker.Voter(v.raft)
+	s.checker.CheckVoter(v.raft)
 	if s.checker.maxLeaderTerm != term {
 		s.count.elections++
 		for _, other := range s.vms {
@@ -300,11 +300,11 @@
 			// ticks first.
 			if other.raft != nil && other.nextTick > s.now {
 				status := other.raft.Status()
-				s.checker.Confirmed(&status)
+				s.checker.CheckLease(&status)
 			}
 		}
 	}
-	if n, broken := s.checker.Broken(); n > 0 {
+	if n, broken := s.checker.Violations(); n > 0 {
 		s.fail("%s", broken[0])
 	}
 }
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -22,7 +22,7 @@
 func (d *driver) brokenPromise(m *quorum.Message) string {
 	hard := d.log.Hard()
 	switch {
-	case !m.Promises():
+	case !m.RequiresSync():
 		return ""
 	case m.Term > hard.Term:
 		return fmt.Sprintf("a message of term %d, stored is %d", m.Term, hard.Term)
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -95,7 +95,7 @@
 		Random:         r.config.Random,
 		KeepEntries:    r.config.KeepEntries,
 
-		CommitsWithNext: r.config.CommitsWithNext,
+		PiggybackCommit: r.config.CommitsWithNext,
 	}
 }
 
@@ -230,7 +230,7 @@
 		return nil
 	}
 	peers := slices.DeleteFunc(d.raft.Peers(), func(p quorum.PeerStatus) bool {
-		return p.Silent > uint64(d.config.ElectionTicks/2) || p.Snapshot || !suits(p)
+		return p.UnresponsiveTicks > uint64(d.config.ElectionTicks/2) || p.Snapshot || !suits(p)
 	})
 	if len(peers) == 0 {
 		return ErrNoSuccessor
--- a/internal/replica/growing.go
+++ b/internal/replica/growing.go
@@ -64,8 +64,8 @@
 	var id quorum.ID
 	var ticks uint64
 	for _, p := range peers {
-		if current.Has(p.ID) && p.Silent > ticks {
-			id, ticks = p.ID, p.Silent
+		if current.Has(p.ID) && p.UnresponsiveTicks > ticks {
+			id, ticks = p.ID, p.UnresponsiveTicks
 		}
 	}
 	return id, ticks
--- a/internal/replica/growing_test.go
+++ b/internal/replica/growing_test.go
@@ -27,7 +27,7 @@
 }
 
 func silent(id quorum.ID, ticks uint64) []quorum.PeerStatus {
-	return []quorum.PeerStatus{{ID: id, Silent: ticks}, {ID: "b#1", Silent: 1}}
+	return []quorum.PeerStatus{{ID: id, UnresponsiveTicks: ticks}, {ID: "b#1", UnresponsiveTicks: 1}}
 }
 
 func TestNewcomerVotes(t *testing.T) {
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -65,7 +65,7 @@
 	var nodes []model.NodeID
 	batches := map[model.NodeID][]quorum.Message{}
 	for i := range messages {
-		if messages[i].Promises() != promises {
+		if messages[i].RequiresSync() != promises {
 			continue
 		}
 		node := datafolder.NodeOf(messages[i].To)
