--- a/internal/replica/align_test.go
+++ b/internal/replica/align_test.go
@@ -9,12 +9,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/wal"
 )
 
-// Symptom: a voter loses entries that it had acknowledged, at its second start.
-// Sequence: it stores entries of an old leader; a snapshot of the new leader is
-// saved, and a crash comes before the log is restarted behind it; the stale
-// entries end at the snapshot's very index, so the log looks as if it fitted.
-// Cause: the indexes were compared, not the terms.
-func TestStaleLogThatEndsAtTheSnapshotIsDropped(t *testing.T) {
+// Guards against losing acknowledged entries at the second start. Stale entries
+// of an old leader may end at the very index of a received snapshot when a
+// crash comes before the log is reset to continue after it. Comparing indexes
+// instead of terms then makes the log look as if it continued the snapshot.
+func TestStaleLogEndingAtSnapshotIsDropped(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	log, _, err := wal.Open(dir, wal.Options{MayCreate: true})
@@ -37,7 +36,7 @@
 	log, recovered, err := wal.Open(dir, wal.Options{})
 	is.NoErr(err)
 	defer log.Close()
-	is.Equal(recovered.Base, meta.Index) // only what follows the snapshot is left
+	is.Equal(recovered.Base, meta.Index) // only entries after the snapshot remain
 	is.Equal(len(recovered.Entries), 1)
 	is.Equal(recovered.Entries[0].Index, uint64(3))
 }
--- a/internal/replica/api.go
+++ b/internal/replica/api.go
@@ -10,39 +10,39 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Machine is the state machine that the replica feeds.
+// Machine is the state machine to which the replica applies committed entries.
 type Machine interface {
-	// Apply applies the command at index. Entries that hold no command of the
-	// state machine come with nil data and only advance Applied.
+	// Apply applies the command at index. Entries that hold no command for the
+	// state machine have nil data and only advance Applied.
 	Apply(index uint64, data []byte) state.Result
 	// Snapshot encodes the whole state as of Applied.
 	Snapshot() ([]byte, error)
 	// Restore replaces the whole state by an encoded one.
 	Restore(data []byte) error
-	// Applied is the index of the last entry applied.
+	// Applied returns the index of the last entry that was applied.
 	Applied() uint64
 }
 
 var _ Machine = (*state.Machine)(nil)
 
-// Transport carries messages to other voters. It may lose, double and reorder
-// them, and never blocks: a message to a slow node is dropped.
+// Transport carries messages to other voters. It may lose, duplicate and
+// reorder them, and it never blocks: a message to a slow node is dropped.
 type Transport interface {
 	Send(to model.NodeID, messages []quorum.Message)
 }
 
-// Identity says who a voter is and how far its disk has come. It is passed
-// whole (Encode, datafolder.DecodeIdentity) between voters.
+// Identity identifies a voter and the phase of its disk. Voters send it to each
+// other as a whole (Encode, datafolder.DecodeIdentity).
 type Identity = datafolder.Identity
 
-// Bootstrapper asks other voters who they are.
+// Bootstrapper queries other voters for their identity.
 type Bootstrapper interface {
-	// Identify returns the identity of a voter, from the voter itself.
+	// Identify returns the identity of a voter as that voter reports it.
 	Identify(ctx context.Context, node model.NodeID) (Identity, error)
 }
 
-// Feed is a piece of the committed log for a follower: either Entries, which
-// start at the index asked for, or a Snapshot when that index was compacted.
+// Feed is a part of the committed log for a follower: either Entries that start
+// at the requested index, or a Snapshot when that index was compacted.
 type Feed struct {
 	Entries  []quorum.Entry
 	Snapshot *quorum.Snapshot
@@ -50,13 +50,14 @@
 	Commit uint64
 }
 
-// ErrNotLeader says that the voter does not lead; it wraps state.ErrNotProposed.
+// ErrNotLeader is returned when this voter is not the leader. It wraps
+// state.ErrNotProposed.
 type ErrNotLeader struct {
-	// Leader is who leads as far as this voter knows; empty when unknown.
+	// Leader is the leader as far as this voter knows; empty when unknown.
 	Leader model.NodeID
 }
 
-// Error names the leader.
+// Error returns a message that names the leader.
 func (e ErrNotLeader) Error() string {
 	if e.Leader == "" {
 		return "replica: not the leader, and no leader is known"
@@ -64,5 +65,5 @@
 	return fmt.Sprintf("replica: not the leader, which is %s", e.Leader)
 }
 
-// Unwrap returns state.ErrNotProposed: nothing was entered in the log.
+// Unwrap returns state.ErrNotProposed: nothing was appended to the log.
 func (e ErrNotLeader) Unwrap() error { return state.ErrNotProposed }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -16,29 +16,30 @@
 	"github.com/comfreyloom/comfreyloom/internal/wal"
 )
 
-// commandBytes is about the size of a claim or a task start.
+// commandBytes is roughly the size of a claim or a task start.
 const commandBytes = 200
 
-// realCluster runs voters on real disks and the real clock.
+// realCluster runs voters on real disks with the real clock.
 func realCluster(b *testing.B, members ...model.NodeID) *cluster {
 	c := newCluster(b, members...)
 	parent := b.TempDir()
-	c.tune = func(config *Config) {
+	c.adjustConfig = func(config *Config) {
 		config.Folder = filepath.Join(parent, string(config.Self))
 		config.Disk, config.Clock = nil, nil
 		config.TickEvery = 20 * time.Millisecond
 		config.SnapshotEntries, config.SnapshotBytes, config.SegmentBytes = 1<<30, 1<<40, 0
 	}
 	c.startAll()
-	c.until("leader ready", func() bool {
+	c.waitFor("leader ready", func() bool {
 		_, leader := c.leader()
 		return leader.Status().Ready
 	})
 	return c
 }
 
-// BenchmarkCommit measures commits a second and latency with 64 proposers,
-// whose commands share syncs or have one each, on one and on three disks.
+// BenchmarkCommit measures commits per second and latency with 64 proposers, on
+// one and on three disks, with commands that share syncs and with one sync for
+// each.
 func BenchmarkCommit(b *testing.B) {
 	for _, members := range [][]model.NodeID{{"a"}, {"a", "b", "c"}} {
 		for _, shared := range []bool{false, true} {
@@ -84,14 +85,14 @@
 	b.ReportMetric(float64(leader.counters.syncs.Count()-syncs)/float64(b.N), "syncs/commit")
 }
 
-// BenchmarkRestart measures from opening the data folder until everything in
-// it is applied and the voter may answer.
+// BenchmarkRestart measures the time from opening the data folder until all its
+// entries are applied.
 func BenchmarkRestart(b *testing.B) {
 	for _, entries := range []int{500, 50_000, 300_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			c := realCluster(b, "a")
 			c.stop("a")
-			fill(b, c.config("a", nil, nil).Folder, entries)
+			appendEntries(b, c.config("a", nil, nil).Folder, entries)
 			for b.Loop() {
 				restart(b, c.config("a", nil, &listMachine{}), uint64(entries))
 			}
@@ -120,21 +121,21 @@
 	}
 }
 
-// unsynced is a disk that does not wait, to fill a log quickly.
-type unsynced struct{ datafolder.Disk }
+// noSyncDisk is a disk whose files are not synced, to write a long log quickly.
+type noSyncDisk struct{ datafolder.Disk }
 
-type unsyncedFile struct{ datafolder.File }
+type noSyncFile struct{ datafolder.File }
 
-func (unsyncedFile) Sync() error { return nil }
+func (noSyncFile) Sync() error { return nil }
 
-func (u unsynced) Create(name string) (datafolder.File, error) {
+func (u noSyncDisk) Create(name string) (datafolder.File, error) {
 	f, err := u.Disk.Create(name)
-	return unsyncedFile{f}, err
+	return noSyncFile{f}, err
 }
 
-// fill appends committed entries, one a record.
-func fill(b *testing.B, folder string, entries int) {
-	l, recovered, err := wal.Open(folder+"/log", wal.Options{Disk: unsynced{}})
+// appendEntries appends committed entries, one per record.
+func appendEntries(b *testing.B, folder string, entries int) {
+	l, recovered, err := wal.Open(folder+"/log", wal.Options{Disk: noSyncDisk{}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -6,51 +6,54 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// checkPromises is the check "durable before send": every message that binds
-// this voter follows from what its log holds durably. A broken check ends the
-// duty before the message leaves.
-func (d *driver) checkPromises(messages []quorum.Message) error {
+// checkDurableBeforeSend checks the invariant "durable before send": the
+// durable log must cover everything that a message to be sent commits this
+// voter to. A violation stops the driver before the message is sent.
+func (d *driver) checkDurableBeforeSend(messages []quorum.Message) error {
 	for i := range messages {
-		if broken := d.brokenPromise(&messages[i]); broken != "" {
+		if violation := d.notDurable(&messages[i]); violation != "" {
 			d.counters.invariantsBroken.Inc(1)
-			return fmt.Errorf("invariant broken: durable before send: %s", broken)
+			return fmt.Errorf("invariant broken: durable before send: %s", violation)
 		}
 	}
 	return nil
 }
 
-func (d *driver) brokenPromise(m *quorum.Message) string {
+// notDurable describes what a message commits this voter to beyond the durable
+// log; empty when there is nothing.
+func (d *driver) notDurable(m *quorum.Message) string {
 	hard := d.log.Hard()
 	switch {
 	case !m.RequiresSync():
 		return ""
 	case m.Term > hard.Term:
-		return fmt.Sprintf("a message of term %d, stored is %d", m.Term, hard.Term)
+		return fmt.Sprintf("message of term %d, stored term is %d", m.Term, hard.Term)
 	case m.Kind == quorum.KindVote && (hard.Term != m.Term || hard.VotedFor != m.From):
-		return fmt.Sprintf("candidate in term %d, stored is a vote for %q in %d", m.Term, hard.VotedFor, hard.Term)
+		return fmt.Sprintf("candidate in term %d, stored vote is for %q in term %d", m.Term, hard.VotedFor, hard.Term)
 	case m.Kind == quorum.KindVoteReply && !m.Reject && (hard.Term != m.Term || hard.VotedFor != m.To):
-		return fmt.Sprintf("vote for %q in term %d, stored is %q in %d", m.To, m.Term, hard.VotedFor, hard.Term)
+		return fmt.Sprintf("vote for %q in term %d, stored vote is for %q in term %d", m.To, m.Term, hard.VotedFor, hard.Term)
 	case m.Kind == quorum.KindAppendReply && !m.Reject && m.Index > d.log.Last():
-		return fmt.Sprintf("acknowledged %d, stored up to %d", m.Index, d.log.Last())
+		return fmt.Sprintf("acknowledged entry %d, last stored entry is %d", m.Index, d.log.Last())
 	}
 	return ""
 }
 
-// checkInvariants are the checks of every round: those of the core, and that
-// what is applied never steps back or runs ahead of what is committed.
+// checkInvariants runs the checks of every round: those of the quorum core,
+// that state machine and core agree on the applied index, and that term, commit
+// index and applied index never decrease.
 func (d *driver) checkInvariants() error {
-	broken := d.raft.Check()
+	violations := d.raft.Check()
 	s := d.raft.Status()
 	if applied := d.config.Machine.Applied(); applied != s.Applied {
-		broken = append(broken, fmt.Sprintf("applied as the core says: machine %d, core %d", applied, s.Applied))
+		violations = append(violations, fmt.Sprintf("applied index of the state machine is %d, of the core %d", applied, s.Applied))
 	}
-	if before := d.lastSeen; s.Commit < before.Commit || s.Applied < before.Applied || s.Term < before.Term {
-		broken = append(broken, fmt.Sprintf("never steps back: %+v after %+v", s, before))
+	if before := d.lastStatus; s.Commit < before.Commit || s.Applied < before.Applied || s.Term < before.Term {
+		violations = append(violations, fmt.Sprintf("term, commit or applied index decreased: %+v after %+v", s, before))
 	}
-	d.lastSeen = s
-	if len(broken) == 0 {
+	d.lastStatus = s
+	if len(violations) == 0 {
 		return nil
 	}
-	d.counters.invariantsBroken.Inc(int64(len(broken)))
-	return fmt.Errorf("invariant broken: %q", broken)
+	d.counters.invariantsBroken.Inc(int64(len(violations)))
+	return fmt.Errorf("invariant broken: %q", violations)
 }
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -21,9 +21,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-var quiet = &log.Logger{Handler: text.New(io.Discard), Level: log.FatalLevel}
+var discardLogger = &log.Logger{Handler: text.New(io.Discard), Level: log.FatalLevel}
 
-// listMachine is a state machine that remembers its commands.
+// listMachine is a state machine that stores its commands in a list.
 type listMachine struct {
 	mu   sync.Mutex
 	list listState
@@ -61,7 +61,7 @@
 		return err
 	}
 	if next.Index < m.list.Index {
-		panic("stepped back")
+		panic("restored a snapshot older than the state")
 	}
 	m.list = next
 	return nil
@@ -79,19 +79,20 @@
 	return slices.Clone(m.list.Commands)
 }
 
-// cluster is voters in one process with disks, clock and network in memory.
-// Its clock moves only while a test waits in until.
+// cluster runs voters in one process with disks, clock and network in memory.
+// Its clock advances only while a test waits in waitFor.
 type cluster struct {
-	t       testing.TB
-	members []model.NodeID
-	mu      sync.Mutex
-	now     time.Duration
-	nodes   map[model.NodeID]*node
-	cut     map[model.NodeID]bool
-	// heard holds every voter identity that granted a vote or acknowledged entries.
-	heard map[quorum.ID]bool
-	// tune changes a voter's settings.
-	tune func(*Config)
+	t        testing.TB
+	members  []model.NodeID
+	mu       sync.Mutex
+	now      time.Duration
+	nodes    map[model.NodeID]*node
+	isolated map[model.NodeID]bool
+	// acknowledged holds every voter identity that granted a vote or
+	// acknowledged entries.
+	acknowledged map[quorum.ID]bool
+	// adjustConfig changes the configuration of a voter.
+	adjustConfig func(*Config)
 }
 
 type node struct {
@@ -104,7 +105,7 @@
 
 func newCluster(t testing.TB, members ...model.NodeID) *cluster {
 	c := &cluster{t: t, members: members, nodes: map[model.NodeID]*node{},
-		cut: map[model.NodeID]bool{}, heard: map[quorum.ID]bool{}, tune: func(*Config) {}}
+		isolated: map[model.NodeID]bool{}, acknowledged: map[quorum.ID]bool{}, adjustConfig: func(*Config) {}}
 	t.Cleanup(func() {
 		for _, n := range c.members {
 			c.stop(n)
@@ -124,12 +125,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	from := model.NodeID(messages[0].From[:1])
-	if c.cut[to] || c.cut[from] || c.nodes[to] == nil {
+	if c.isolated[to] || c.isolated[from] || c.nodes[to] == nil {
 		return
 	}
 	for _, m := range messages {
 		if !m.Reject && (m.Kind == quorum.KindVoteReply || m.Kind == quorum.KindAppendReply) {
-			c.heard[m.From] = true
+			c.acknowledged[m.From] = true
 		}
 	}
 	c.nodes[to].Step(slices.Clone(messages))
@@ -139,8 +140,8 @@
 func (c *cluster) Identify(_ context.Context, to model.NodeID) (Identity, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[to] || c.nodes[to] == nil {
-		return Identity{}, errors.New("no answer")
+	if c.isolated[to] || c.nodes[to] == nil {
+		return Identity{}, errors.New("no reply")
 	}
 	return c.nodes[to].Identity(), nil
 }
@@ -151,13 +152,13 @@
 		Folder: "/data", Site: "port-klang", Self: name, Members: c.members,
 		Machine: machine, Transport: c, Bootstrapper: c, Disk: disk, Clock: c.clock, Random: random.IntN,
 		TickEvery: 2 * time.Millisecond, ElectionTicks: 12, HeartbeatTicks: 2, ReviewTicks: 5,
-		SnapshotEntries: 20, KeepEntries: 5, SegmentBytes: 2000, Log: quiet,
+		SnapshotEntries: 20, KeepEntries: 5, SegmentBytes: 2000, Log: discardLogger,
 	}
-	c.tune(&config)
+	c.adjustConfig(&config)
 	return config
 }
 
-// start runs a voter on a disk; a nil disk is a new one.
+// start starts a voter on a disk; nil selects a new disk.
 func (c *cluster) start(name model.NodeID, disk *fakedisk.Disk) *node {
 	c.t.Helper()
 	if disk == nil {
@@ -191,7 +192,7 @@
 	}
 }
 
-// stop ends a voter and returns its disk as the next process finds it.
+// stop stops a voter and returns its disk as the next process finds it.
 func (c *cluster) stop(name model.NodeID) *fakedisk.Disk {
 	c.mu.Lock()
 	n := c.nodes[name]
@@ -205,18 +206,18 @@
 	return n.disk.Restart()
 }
 
-func (c *cluster) isolate(name model.NodeID, cut bool) {
+func (c *cluster) setIsolated(name model.NodeID, isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[name] = cut
+	c.isolated[name] = isolated
 }
 
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-// until lets time pass until the condition holds.
-func (c *cluster) until(what string, condition func() bool) {
+// waitFor advances the clock until the condition holds.
+func (c *cluster) waitFor(what string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(patience); !condition(); {
+	for end := time.Now().Add(waitTimeout); !condition(); {
 		if time.Now().After(end) {
 			c.t.Fatalf("not reached: %s", what)
 		}
@@ -227,24 +228,25 @@
 	}
 }
 
-func (c *cluster) all() map[model.NodeID]*node {
+// reachable returns the running voters that are not isolated.
+func (c *cluster) reachable() map[model.NodeID]*node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	nodes := map[model.NodeID]*node{}
 	for name, n := range c.nodes {
-		if !c.cut[name] {
+		if !c.isolated[name] {
 			nodes[name] = n
 		}
 	}
 	return nodes
 }
 
-// leader waits for a voter that leads and is confirmed.
+// leader waits for a confirmed leader.
 func (c *cluster) leader() (model.NodeID, *node) {
 	c.t.Helper()
 	var name model.NodeID
-	c.until("a confirmed leader", func() bool {
-		for n, voter := range c.all() {
+	c.waitFor("a confirmed leader", func() bool {
+		for n, voter := range c.reachable() {
 			if voter.Status().Confirmed {
 				name = n
 				return true
@@ -255,16 +257,17 @@
 	return name, c.nodes[name]
 }
 
-// propose commits a command through whoever leads.
+// propose commits a command through the current leader.
 func (c *cluster) propose(command string) {
 	c.t.Helper()
-	c.until("commit of "+command, func() bool {
+	c.waitFor("commit of "+command, func() bool {
 		_, leader := c.leader()
 		return c.tryPropose(leader, command) == nil
 	})
 }
 
-// tryPropose lets time pass while a proposal waits.
+// tryPropose proposes a command and advances the clock until its outcome is
+// known.
 func (c *cluster) tryPropose(n *node, command string) error {
 	done := make(chan error, 1)
 	go func() {
@@ -272,7 +275,7 @@
 		done <- err
 	}()
 	var err error
-	c.until("outcome of "+command, func() bool {
+	c.waitFor("outcome of "+command, func() bool {
 		select {
 		case err = <-done:
 			return true
@@ -283,13 +286,14 @@
 	return err
 }
 
-// agree waits until all running voters have applied the same.
-func (c *cluster) agree() []string {
+// waitForAgreement waits until all reachable voters have applied the same
+// commands.
+func (c *cluster) waitForAgreement() []string {
 	c.t.Helper()
 	var first []string
-	c.until("all voters agree", func() bool {
+	c.waitFor("all voters agree", func() bool {
 		first = nil
-		for _, n := range c.all() {
+		for _, n := range c.reachable() {
 			commands := n.machine.commands()
 			if first == nil {
 				first = commands
@@ -303,18 +307,18 @@
 	return first
 }
 
-// voters waits until the leader's set of voters is exactly that of the disks
-// that run, and all of it is committed.
-func (c *cluster) votersSettle() {
+// waitForVoters waits until the leader's set of voters is exactly that of the
+// reachable disks, and that change is committed.
+func (c *cluster) waitForVoters() {
 	c.t.Helper()
-	c.until("voters are the disks that run", func() bool {
+	c.waitFor("voters match the running disks", func() bool {
 		_, leader := c.leader()
 		s := leader.Status()
-		for _, n := range c.all() {
+		for _, n := range c.reachable() {
 			if !s.Voters.Has(n.Identity().Voter()) {
 				return false
 			}
 		}
-		return !s.VotersPending && len(s.Voters.Members) == len(c.all())
+		return !s.VotersPending && len(s.Voters.Members) == len(c.reachable())
 	})
 }
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -30,59 +30,68 @@
 	defaultMaxPendingBytes  = 16 << 20
 )
 
-// Config sets up a voter. Fields with a default may be left zero.
+// Config configures a voter. Fields with a default may be left zero.
 type Config struct {
-	// Folder is the data folder, Site the name of the site, Self this node.
+	// Folder is the path of the data folder, Site the name of the site and Self
+	// the ID of this node.
 	Folder string
 	Site   string
 	Self   model.NodeID
-	// Members are the nodes that vote, this one included. With Candidates set
-	// they are the nodes that may found the site together: empty on a process
-	// that must not, and without this node when it only joins.
+	// Members are the nodes that vote, including this one. When Candidates is
+	// set they are the nodes that may found the site together: empty on a
+	// process that must not found a site, and without this node when it may only
+	// join.
 	Members []model.NodeID
-	// Candidates lists the nodes that may hold a disk, as far as this process
-	// knows now; nil when Members are all the voters there are. A leader then
-	// lets every candidate vote and removes voters that stay silent.
+	// Candidates returns the nodes that may hold a disk, as far as this process
+	// currently knows; nil when Members lists all voters. When it is set, a
+	// leader adds every candidate as a voter and removes voters that stay
+	// unresponsive.
 	Candidates func() []model.NodeID
 
 	Machine      Machine
 	Transport    Transport
 	Bootstrapper Bootstrapper
 
-	// Disk is the file system; that of the operating system by default.
+	// Disk is the file system; the operating system's by default.
 	Disk datafolder.FS
-	// Clock is the time since some instant that never goes back; it counts
-	// while the process is stopped. The system's clock by default.
+	// Clock returns the time since a fixed instant. It is monotonic and keeps
+	// counting while the process is suspended. The system's clock by default.
 	Clock func() time.Duration
 	// Random returns a number in [0, n); a seeded generator by default.
 	Random func(n int) int
 
-	// TickEvery is the unit of all ticks; 100 ms by default.
+	// TickEvery is the duration of a tick; 100 ms by default.
 	TickEvery time.Duration
-	// ElectionTicks is the shortest silence after which a voter campaigns; 8.
+	// ElectionTicks is the shortest time without a leader after which a voter
+	// starts an election; 8 by default.
 	ElectionTicks int
-	// HeartbeatTicks is the time between heartbeats of an idle leader; 2.
+	// HeartbeatTicks is the interval between heartbeats of an idle leader; 2 by
+	// default.
 	HeartbeatTicks int
-	// ReviewTicks is the time between two reviews of the voters' disks; 50.
+	// ReviewTicks is the interval between two reviews of the voters' disks; 50
+	// by default.
 	ReviewTicks int
-	// IdentifyTimeout bounds one question to another voter; 1 s.
+	// IdentifyTimeout is the timeout of one query to another voter; 1 s by
+	// default.
 	IdentifyTimeout time.Duration
 
-	// SnapshotEntries and SnapshotBytes of commands after which a snapshot is
-	// taken; 10,000 and 8 MiB.
+	// SnapshotEntries and SnapshotBytes are the number and size of applied
+	// commands after which a snapshot is taken; 10,000 and 8 MiB by default.
 	SnapshotEntries int
 	SnapshotBytes   int
-	// KeepEntries before the snapshot are kept for followers; 1,000.
+	// KeepEntries is the number of entries before the snapshot that are kept for
+	// followers; 1,000 by default.
 	KeepEntries int
-	// SegmentBytes is the size of a log segment; the log's default when 0.
+	// SegmentBytes is the size of a log segment; 0 selects the log's default.
 	SegmentBytes int
 
-	// MessageRing bounds the batches of messages that wait for the duty, 256;
-	// ProposalRing the commands, 4,096.
+	// MessageRing is the number of message batches that may wait for the driver,
+	// 256 by default; ProposalRing that of commands, 4,096 by default.
 	MessageRing  int
 	ProposalRing int
-	// MaxProposalBytes bounds one command, 8 MiB; MaxPendingBytes all that
-	// wait, 16 MiB. What is above is refused as not proposed.
+	// MaxProposalBytes limits the size of one command, 8 MiB by default;
+	// MaxPendingBytes that of all waiting commands, 16 MiB by default. Commands
+	// above a limit are refused as not proposed.
 	MaxProposalBytes int
 	MaxPendingBytes  int
 
@@ -93,8 +102,8 @@
 	// with the next entry or heartbeat.
 	CommitsWithNext bool
 
-	// growing says that the voters are found while running (Candidates).
-	growing bool
+	// dynamicVoters is set when voters are discovered at run time (Candidates).
+	dynamicVoters bool
 }
 
 func (c *Config) complete() error {
@@ -132,7 +141,7 @@
 	if c.Candidates == nil {
 		c.Candidates = func() []model.NodeID { return c.Members }
 	} else {
-		c.growing = true
+		c.dynamicVoters = true
 	}
 	if c.Random == nil {
 		c.Random = rand.IntN
--- a/internal/replica/counters.go
+++ b/internal/replica/counters.go
@@ -2,20 +2,20 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counters are what an operator sees of the voter.
+// counters holds the metrics of the voter.
 type counters struct {
-	proposals        metrics.Counter // commands entered in the log here
-	refused          metrics.Counter // commands not entered
-	unknown          metrics.Counter // commands answered with outcome unknown
+	proposals        metrics.Counter // commands appended to the log by this voter
+	refused          metrics.Counter // commands not appended
+	unknown          metrics.Counter // commands whose outcome was returned as unknown
 	applied          metrics.Counter // entries applied
-	syncs            metrics.Counter // appends made durable
-	syncTime         metrics.Timer   // how long one append takes
-	messagesDropped  metrics.Counter // ring full
-	messagesRefused  metrics.Counter // for another disk, or not valid
-	snapshots        metrics.Counter // taken here
-	installed        metrics.Counter // received from a leader
-	leaderships      metrics.Counter // times that this voter became leader
-	voterChanges     metrics.Counter // proposed here
+	syncs            metrics.Counter // synced appends
+	syncTime         metrics.Timer   // duration of an append
+	messagesDropped  metrics.Counter // message ring was full
+	messagesRefused  metrics.Counter // for another disk, or invalid
+	snapshots        metrics.Counter // snapshots taken by this voter
+	installed        metrics.Counter // snapshots received from a leader
+	leaderships      metrics.Counter // times this voter became leader
+	voterChanges     metrics.Counter // proposed by this voter
 	invariantsBroken metrics.Counter
 }
 
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -15,49 +15,51 @@
 	"github.com/comfreyloom/comfreyloom/internal/wal"
 )
 
-// driver is the duty that owns the quorum core. Nothing else touches its
-// fields while it runs.
+// driver owns the quorum core and runs in one goroutine. No other goroutine
+// accesses its fields while it runs.
 type driver struct {
 	*Replica
 	raft *quorum.Raft
 
-	lastTick  time.Duration
-	ticks     uint64
-	reviewIn  int
-	role      quorum.Role
-	term      uint64
-	leader    quorum.ID
-	lastSeen  quorum.Status
-	waiters   waiters
-	reads     *reads
-	sinceSnap snapshotDebt
-	disk      diskPace
-	saving    bool
-	fatal     error
+	lastTick      time.Duration
+	ticks         uint64
+	ticksToReview int
+	role          quorum.Role
+	term          uint64
+	leader        quorum.ID
+	lastStatus    quorum.Status
+	waiters       waiters
+	reads         *reads
+	sinceSnapshot appliedSize
+	syncTimes     syncTimes
+	saving        bool
+	fatalErr      error
 
 	toSave  *ring.Ring[quorum.Snapshot]
 	reviews *ring.Ring[struct{}]
 }
 
-// snapshotDebt is what was applied since the last snapshot was taken.
-type snapshotDebt struct {
+// appliedSize is the number and size of the entries applied since the last
+// snapshot was taken.
+type appliedSize struct {
 	entries int
 	bytes   int
 }
 
-// freshTicks is how many ticks old a published status may be. Together with
-// the lease it stays well below the silence after which another is elected.
-func freshTicks(electionTicks int) time.Duration { return time.Duration(max(electionTicks/4, 1)) }
+// maxStatusAge is the age, in ticks, up to which a published status is
+// current. Together with the lease it stays well below the time after which the
+// other voters elect another leader.
+func maxStatusAge(electionTicks int) time.Duration { return time.Duration(max(electionTicks/4, 1)) }
 
-// newDriver starts the core from what was recovered.
+// newDriver starts the quorum core from the recovered snapshot and log.
 func newDriver(r *Replica) (*driver, error) {
-	if err := r.foundState(); err != nil {
+	if err := r.createFoundingSnapshot(); err != nil {
 		return nil, err
 	}
 	var meta quorum.SnapshotMeta
-	if r.loaded != nil {
-		meta = r.loaded.Meta
-		if err := r.config.Machine.Restore(r.loaded.Data); err != nil {
+	if r.loadedSnapshot != nil {
+		meta = r.loadedSnapshot.Meta
+		if err := r.config.Machine.Restore(r.loadedSnapshot.Data); err != nil {
 			return nil, fmt.Errorf("restore the snapshot: %w", err)
 		}
 	}
@@ -68,21 +70,21 @@
 	if err := r.alignLog(raft, meta); err != nil {
 		return nil, err
 	}
-	if r.loaded != nil {
-		r.feed.reset(r.loaded)
-		r.saver.saved = meta.Index
-		raft.SetSnapshot(*r.loaded)
+	if r.loadedSnapshot != nil {
+		r.feed.reset(r.loadedSnapshot)
+		r.saver.savedIndex = meta.Index
+		raft.SetSnapshot(*r.loadedSnapshot)
 	}
-	r.recovered, r.loaded = wal.Recovered{}, nil
+	r.recovered, r.loadedSnapshot = wal.Recovered{}, nil
 	return &driver{
-		Replica:  r,
-		raft:     raft,
-		lastTick: r.config.Clock(),
-		reviewIn: r.config.ReviewTicks,
-		waiters:  waiters{},
-		reads:    newReads(),
-		toSave:   ring.New[quorum.Snapshot](1),
-		reviews:  ring.New[struct{}](1),
+		Replica:       r,
+		raft:          raft,
+		lastTick:      r.config.Clock(),
+		ticksToReview: r.config.ReviewTicks,
+		waiters:       waiters{},
+		reads:         newReads(),
+		toSave:        ring.New[quorum.Snapshot](1),
+		reviews:       ring.New[struct{}](1),
 	}, nil
 }
 
@@ -99,11 +101,12 @@
 	}
 }
 
-// foundState makes the snapshot from which a founded site starts, the same
-// on every founding voter. A disk that joined later gets one from the leader.
-func (r *Replica) foundState() error {
+// createFoundingSnapshot saves the snapshot from which a new site starts; it is
+// the same on every founding voter. A disk that joins later gets a snapshot
+// from the leader.
+func (r *Replica) createFoundingSnapshot() error {
 	founding := r.Identity().Founding
-	if r.loaded != nil || len(founding.Voters.Members) == 0 {
+	if r.loadedSnapshot != nil || len(founding.Voters.Members) == 0 {
 		return nil
 	}
 	if r.recovered.Records > 0 {
@@ -120,15 +123,16 @@
 	if err := r.saver.save(first); err != nil {
 		return err
 	}
-	r.loaded = &first
+	r.loadedSnapshot = &first
 	return nil
 }
 
-// alignLog makes the log on disk end where the core's does. They differ when
-// a crash came after a received snapshot was saved and before the log was
-// restarted behind it. Comparing the last indexes is not enough: stale entries
-// may end at the very index of the snapshot, and what is appended behind them
-// would be dropped with them at the next start, though it was acknowledged.
+// alignLog makes the log on disk end where the core's log ends. They differ
+// after a crash between saving a received snapshot and resetting the log to
+// continue after it. Comparing the last indexes is not enough: stale entries
+// may end at the very index of the snapshot. Entries appended after them would
+// be dropped together with them at the next start, although they were
+// acknowledged.
 func (r *Replica) alignLog(raft *quorum.Raft, meta quorum.SnapshotMeta) error {
 	if !raft.LogDropped() && raft.Status().Last == r.log.Last() {
 		return nil
@@ -137,9 +141,9 @@
 	return r.log.Restart(&hard, meta.Index)
 }
 
-// runDuties runs the core, the writer of snapshots and the review of voters
-// until one of them fails or ctx ends.
-func (d *driver) runDuties(ctx context.Context) error {
+// runTasks runs the driver, the snapshot writer and the voter review until one
+// of them fails or ctx ends.
+func (d *driver) runTasks(ctx context.Context) error {
 	p := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
 	p.Go(d.run)
 	p.Go(d.saveSnapshots)
@@ -148,7 +152,7 @@
 }
 
 func (d *driver) run(ctx context.Context) error {
-	defer d.finish()
+	defer d.failPending()
 	ticker := time.NewTicker(d.config.TickEvery)
 	defer ticker.Stop()
 	for {
@@ -164,73 +168,74 @@
 	}
 }
 
-// round takes in what has come and does what follows from it. Missed ticks
-// pass first, so that a leader that was stopped past its lease finds out
-// before it acts on anything.
+// round processes everything that has arrived. It advances the clock by missed
+// ticks first, so that a leader that was suspended beyond its lease steps down
+// before it acts on any input.
 func (d *driver) round() error {
 	d.tick()
-	if err := d.takeMessages(); err != nil {
+	if err := d.processMessages(); err != nil {
 		return err
 	}
-	d.takeControls()
-	d.takeProposals()
-	d.reads.start(d.raft, d.notLeader())
+	d.runControls()
+	d.processProposals()
+	d.reads.start(d.raft, d.notLeaderError())
 	for d.raft.HasReady() {
 		if err := d.handle(d.raft.Ready()); err != nil {
 			return err
 		}
-		d.followRole()
+		d.trackRole()
 	}
-	d.followRole()
-	d.leaveSlowDisk()
-	d.publish()
-	if d.fatal != nil {
-		return d.fatal
+	d.trackRole()
+	d.handOverIfDiskSlow()
+	d.publishStatus()
+	if d.fatalErr != nil {
+		return d.fatalErr
 	}
 	return d.checkInvariants()
 }
 
-// tick lets the core's time pass. After a long stop only so many ticks count
-// as it takes to end any lease and any campaign.
+// tick advances the core's clock. After a long suspension the number of ticks
+// is limited to what ends any lease and any election.
 func (d *driver) tick() {
 	passed := uint64((d.config.Clock() - d.lastTick) / d.config.TickEvery)
 	d.lastTick += time.Duration(passed) * d.config.TickEvery
 	for range min(passed, uint64(4*d.config.ElectionTicks)) {
 		d.ticks++
 		d.raft.Tick()
-		d.reviewIn--
+		d.ticksToReview--
 	}
 	if passed == 0 {
 		return
 	}
-	d.followRole()
+	d.trackRole()
 	d.expireWaiters()
-	if d.reviewIn <= 0 && d.raft.Status().Ready {
-		d.reviewIn = d.config.ReviewTicks
-		_ = d.reviews.TryPut(struct{}{}) // full: a review is on its way
+	if d.ticksToReview <= 0 && d.raft.Status().Ready {
+		d.ticksToReview = d.config.ReviewTicks
+		_ = d.reviews.TryPut(struct{}{}) // full: a review is in progress
 	}
 }
 
-// finish answers everybody when the duty ends.
-func (d *driver) finish() {
-	d.reads.fail(ErrNotLeader{})
+// failPending completes all waiting requests when the driver ends.
+func (d *driver) failPending() {
+	d.reads.failAll(ErrNotLeader{})
 	n := d.waiters.unknown("this voter stopped before the command was applied", func(uint64, *waiter) bool { return true })
 	d.counters.unknown.Inc(n)
 }
 
-// transfer hands leadership to the voter that answers and is furthest.
+// transfer transfers leadership to the responsive voter with the most complete
+// log.
 func (d *driver) transfer() error {
 	return d.transferTo(func(quorum.PeerStatus) bool { return true })
 }
 
-// transferTo hands leadership to the voter that answers and is furthest of
-// those that suit.
-func (d *driver) transferTo(suits func(quorum.PeerStatus) bool) error {
+// transferTo transfers leadership to the responsive voter with the most
+// complete log among those that are eligible.
+func (d *driver) transferTo(eligible func(quorum.PeerStatus) bool) error {
 	if s := d.raft.Status(); s.Role != quorum.RoleLeader || s.Transferring {
 		return nil
 	}
 	peers := slices.DeleteFunc(d.raft.Peers(), func(p quorum.PeerStatus) bool {
-		return p.UnresponsiveTicks > uint64(d.config.ElectionTicks/2) || p.Snapshot || !suits(p)
+		return p.UnresponsiveTicks > uint64(d.config.ElectionTicks/2) || p.Snapshot || !eligible(p)
 	})
 	if len(peers) == 0 {
 		return ErrNoSuccessor
--- a/internal/replica/enter.go
+++ b/internal/replica/enter.go
@@ -12,25 +12,25 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// enterSite asks the other voters until this disk is active. Each step is
-// durable before the next round of questions.
+// enterSite queries the other voters until this disk is active. Each step is
+// durable before the next round of queries.
 func (r *Replica) enterSite(ctx context.Context) error {
 	ticker := time.NewTicker(r.config.TickEvery)
 	defer ticker.Stop()
-	var before answers
-	waitsFor := ""
+	var previous identities
+	unanswered := ""
 	for r.Identity().Phase != datafolder.PhaseActive {
-		now := r.askOthers(ctx, r.founders())
+		current := r.identifyPeers(ctx, r.nodesToQuery())
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		waitsFor = r.logSilent(waitsFor, now)
-		next := decide(r.Identity(), r.config.Members, before, now)
-		if err := r.take(next, now); err != nil {
+		unanswered = r.logUnanswered(unanswered, current)
+		next := nextStep(r.Identity(), r.config.Members, previous, current)
+		if err := r.applyStep(next, current); err != nil {
 			return oops.In("replica").Wrapf(err, "enter the site")
 		}
-		if before = now; next.kind != stepWait {
-			before = nil // answers to another identity say nothing about this one
+		if previous = current; next.kind != stepWait {
+			previous = nil // they were replies to another identity or phase of this disk
 			continue
 		}
 		select {
@@ -42,43 +42,44 @@
 	return nil
 }
 
-// founders are the nodes to ask: the configured voters and, on a disk that
-// adopted a founding under other settings, those that it lists.
-func (r *Replica) founders() []model.NodeID {
+// nodesToQuery returns the configured voters or, on a disk that adopted a
+// founding, perhaps under other settings, the voters that this founding lists.
+func (r *Replica) nodesToQuery() []model.NodeID {
 	identity := r.Identity()
 	if identity.Phase == datafolder.PhaseAdopted {
-		return foundingNodes(identity)
+		return foundingPeers(identity)
 	}
 	return r.config.Candidates()
 }
 
-// logSilent tells which voters don't answer, when that has changed: without
-// them a new site cannot be founded, and the operator sees why.
-func (r *Replica) logSilent(before string, now answers) string {
-	silent := []string{}
-	for _, node := range r.founders() {
-		if _, answered := now[node]; !answered && node != r.config.Self {
-			silent = append(silent, string(node))
+// logUnanswered logs which voters do not reply whenever that has changed. A new
+// site cannot be founded without them, so the operator needs to see them.
+func (r *Replica) logUnanswered(previous string, received identities) string {
+	unanswered := []string{}
+	for _, node := range r.nodesToQuery() {
+		if _, replied := received[node]; !replied && node != r.config.Self {
+			unanswered = append(unanswered, string(node))
 		}
 	}
-	after := strings.Join(silent, " ")
-	if after != before {
-		r.config.Log.WithField("phase", r.Identity().Phase.String()).WithField("silent", after).
+	list := strings.Join(unanswered, " ")
+	if list != previous {
+		r.config.Log.WithField("phase", r.Identity().Phase.String()).WithField("silent", list).
 			Info("data folder is not active yet; asking the other voters")
 	}
-	return after
+	return list
 }
 
-func (r *Replica) take(s step, now answers) error {
-	if sites := twoFoundings(now); len(sites) > 0 {
+// applyStep makes a step of this disk durable.
+func (r *Replica) applyStep(s step, received identities) error {
+	if foundings := conflictingFoundings(received); len(foundings) > 0 {
 		r.counters.invariantsBroken.Inc(1)
-		r.config.Log.WithField("foundings", sites).Error("invariant broken: one founding a site")
+		r.config.Log.WithField("foundings", foundings).Error("invariant broken: one founding a site")
 	}
 	identity := r.Identity()
 	switch s.kind {
 	case stepWait:
 		return nil
-	case stepRenew:
+	case stepRenewDisk:
 		r.config.Log.Warn("gave up a founding that a lost disk made impossible")
 		return r.folder.Renew()
 	case stepAdopt:
@@ -95,9 +96,10 @@
 	return nil
 }
 
-// askOthers asks all nodes but this one at once and returns what they
-// answered in time. An answer of another site or for another node is dropped.
-func (r *Replica) askOthers(ctx context.Context, nodes []model.NodeID) answers {
+// identifyPeers queries all nodes but this one concurrently and returns the
+// identities received in time. Replies from another site or for another node
+// are dropped.
+func (r *Replica) identifyPeers(ctx context.Context, nodes []model.NodeID) identities {
 	ctx, cancel := context.WithTimeout(ctx, r.config.IdentifyTimeout)
 	defer cancel()
 	type reply struct {
@@ -106,23 +108,23 @@
 		err      error
 	}
 	replies := make(chan reply, len(nodes))
-	var asked conc.WaitGroup
+	var queries conc.WaitGroup
 	for _, node := range nodes {
 		if node == r.config.Self {
 			continue
 		}
-		asked.Go(func() {
+		queries.Go(func() {
 			identity, err := r.config.Bootstrapper.Identify(ctx, node)
 			replies <- reply{node: node, identity: identity, err: err}
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 	close(replies)
-	round := answers{}
+	received := identities{}
 	for a := range replies {
 		if a.err == nil && a.identity.Site == r.config.Site && a.identity.Node == a.node {
-			round[a.node] = a.identity
+			received[a.node] = a.identity
 		}
 	}
-	return round
+	return received
 }
--- a/internal/replica/feed.go
+++ b/internal/replica/feed.go
@@ -8,16 +8,16 @@
 )
 
 // feed holds the applied part of the log for followers: the latest durable
-// snapshot, the entries since, and some before it. Its memory is bounded,
-// because each new snapshot drops what it covers.
+// snapshot, the entries after it, and some before it. Its memory is bounded,
+// because each new snapshot drops the entries that it covers.
 type feed struct {
 	mu       sync.Mutex
 	snapshot *quorum.Snapshot
 	entries  []quorum.Entry
-	// applied is the index of the last of entries.
+	// applied is the index of the last entry.
 	applied uint64
 	changed chan struct{}
-	ended   bool
+	closed  bool
 }
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
@@ -34,7 +34,8 @@
 	f.wake()
 }
 
-// reset starts over from a snapshot that replaced the state.
+// reset discards the entries and continues from a snapshot that replaced the
+// state.
 func (f *feed) reset(s *quorum.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,8 +45,9 @@
 	f.wake()
 }
 
-// compact takes a new snapshot and drops entries that it covers but for the
-// last keep. They are copied, so that the dropped ones can be freed.
+// compact replaces the snapshot and drops the entries that it covers, except
+// the last keep. The rest is copied, so that the memory of the dropped entries
+// can be freed.
 func (f *feed) compact(s *quorum.Snapshot, keep int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,10 +61,10 @@
 	}
 }
 
-func (f *feed) end() {
+func (f *feed) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended = true
+	f.closed = true
 	f.wake()
 }
 
@@ -71,13 +73,13 @@
 	f.changed = make(chan struct{})
 }
 
-// read returns what there is from an index on, or the channel that is closed
-// when there is more.
+// read returns the available entries from an index on, or a channel that is
+// closed when there may be more.
 func (f *feed) read(from uint64, maxBytes int) (Feed, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
-		return Feed{}, nil, errEnded
+	if f.closed {
+		return Feed{}, nil, errStopped
 	}
 	if from > f.applied {
 		return Feed{}, f.changed, nil
@@ -89,7 +91,8 @@
 	return Feed{Entries: limitBytes(f.entries[from-first:], maxBytes), Commit: f.applied}, nil, nil
 }
 
-// limitBytes returns the first entries of at most maxBytes, but at least one.
+// limitBytes returns the first entries that have at most maxBytes together, but
+// at least one entry.
 func limitBytes(entries []quorum.Entry, maxBytes int) []quorum.Entry {
 	size := 0
 	for i := range entries {
@@ -101,9 +104,9 @@
 	return entries[:len(entries):len(entries)]
 }
 
-// Committed returns applied entries from an index on, of at most maxBytes but
-// at least one, or a snapshot when they were compacted. It waits until there
-// is something or ctx ends.
+// Committed returns applied entries from an index on, at most maxBytes but at
+// least one entry, or a snapshot when that index was compacted. It waits until
+// there are entries or ctx ends.
 func (r *Replica) Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error) {
 	for {
 		piece, changed, err := r.feed.read(from, maxBytes)
--- a/internal/replica/growing.go
+++ b/internal/replica/growing.go
@@ -9,58 +9,59 @@
 )
 
 const (
-	// replaceSilence is how long a voter is silent before a node that waits
-	// to vote takes its place: longer than a restart of a process takes.
-	replaceSilence = 3 * time.Second
-	// removeSilence is how long a voter is silent before it is removed though
-	// nobody waits. It comes back by itself when it answers again.
-	removeSilence = 10 * time.Second
-	// leastVoters is the number of voters below which none is removed for its
-	// silence: two could not lose one more.
-	leastVoters = 3
+	// replaceAfter is how long a voter must be unresponsive before a node that
+	// waits to vote replaces it: longer than a process takes to restart.
+	replaceAfter = 3 * time.Second
+	// removeAfter is how long a voter must be unresponsive before it is removed
+	// although no node waits to vote. It is added again when it responds.
+	removeAfter = 10 * time.Second
+	// minVoters is the number of voters below which none is removed for being
+	// unresponsive: two voters could not tolerate the loss of one more.
+	minVoters = 3
 )
 
-// silenceLimits are replaceSilence and removeSilence in ticks.
-type silenceLimits struct{ replace, remove uint64 }
+// unresponsiveLimits holds replaceAfter and removeAfter in ticks.
+type unresponsiveLimits struct{ replace, remove uint64 }
 
-func (d *driver) silenceLimits() silenceLimits {
-	return silenceLimits{
-		replace: uint64(replaceSilence / d.config.TickEvery),
-		remove:  uint64(removeSilence / d.config.TickEvery),
+func (d *driver) unresponsiveLimits() unresponsiveLimits {
+	return unresponsiveLimits{
+		replace: uint64(replaceAfter / d.config.TickEvery),
+		remove:  uint64(removeAfter / d.config.TickEvery),
 	}
 }
 
-// nextGrowing returns the next change of one member where nodes come and go
-// and no list of them exists; false when there is none.
+// nextDynamicVoters returns the next change of one member when nodes come and
+// go and no list of them is configured; false when there is none.
 //
-// A voter that is gone for good must not stay: with five voters, two of them
-// replaced by newcomers, a quorum of seven would need four of the five that
-// run. A silent voter costs no safety when it goes, since a quorum of the
-// voters commits its removal, and it is let in again once it answers.
-func nextGrowing(current quorum.Voters, self Identity, known answers, peers []quorum.PeerStatus, limits silenceLimits) (quorum.Voters, bool) {
+// A voter that is lost for good must not stay a voter: with five voters, two of
+// them replaced by new nodes, a quorum of seven would need four of the five
+// that run. Removing an unresponsive voter is safe, since a quorum of the
+// voters commits its removal, and it is added again once it responds.
+func nextDynamicVoters(current quorum.Voters, self Identity, known identities, peers []quorum.PeerStatus, limits unresponsiveLimits) (quorum.Voters, bool) {
 	for _, id := range current.Members {
 		if hasNewDisk(id, self, known) {
 			return current.Without(id), true
 		}
 	}
-	silent, ticks := mostSilent(current, peers)
+	unresponsive, ticks := longestUnresponsive(current, peers)
 	for _, node := range slices.Sorted(maps.Keys(known)) {
-		if hasNode(current, node) || !mayVote(known[node], self) {
+		if hasNode(current, node) || !isReadyToVote(known[node], self) {
 			continue
 		}
-		if ticks >= limits.replace && len(current.Members) >= leastVoters {
-			return current.Without(silent), true
+		if ticks >= limits.replace && len(current.Members) >= minVoters {
+			return current.Without(unresponsive), true
 		}
 		return current.With(known[node].Voter()), true
 	}
-	if ticks >= limits.remove && len(current.Members) > leastVoters {
-		return current.Without(silent), true
+	if ticks >= limits.remove && len(current.Members) > minVoters {
+		return current.Without(unresponsive), true
 	}
 	return quorum.Voters{}, false
 }
 
-// mostSilent returns the voter that has not answered for the most ticks.
-func mostSilent(current quorum.Voters, peers []quorum.PeerStatus) (quorum.ID, uint64) {
+// longestUnresponsive returns the voter that has not responded for the most
+// ticks.
+func longestUnresponsive(current quorum.Voters, peers []quorum.PeerStatus) (quorum.ID, uint64) {
 	var id quorum.ID
 	var ticks uint64
 	for _, p := range peers {
--- a/internal/replica/intake.go
+++ b/internal/replica/intake.go
@@ -9,7 +9,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-func (d *driver) takeMessages() error {
+// processMessages passes the waiting messages to the quorum core.
+func (d *driver) processMessages() error {
 	for range d.messages.Len() {
 		batch, ok := d.messages.TryGet()
 		if !ok {
@@ -36,7 +37,8 @@
 	return nil
 }
 
-func (d *driver) takeControls() {
+// runControls runs the functions that other goroutines queued for the driver.
+func (d *driver) runControls() {
 	for range d.controls.Len() {
 		if f, ok := d.controls.TryGet(); ok {
 			f(d)
@@ -44,16 +46,16 @@
 	}
 }
 
-// takeProposals enters everything that came while the last append was synced;
-// it all shares the next one.
-func (d *driver) takeProposals() {
+// processProposals appends every proposal that arrived during the last sync;
+// they all share the next one.
+func (d *driver) processProposals() {
 	for range d.proposals.Len() {
 		p, ok := d.proposals.TryGet()
 		if !ok {
 			return
 		}
 		d.pending.Add(-int64(len(p.data)))
-		if p.take() {
+		if p.accept() {
 			d.propose(p)
 		}
 	}
@@ -67,14 +69,14 @@
 		d.waiters[index] = &waiter{proposal: p, term: term}
 		return
 	case errors.Is(err, quorum.ErrNotLeader):
-		err = d.notLeader()
+		err = d.notLeaderError()
 	default:
 		err = fmt.Errorf("%w: %w", state.ErrNotProposed, err)
 	}
 	d.counters.refused.Inc(1)
-	p.finish(state.Result{}, err)
+	p.complete(state.Result{}, err)
 }
 
-func (d *driver) notLeader() error {
+func (d *driver) notLeaderError() error {
 	return ErrNotLeader{Leader: datafolder.NodeOf(d.raft.Status().Leader)}
 }
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -9,19 +9,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// proposal is a command on its way through the duty. Whoever changes its
-// stage from waiting decides: the duty takes it, or the caller gives it up.
+// proposal is a command that waits for its outcome. Whoever changes its stage
+// from waiting owns it: the driver accepts it, or the caller withdraws it.
 type proposal struct {
 	data  []byte
 	stage atomic.Int32
-	// done gets exactly one outcome if the duty took the proposal.
+	// done receives exactly one outcome if the driver accepted the proposal.
 	done chan outcome
 }
 
 const (
 	stageWaiting int32 = iota
-	stageTaken
-	stageGivenUp
+	stageAccepted
+	stageWithdrawn
 )
 
 type outcome struct {
@@ -33,19 +33,19 @@
 	return &proposal{data: data, done: make(chan outcome, 1)}
 }
 
-func (p *proposal) take() bool   { return p.stage.CompareAndSwap(stageWaiting, stageTaken) }
-func (p *proposal) giveUp() bool { return p.stage.CompareAndSwap(stageWaiting, stageGivenUp) }
+func (p *proposal) accept() bool   { return p.stage.CompareAndSwap(stageWaiting, stageAccepted) }
+func (p *proposal) withdraw() bool { return p.stage.CompareAndSwap(stageWaiting, stageWithdrawn) }
 
-func (p *proposal) finish(result state.Result, err error) {
+func (p *proposal) complete(result state.Result, err error) {
 	p.done <- outcome{result: result, err: err}
 }
 
-// Propose commits an encoded command at this leader and returns what applying
-// it yields. The data must not be changed afterwards.
+// Propose commits an encoded command through this leader and returns the result
+// of applying it. The data must not be modified afterwards.
 //
-// Errors wrap state.ErrNotProposed (ErrNotLeader among them) when the command
-// is not in the log, or state.ErrOutcomeUnknown when it was appended and this
-// voter could not see what became of it.
+// Errors wrap state.ErrNotProposed (including ErrNotLeader) when the command is
+// not in the log, or state.ErrOutcomeUnknown when it was appended but this
+// voter could not learn whether it was committed.
 func (r *Replica) Propose(ctx context.Context, data []byte) (state.Result, error) {
 	if len(data) > r.config.MaxProposalBytes {
 		return state.Result{}, fmt.Errorf("%w: %d bytes are above the limit of %d",
@@ -62,12 +62,13 @@
 		return o.result, o.err
 	case <-ctx.Done():
 		return r.abandon(p, ctx.Err())
-	case <-r.ended:
-		return r.afterEnd(p)
+	case <-r.stopped:
+		return r.outcomeAfterStop(p)
 	}
 }
 
-// enqueue hands a proposal to the duty unless too many, or too large ones, wait.
+// enqueue queues a proposal for the driver unless too many proposals, or too
+// many bytes, are waiting.
 func (r *Replica) enqueue(p *proposal) error {
 	size := int64(len(p.data))
 	if r.pending.Add(size) > int64(r.config.MaxPendingBytes) && size > 0 {
@@ -81,8 +82,9 @@
 	return err
 }
 
+// abandon returns the outcome of a proposal whose caller stops waiting.
 func (r *Replica) abandon(p *proposal, cause error) (state.Result, error) {
-	if p.giveUp() {
+	if p.withdraw() {
 		return state.Result{}, fmt.Errorf("%w: %w", state.ErrNotProposed, cause)
 	}
 	select {
@@ -94,30 +96,31 @@
 	}
 }
 
-// afterEnd answers a proposal when no duty runs any more; those that it had
-// taken were all finished.
-func (r *Replica) afterEnd(p *proposal) (state.Result, error) {
-	if p.giveUp() {
+// outcomeAfterStop returns the outcome of a proposal after the driver ended; it
+// completed every proposal that it had accepted.
+func (r *Replica) outcomeAfterStop(p *proposal) (state.Result, error) {
+	if p.withdraw() {
 		return state.Result{}, fmt.Errorf("%w: the voter has stopped", state.ErrNotProposed)
 	}
 	o := <-p.done
 	return o.result, o.err
 }
 
-// waiter is a proposal that stands in the log.
+// waiter is a proposal that was appended to the log.
 type waiter struct {
 	*proposal
 	term uint64
-	// deadline is the tick at which the outcome is given up as unknown; 0
-	// while this voter leads the waiter's term.
+	// deadline is the tick at which the outcome is reported as unknown; 0 while
+	// this voter is the leader of the waiter's term.
 	deadline uint64
 }
 
-// waiters holds the proposals that stand in the log by index.
+// waiters holds the appended proposals by index.
 type waiters map[uint64]*waiter
 
-// applied answers the waiter at index, if any. An entry of another term there
-// means that the proposal was overwritten: it can never be committed.
+// applied completes the waiter at index, if any. An entry of another term at
+// that index means that the proposal was overwritten and can never be
+// committed.
 func (w waiters) applied(index, term uint64, result state.Result) {
 	waiting, ok := w[index]
 	if !ok {
@@ -125,13 +128,13 @@
 	}
 	delete(w, index)
 	if waiting.term == term {
-		waiting.finish(result, nil)
+		waiting.complete(result, nil)
 		return
 	}
-	waiting.finish(state.Result{}, fmt.Errorf("%w: another leader's entry took its place", state.ErrNotProposed))
+	waiting.complete(state.Result{}, fmt.Errorf("%w: another leader's entry took its place", state.ErrNotProposed))
 }
 
-// unknown answers all waiters that match with state.ErrOutcomeUnknown, and
+// unknown completes all matching waiters with state.ErrOutcomeUnknown and
 // returns their number.
 func (w waiters) unknown(why string, match func(index uint64, waiting *waiter) bool) int64 {
 	var n int64
@@ -140,7 +143,7 @@
 			continue
 		}
 		delete(w, index)
-		waiting.finish(state.Result{}, fmt.Errorf("%w: %s", state.ErrOutcomeUnknown, why))
+		waiting.complete(state.Result{}, fmt.Errorf("%w: %s", state.ErrOutcomeUnknown, why))
 		n++
 	}
 	return n
--- a/internal/replica/reads.go
+++ b/internal/replica/reads.go
@@ -7,8 +7,8 @@
 	err   error
 }
 
-// reads holds the readers that wait for the quorum. Those that come in one
-// round of the duty share one request.
+// reads holds the callers of ReadIndex that wait for a quorum. Those that
+// arrive in one round of the driver share one request.
 type reads struct {
 	joining []chan readOutcome
 	pending map[uint64][]chan readOutcome
@@ -19,7 +19,8 @@
 
 func (r *reads) join(done chan readOutcome) { r.joining = append(r.joining, done) }
 
-// start asks the core for all that joined since the last call.
+// start sends the core one request for all callers that joined since the last
+// call.
 func (r *reads) start(raft *quorum.Raft, notLeader error) {
 	if len(r.joining) == 0 {
 		return
@@ -31,30 +32,31 @@
 	case nil:
 		r.pending[r.token] = joined
 	case quorum.ErrNotLeader:
-		answer(joined, readOutcome{err: notLeader})
+		reply(joined, readOutcome{err: notLeader})
 	default:
-		answer(joined, readOutcome{err: err})
+		reply(joined, readOutcome{err: err})
 	}
 }
 
 func (r *reads) confirmed(states []quorum.ReadState) {
 	for _, s := range states {
-		answer(r.pending[s.Token], readOutcome{index: s.Index})
+		reply(r.pending[s.Token], readOutcome{index: s.Index})
 		delete(r.pending, s.Token)
 	}
 }
 
-// fail answers everybody; the core forgets reads when leadership ends.
-func (r *reads) fail(err error) {
+// failAll returns an error to all waiting callers; the core drops read requests
+// when leadership ends.
+func (r *reads) failAll(err error) {
 	for token, waiting := range r.pending {
-		answer(waiting, readOutcome{err: err})
+		reply(waiting, readOutcome{err: err})
 		delete(r.pending, token)
 	}
-	answer(r.joining, readOutcome{err: err})
+	reply(r.joining, readOutcome{err: err})
 	r.joining = nil
 }
 
-func answer(waiting []chan readOutcome, o readOutcome) {
+func reply(waiting []chan readOutcome, o readOutcome) {
 	for _, done := range waiting {
 		done <- o
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -16,8 +16,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/wal"
 )
 
-// errEnded says that the voter does not run any more.
-var errEnded = errors.New("replica: the voter has stopped")
+// errStopped is returned when the voter no longer runs.
+var errStopped = errors.New("replica: the voter has stopped")
 
 // Replica is one voter. Its methods are safe for concurrent use.
 type Replica struct {
@@ -28,30 +28,30 @@
 	messages  *ring.Ring[[]quorum.Message]
 	proposals *ring.Ring[*proposal]
 	controls  *ring.Ring[func(*driver)]
-	// pending is the size of the commands in the ring.
+	// pending is the total size of the commands in the ring.
 	pending atomic.Int64
-	// wake holds one token while something lies in the rings.
+	// wake holds one token while the rings are not empty.
 	wake chan struct{}
-	// ended is closed when the duty is over and has answered everybody.
-	ended   chan struct{}
-	endOnce sync.Once
+	// stopped is closed when the driver has ended and completed all requests.
+	stopped      chan struct{}
+	shutDownOnce sync.Once
 
 	feed   *feed
-	status atomic.Pointer[published]
+	status atomic.Pointer[publishedStatus]
 	notify *broadcast
 
-	// What was recovered; used up when the core starts.
-	log       *wal.Log
-	recovered wal.Recovered
-	loaded    *quorum.Snapshot
-	saver     *saver
+	// Recovered state; consumed when the core starts.
+	log            *wal.Log
+	recovered      wal.Recovered
+	loadedSnapshot *quorum.Snapshot
+	saver          *saver
 }
 
-const controlRing = 1_024
+const controlRingSize = 1_024
 
-// Open locks and reads the data folder. Errors say which file is damaged or
-// which operation failed, and what to do; the process must not go on as a
-// voter after one.
+// Open locks and reads the data folder. Errors name the damaged file or the
+// failed operation and the remedy; after an error the process must not continue
+// as a voter.
 func Open(c Config) (*Replica, error) {
 	if err := c.complete(); err != nil {
 		return nil, err
@@ -75,19 +75,19 @@
 		counters:  newCounters(c.Metrics),
 		messages:  ring.New[[]quorum.Message](c.MessageRing),
 		proposals: ring.New[*proposal](c.ProposalRing),
-		controls:  ring.New[func(*driver)](controlRing),
+		controls:  ring.New[func(*driver)](controlRingSize),
 		wake:      make(chan struct{}, 1),
-		ended:     make(chan struct{}),
+		stopped:   make(chan struct{}),
 		feed:      newFeed(),
 		notify:    newBroadcast(),
 		saver:     newSaver(folder.FS(), folder.SnapshotPath()),
 	}
-	r.status.Store(&published{})
+	r.status.Store(&publishedStatus{})
 	return r
 }
 
-// load reads snapshot and log. The log is made durable before the disk can
-// leave PhaseEmpty: from then on a missing log means that it was lost.
+// load reads the snapshot and the log. The log is durable before the disk can
+// leave PhaseEmpty, so that from then on a missing log means that it was lost.
 func (r *Replica) load() error {
 	phase := r.Identity().Phase
 	loaded, err := snapshot.Load(r.folder.FS(), r.folder.SnapshotPath())
@@ -102,14 +102,14 @@
 	if err != nil {
 		return err
 	}
-	r.log, r.recovered, r.loaded = log, recovered, loaded
+	r.log, r.recovered, r.loadedSnapshot = log, recovered, loaded
 	if recovered.CutBytes > 0 {
-		r.config.Log.WithField("bytes", recovered.CutBytes).Warn("cut a torn tail off the log; nothing in it was promised")
+		r.config.Log.WithField("bytes", recovered.CutBytes).Warn("removed a torn tail of the log; nothing in it had been acknowledged")
 	}
 	return r.checkPhase(phase)
 }
 
-// checkPhase refuses a folder whose files contradict each other.
+// checkPhase rejects a folder whose files contradict each other.
 func (r *Replica) checkPhase(phase datafolder.Phase) error {
 	used := r.recovered.Records > 0 || r.recovered.Base > 0
 	damaged := func(file, why string) error {
@@ -117,60 +117,61 @@
 		return &datafolder.CorruptError{File: file, Why: why, Remedy: datafolder.RemedyRejoin}
 	}
 	switch {
-	case phase != datafolder.PhaseActive && (used || r.loaded != nil):
-		return damaged(r.folder.LogPath(), "the disk never took part in the quorum, yet it holds a log")
-	case r.loaded == nil && (len(r.recovered.Entries) > 0 || r.recovered.Base > 0):
-		return damaged(r.folder.SnapshotPath(), "the snapshot is missing that the log continues")
+	case phase != datafolder.PhaseActive && (used || r.loadedSnapshot != nil):
+		return damaged(r.folder.LogPath(), "the disk never took part in the quorum, but it holds a log or a snapshot")
+	case r.loadedSnapshot == nil && (len(r.recovered.Entries) > 0 || r.recovered.Base > 0):
+		return damaged(r.folder.SnapshotPath(), "the snapshot that precedes the log is missing")
 	}
 	return nil
 }
 
-// Run brings the disk into the site if need be and then takes part in the
+// Run enters the site if the disk is not active yet, and then takes part in the
 // quorum until ctx ends. Any other return is an error after which the process
-// must end: what is durable is then known only to the next start.
+// must end: only a restart determines what is durable then.
 func (r *Replica) Run(ctx context.Context) error {
-	defer r.end()
+	defer r.shutDown()
 	if err := r.enterSite(ctx); err != nil {
-		return endOf(ctx, err)
+		return ignoreCancellation(ctx, err)
 	}
 	d, err := newDriver(r)
 	if err != nil {
 		return oops.In("replica").Wrapf(err, "start")
 	}
-	return endOf(ctx, d.runDuties(ctx))
+	return ignoreCancellation(ctx, d.runTasks(ctx))
 }
 
-// endOf returns nil when the duties ended only because ctx did.
-func endOf(ctx context.Context, err error) error {
+// ignoreCancellation returns nil when err only reports that ctx ended.
+func ignoreCancellation(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
 		return nil
 	}
 	return err
 }
 
-// end answers everybody who still waits and gives the folder back.
-func (r *Replica) end() {
-	r.endOnce.Do(func() {
-		r.status.Store(&published{})
+// shutDown completes all waiting requests and releases the folder.
+func (r *Replica) shutDown() {
+	r.shutDownOnce.Do(func() {
+		r.status.Store(&publishedStatus{})
 		r.messages.Close()
 		r.proposals.Close()
 		r.controls.Close()
-		close(r.ended)
-		r.feed.end()
+		close(r.stopped)
+		r.feed.close()
 		r.notify.signal()
 		_ = r.log.Close()
 		_ = r.folder.Close()
 	})
 }
 
-// Close gives the folder back when Run was never called.
-func (r *Replica) Close() { r.end() }
+// Close releases the folder when Run was never called.
+func (r *Replica) Close() { r.shutDown() }
 
-// Identity says who this voter is and how far its disk has come.
+// Identity returns the identity of this voter, which includes the phase of its
+// disk.
 func (r *Replica) Identity() Identity { return r.folder.Identity() }
 
-// Step hands over messages of other voters without waiting. When too much
-// waits already they are dropped, which the protocol tolerates.
+// Step queues messages of other voters without blocking. When the ring is full
+// they are dropped, which the protocol tolerates.
 func (r *Replica) Step(messages []quorum.Message) {
 	if err := r.messages.TryPut(messages); err != nil {
 		r.counters.messagesDropped.Inc(int64(len(messages)))
@@ -186,10 +187,10 @@
 	}
 }
 
-// control lets the duty run f; it waits until the duty has room for it.
+// control runs f in the driver; it blocks while the ring is full.
 func (r *Replica) control(ctx context.Context, f func(*driver)) error {
 	if err := r.controls.Put(ctx, f); errors.Is(err, ring.ErrClosed) {
-		return errEnded
+		return errStopped
 	} else if err != nil {
 		return err
 	}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// broadcast wakes everybody who waits for a change.
+// broadcast wakes all goroutines that wait for a change.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -218,8 +219,8 @@
 	b.ch = make(chan struct{})
 }
 
-// published is the status as of an instant of the clock.
-type published struct {
+// publishedStatus is the status at an instant of the clock.
+type publishedStatus struct {
 	status quorum.Status
 	at     time.Duration
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -25,21 +25,21 @@
 	for i := range 60 {
 		c.propose(fmt.Sprint(i))
 	}
-	is.Equal(len(c.agree()), 60)
+	is.Equal(len(c.waitForAgreement()), 60)
 
 	ctx := context.Background()
 	index, err := leader.ReadIndex(ctx)
 	is.NoErr(err)
 	is.True(index >= leader.machine.Applied())
 	var follower *node
-	for other, n := range c.all() {
+	for other, n := range c.reachable() {
 		if other != name {
 			follower = n
 		}
 	}
 	_, err = follower.Propose(ctx, []byte("no"))
 	var notLeader ErrNotLeader
-	is.True(errors.As(err, &notLeader) && notLeader.Leader == name) // names the leader
+	is.True(errors.As(err, &notLeader) && notLeader.Leader == name) // the error names the leader
 	is.True(errors.Is(err, state.ErrNotProposed))
 
 	piece, err := follower.Committed(ctx, 1, 1<<20)
@@ -49,29 +49,28 @@
 	for at < follower.machine.Applied() {
 		piece, err = follower.Committed(ctx, at+1, 10)
 		is.NoErr(err)
-		is.Equal(piece.Entries[0].Index, at+1) // goes on without a gap
+		is.Equal(piece.Entries[0].Index, at+1) // continues without a gap
 		at += uint64(len(piece.Entries))
 	}
 	short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
 	_, err = follower.Committed(short, at+100, 10)
-	is.True(errors.Is(err, context.DeadlineExceeded)) // nothing there yet: waits
+	is.True(errors.Is(err, context.DeadlineExceeded)) // no such entry yet: waits
 
 	done := make(chan error, 1)
 	go func() { done <- leader.TransferLeadership(ctx) }()
-	c.until("handover", func() bool { return len(done) > 0 })
+	c.waitFor("handover", func() bool { return len(done) > 0 })
 	is.NoErr(<-done)
 	next, _ := c.leader()
 	is.True(next != name)
 }
 
-// Symptom: after the loss of two disks, one after the other, accepted changes
-// are gone, or a voter voted twice in a term.
-// Sequence: a voter loses its disk, comes back empty and is voted on under a
-// new identity. Right after that repair a second voter, the leader, loses its
-// disk too; then the first again.
-// Cause: a lost disk kept its vote, founded a second site, or was replaced in
-// a way that let two quorums miss each other.
+// Guards against lost changes, and a voter that votes twice in a term, when two
+// disks are lost one after the other. A voter loses its disk, returns empty and
+// is added under a new identity. Right after that repair a second voter, the
+// leader, loses its disk too; then the first again. The failure follows when a
+// lost disk keeps its vote, founds a second site, or is replaced in a way that
+// lets two quorums have no voter in common.
 func TestLostDiskAndSecondLossAfterRepair(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -90,59 +89,57 @@
 		lost[leader.Identity().Voter()] = true
 		c.stop(name)
 		c.mu.Lock()
-		c.heard = map[quorum.ID]bool{}
+		c.acknowledged = map[quorum.ID]bool{}
 		c.mu.Unlock()
 		c.start(name, nil)
-		c.votersSettle()
+		c.waitForVoters()
 		c.mu.Lock()
 		for id := range lost {
-			is.True(!c.heard[id]) // a lost disk never votes or acknowledges again
+			is.True(!c.acknowledged[id]) // a lost disk never votes or acknowledges again
 		}
 		c.mu.Unlock()
 	}
 	c.propose("end")
-	is.Equal(c.agree(), append(accepted, "end")) // nothing lost, doubled or reordered
+	is.Equal(c.waitForAgreement(), append(accepted, "end")) // nothing lost, duplicated or reordered
 	founding := c.nodes["a"].Identity().Founding.ID
-	for _, n := range c.all() {
+	for _, n := range c.reachable() {
 		is.Equal(n.Identity().Founding.ID, founding) // one site
 	}
 }
 
-// Symptom: a voter that was repaired breaks the site when its first disk
-// turns up again.
-// Sequence: a disk is not mounted at a start, the voter joins with an empty
-// one; at the next start the old disk is back.
-// Cause: the old identity acted on its old set of voters.
-func TestOldDiskComesBack(t *testing.T) {
+// Guards against a repaired voter that breaks the site when its first disk
+// returns: a disk is not mounted at one start, so the voter joins with an empty
+// one, and at the next start the old disk is back. The old identity must not
+// act on its old set of voters.
+func TestOldDiskReturnsAfterRepair(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.startAll()
 	c.propose("before")
-	c.agree()
+	c.waitForAgreement()
 	old := c.stop("c")
 	c.propose("alone")
 	c.start("c", nil)
-	c.votersSettle()
+	c.waitForVoters()
 	c.propose("repaired")
 	c.stop("c")
 	c.start("c", old)
-	c.votersSettle()
+	c.waitForVoters()
 	c.propose("end")
-	is.Equal(c.agree(), []string{"before", "alone", "repaired", "end"})
+	is.Equal(c.waitForAgreement(), []string{"before", "alone", "repaired", "end"})
 }
 
-// Symptom: a caller was told that a change took effect, and it did not; or
-// that it was not entered, and it takes effect.
-// Sequence: the leader is cut off with proposals under way, the others elect
-// another and go on, the old one comes back.
-// Cause: an answer was given before a quorum had stored the command.
-func TestOutcomesOfCutOffLeader(t *testing.T) {
+// Guards against a reply before a quorum has stored the command: a caller
+// learns that a change took effect and it did not, or that it was not proposed
+// and it takes effect. The leader is isolated with proposals in flight, the
+// others elect another leader and continue, and the old one returns.
+func TestProposalOutcomesOfIsolatedLeader(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.startAll()
 	c.propose("before")
 	name, old := c.leader()
-	c.isolate(name, true)
+	c.setIsolated(name, true)
 	errs := make(chan error, 10)
 	for i := range 10 {
 		go func() {
@@ -151,27 +148,27 @@
 		}()
 	}
 	c.propose("after")
-	c.until("all outcomes", func() bool { return len(errs) == 10 })
+	c.waitFor("all outcomes", func() bool { return len(errs) == 10 })
 	unknown := 0
 	for range 10 {
 		err := <-errs
-		is.True(err != nil) // no quorum, so no success
+		is.True(err != nil) // no quorum, so no command succeeds
 		is.True(errors.Is(err, state.ErrNotProposed) || errors.Is(err, state.ErrOutcomeUnknown))
 		if errors.Is(err, state.ErrOutcomeUnknown) {
 			unknown++
 		}
 	}
-	is.True(unknown > 0) // what was appended is not called not proposed
+	is.True(unknown > 0) // an appended command is not reported as not proposed
 	_, err := old.ReadIndex(context.Background())
-	is.True(err != nil) // nor is a read served
-	c.isolate(name, false)
+	is.True(err != nil) // and reads are not served
+	c.setIsolated(name, false)
 	c.propose("end")
-	is.Equal(c.agree(), []string{"before", "after", "end"})
+	is.Equal(c.waitForAgreement(), []string{"before", "after", "end"})
 }
 
-// Symptom: commits a second are bound by syncs a second.
-// Sequence: commands arrive while a sync runs.
-// Cause: each command got its own sync.
+// Guards against one sync for each command, which would limit commits per
+// second to syncs per second: commands that arrive during a sync share the next
+// one.
 func TestProposalsShareSyncs(t *testing.T) {
 	is := is.New(t)
 	const many = 100
@@ -201,26 +198,25 @@
 	for i := range many {
 		go commit(fmt.Sprint(i))
 	}
-	c.until("all wait", func() bool { return n.proposals.Len() == many })
+	c.waitFor("all commands wait", func() bool { return n.proposals.Len() == many })
 	close(release)
-	c.until("all done", func() bool { return len(done) == many+1 })
+	c.waitFor("all commands are done", func() bool { return len(done) == many+1 })
 	for range many + 1 {
 		is.NoErr(<-done)
 	}
-	is.Equal(n.counters.syncs.Count()-before, int64(2)) // one that ran, one for all others
+	is.Equal(n.counters.syncs.Count()-before, int64(2)) // the blocked one, and one for all other commands
 }
 
-// Symptom: a voter that restarts after many changes serves an old state, or
-// refuses to start.
-// Sequence: a follower is down while 500 changes pile up, its log and
-// snapshot are far behind; it restarts, and then the whole site does.
-// Cause: snapshot and log did not fit together.
+// Guards against a snapshot and a log that do not fit together: a voter that
+// restarts after many changes serves an old state or does not start. A follower
+// is down during 500 changes, so that its log and snapshot are far behind; it
+// restarts, and then the whole site does.
 func TestRestartAfterManyChanges(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.startAll()
 	c.propose("first")
-	c.agree()
+	c.waitForAgreement()
 	disk := c.stop("b")
 	var changes []string
 	for i := range 500 {
@@ -228,15 +224,16 @@
 	}
 	held := c.nodes["a"].Status().Last
 	unknown := c.proposeAll(changes)
-	c.until("the others have dropped what b lacks", func() bool {
+	c.waitFor("the others have compacted the entries that b lacks", func() bool {
 		return c.nodes["a"].Status().First > held+1 && c.nodes["c"].Status().First > held+1
 	})
 	behind := c.start("b", disk)
-	list := c.agree()
-	is.True(len(list) <= 501+unknown) // only an unknown outcome may stand twice
+	list := c.waitForAgreement()
+	is.True(len(list) <= 501+unknown) // only a command with an unknown outcome may appear twice
 	is.Equal(len(distinct(list)), 501)
-	// It is counted right after the state was replaced, which agree sees.
-	c.until("it counts the snapshot that it needed", func() bool { return behind.counters.installed.Count() > 0 })
+	// The counter changes right after the state was replaced, which
+	// waitForAgreement observes.
+	c.waitFor("the installed snapshot is counted", func() bool { return behind.counters.installed.Count() > 0 })
 	disks := map[model.NodeID]*fakedisk.Disk{}
 	for _, name := range c.members {
 		disks[name] = c.stop(name)
@@ -245,14 +242,15 @@
 		c.start(name, disk)
 	}
 	c.propose("last")
-	after := c.agree()
+	after := c.waitForAgreement()
 	is.Equal(after[:len(list)], list)
 	is.Equal(len(distinct(after)), 502)
 }
 
-// proposeAll commits all commands at once through whoever leads, those without
-// a success once more, and returns how many outcomes were unknown. The clock of
-// these tests goes on while the machine is busy, so that leaders may change.
+// proposeAll commits all commands concurrently through the current leader,
+// proposes those without success again, and returns how many outcomes were
+// unknown. The clock of these tests advances while the machine is busy, so
+// leaders may change.
 func (c *cluster) proposeAll(commands []string) (unknown int) {
 	for len(commands) > 0 {
 		_, leader := c.leader()
@@ -267,7 +265,7 @@
 				done <- outcome{command, err}
 			}()
 		}
-		c.until("outcomes of all changes", func() bool { return len(done) == len(commands) })
+		c.waitFor("outcomes of all changes", func() bool { return len(done) == len(commands) })
 		commands = nil
 		for range cap(done) {
 			o := <-done
@@ -289,10 +287,9 @@
 	return slices.Compact(all)
 }
 
-// Symptom: a leader that was stopped for long answers reads from an old state.
-// Sequence: the leader's process is stopped past its lease while another is
-// elected; it wakes and somebody asks it at once.
-// Cause: its last published status was taken for current.
+// Guards against reads from an old state: a leader's process is suspended
+// beyond its lease while another leader is elected, and a caller queries it as
+// soon as it resumes. Its last published status must not count as current.
 func TestStaleStatusIsNotConfirmed(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a")
@@ -300,8 +297,8 @@
 	c.leader()
 	is.True(n.Status().Confirmed)
 	p := n.status.Load()
-	woken := &Replica{config: n.config}
-	woken.config.Clock = func() time.Duration { return p.at + time.Minute }
-	woken.status.Store(p)
-	is.True(!woken.Status().Confirmed)
+	resumed := &Replica{config: n.config}
+	resumed.config.Clock = func() time.Duration { return p.at + time.Minute }
+	resumed.status.Store(p)
+	is.True(!resumed.Status().Confirmed)
 }
--- a/internal/replica/review.go
+++ b/internal/replica/review.go
@@ -8,23 +8,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// nextVoters returns the next change of one member that brings the voters
-// towards the configured nodes with the disks they have now; false when there
-// is none. Members are the configured voters, known what each said about
-// itself, self the leader.
+// nextStaticVoters returns the next change of one member that brings the voters
+// closer to the configured nodes with their current disks; false when there is
+// none. Members are the configured voters, known the identities they reported,
+// self the leader.
 //
-// A voter that came back with another disk is first removed and then added
-// anew. Replacing it in one step would be unsafe: a quorum that holds the old
-// disk and one that holds the new need not share a voter, so a leader cut off
-// earlier could commit beside its successor. Adding before removing would be
-// safe but makes a quorum depend on the newcomer: of four voters, one of them
-// gone, all three others would have to answer. Removing first costs nothing,
-// as the old disk can't answer any more, and the loss of another voter right
-// after the addition is survived even before the newcomer has caught up.
+// A voter that returned with a new disk is first removed and then added again.
+// Replacing it in one step would be unsafe: a quorum with the old disk and one
+// with the new disk need not share a voter, so a partitioned former leader
+// could commit beside its successor. Adding before removing would be safe but
+// makes a quorum depend on the new disk: of four voters, one of them lost, all
+// three others would have to respond. Removing first costs nothing, as the old
+// disk cannot respond any more, and the loss of another voter right after the
+// addition is tolerated even before the new disk has caught up.
 //
-// A voter that left the settings goes last, once every configured node votes:
-// a misspelt name in the settings of the leader then changes nothing.
-func nextVoters(current quorum.Voters, self Identity, members []model.NodeID, known answers) (quorum.Voters, bool) {
+// A voter that is no longer configured is removed last, once every configured
+// node votes: a misspelt name in the settings of the leader then changes
+// nothing.
+func nextStaticVoters(current quorum.Voters, self Identity, members []model.NodeID, known identities) (quorum.Voters, bool) {
 	for _, id := range current.Members {
 		if hasNewDisk(id, self, known) {
 			return current.Without(id), true
@@ -35,7 +36,7 @@
 		if hasNode(current, node) {
 			continue
 		}
-		if identity, ok := known[node]; ok && mayVote(identity, self) {
+		if identity, ok := known[node]; ok && isReadyToVote(identity, self) {
 			return current.With(identity.Voter()), true
 		}
 		all = false
@@ -48,14 +49,14 @@
 	return quorum.Voters{}, false
 }
 
-// hasNewDisk says whether the node of a voter came back with another disk.
-func hasNewDisk(id quorum.ID, self Identity, known answers) bool {
+// hasNewDisk reports whether the node of a voter returned with another disk.
+func hasNewDisk(id quorum.ID, self Identity, known identities) bool {
 	identity, ok := known[datafolder.NodeOf(id)]
-	return ok && mayVote(identity, self) && identity.Voter() != id
+	return ok && isReadyToVote(identity, self) && identity.Voter() != id
 }
 
-// mayVote says whether a disk is ready to vote in the site of self.
-func mayVote(identity, self Identity) bool {
+// isReadyToVote reports whether a disk is active in the site of self.
+func isReadyToVote(identity, self Identity) bool {
 	return identity.Phase == datafolder.PhaseActive && identity.Founding.ID == self.Founding.ID
 }
 
--- a/internal/replica/reviewduty.go
+++ b/internal/replica/reviewduty.go
@@ -6,14 +6,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// reviewVoters is the duty that asks the configured voters for their disks
-// whenever the leader wants to know.
+// reviewVoters is the background task that queries the candidates for their
+// disks whenever the leader requests a review.
 func (d *driver) reviewVoters(ctx context.Context) error {
 	for {
 		if _, err := d.reviews.Get(ctx); err != nil {
 			return err
 		}
-		known := d.askOthers(ctx, d.config.Candidates())
+		known := d.identifyPeers(ctx, d.config.Candidates())
 		known[d.config.Self] = d.Identity()
 		if err := d.control(ctx, func(d *driver) { d.changeVoters(known) }); err != nil {
 			return err
@@ -21,9 +21,9 @@
 	}
 }
 
-// changeVoters proposes one change, if one is due, and asks again soon: a
-// lost disk takes a removal and an addition.
-func (d *driver) changeVoters(known answers) {
+// changeVoters proposes one change, if one is due, and schedules the next
+// review soon: replacing a lost disk takes a removal and an addition.
+func (d *driver) changeVoters(known identities) {
 	s := d.raft.Status()
 	if s.Role != quorum.RoleLeader || !s.Ready || !s.Confirmed || s.VotersPending {
 		return
@@ -35,15 +35,16 @@
 	if _, _, err := d.raft.ProposeVoters(next); err != nil {
 		return // the next review tries again
 	}
-	d.reviewIn = 1
+	d.ticksToReview = 1
 	d.counters.voterChanges.Inc(1)
 	d.config.Log.WithField("from", s.Voters.Members).WithField("to", next.Members).Info("changing the voters")
 }
 
-// nextVoters picks the rule: voters by the settings, or found while running.
-func (d *driver) nextVoters(current quorum.Voters, known answers) (quorum.Voters, bool) {
-	if !d.config.growing {
-		return nextVoters(current, d.Identity(), d.config.Members, known)
+// nextVoters applies the rule for configured voters or that for voters
+// discovered at run time.
+func (d *driver) nextVoters(current quorum.Voters, known identities) (quorum.Voters, bool) {
+	if !d.config.dynamicVoters {
+		return nextStaticVoters(current, d.Identity(), d.config.Members, known)
 	}
-	return nextGrowing(current, d.Identity(), known, d.raft.Peers(), d.silenceLimits())
+	return nextDynamicVoters(current, d.Identity(), known, d.raft.Peers(), d.unresponsiveLimits())
 }
--- a/internal/replica/role.go
+++ b/internal/replica/role.go
@@ -2,17 +2,17 @@
 
 import "github.com/comfreyloom/comfreyloom/internal/quorum"
 
-// followRole notices that leadership was gained or lost.
-func (d *driver) followRole() {
+// trackRole detects that leadership was gained, lost or moved.
+func (d *driver) trackRole() {
 	s := d.raft.Status()
 	if s.Role == d.role && s.Term == d.term && s.Leader == d.leader {
 		return
 	}
-	leads := s.Role == quorum.RoleLeader
-	if leads && (d.role != quorum.RoleLeader || d.term != s.Term) {
+	isLeader := s.Role == quorum.RoleLeader
+	if isLeader && (d.role != quorum.RoleLeader || d.term != s.Term) {
 		d.counters.leaderships.Inc(1)
 	}
-	if !leads || d.term != s.Term {
+	if !isLeader || d.term != s.Term {
 		d.leadershipLost(s.Term)
 	}
 	if s.Leader != d.leader {
@@ -22,11 +22,11 @@
 	d.notify.signal()
 }
 
-// leadershipLost fails reads at once, as the core forgot them. Proposals get
+// leadershipLost fails reads at once, as the core dropped them. Proposals get
 // some time to be committed or overwritten by the successor: after an orderly
-// handover nearly all of them then have a known outcome.
+// handover the outcome of nearly all of them is known by then.
 func (d *driver) leadershipLost(term uint64) {
-	d.reads.fail(d.notLeader())
+	d.reads.failAll(d.notLeaderError())
 	for _, w := range d.waiters {
 		if w.deadline == 0 && w.term < term || d.raft.Status().Role != quorum.RoleLeader && w.deadline == 0 {
 			w.deadline = d.ticks + uint64(2*d.config.ElectionTicks)
@@ -34,6 +34,7 @@
 	}
 }
 
+// expireWaiters reports an unknown outcome to proposals whose deadline has passed.
 func (d *driver) expireWaiters() {
 	n := d.waiters.unknown("leadership was lost before a quorum confirmed the command", func(_ uint64, w *waiter) bool {
 		return w.deadline != 0 && d.ticks >= w.deadline
@@ -41,6 +42,6 @@
 	d.counters.unknown.Inc(n)
 }
 
-func (d *driver) publish() {
-	d.status.Store(&published{status: d.raft.Status(), at: d.lastTick})
+func (d *driver) publishStatus() {
+	d.status.Store(&publishedStatus{status: d.raft.Status(), at: d.lastTick})
 }
--- a/internal/replica/slowdisk.go
+++ b/internal/replica/slowdisk.go
@@ -8,78 +8,83 @@
 )
 
 const (
-	// slowSync is a sync that takes too long for a leader: its duty can't take
-	// in the answers of the others meanwhile, and a few of them in a row leave
-	// it unconfirmed. A healthy disk needs a tenth of it.
-	slowSync = 80 * time.Millisecond
-	// slowSyncs is how many slow ones in a row make a leader hand over.
-	slowSyncs = 2
-	// handOverEvery is the least time between two such hand-overs of one voter:
-	// where all disks are slow, leadership would otherwise go round in circles.
-	handOverEvery = 10 * time.Second
-	// fasterShare: leadership goes only to a voter whose syncs take at most this
-	// share of this voter's. One that is hardly faster would hand over as well.
-	fasterShare = 0.5
-	// paceFades is how much of the longest sync of late is forgotten with each
-	// faster one: after eight a tenth of it is left.
-	paceFades = 0.25
+	// slowSyncTime is the duration from which a sync is too slow for a leader:
+	// its driver cannot process replies meanwhile, and a few slow syncs in a row
+	// leave the leader unconfirmed. A healthy disk needs a tenth of it.
+	slowSyncTime = 80 * time.Millisecond
+	// minSlowSyncs is the number of consecutive slow syncs after which a leader
+	// hands over.
+	minSlowSyncs = 2
+	// handoverInterval is the minimum time between two such handovers by one
+	// voter. Without it leadership would move in circles where all disks are
+	// slow.
+	handoverInterval = 10 * time.Second
+	// fasterRatio limits the sync time of a new leader to this share of the
+	// current leader's. A voter that is hardly faster would hand over as well.
+	fasterRatio = 0.5
+	// longestSyncDecay is the share of the longest recent sync time that is
+	// dropped with each faster sync: after eight of them a tenth is left.
+	longestSyncDecay = 0.25
 )
 
-// diskPace follows how long syncs take.
-type diskPace struct {
-	slow     int
-	handedAt time.Duration
-	// recent is the longest sync of late, which fades with faster ones.
-	recent time.Duration
+// syncTimes tracks how long syncs take.
+type syncTimes struct {
+	consecutiveSlow int
+	lastHandover    time.Duration
+	// longest is the longest recent sync time, which decays with faster syncs.
+	longest time.Duration
 }
 
-func (p *diskPace) synced(took time.Duration) {
-	p.recent = max(took, p.recent-time.Duration(paceFades*float64(p.recent)))
-	if took < slowSync {
-		p.slow = 0
+// record adds the duration of one sync.
+func (p *syncTimes) record(took time.Duration) {
+	p.longest = max(took, p.longest-time.Duration(longestSyncDecay*float64(p.longest)))
+	if took < slowSyncTime {
+		p.consecutiveSlow = 0
 		return
 	}
-	p.slow++
+	p.consecutiveSlow++
 }
 
-// ticks is how long a sync takes of late, 0 while the disk is fast.
-func (p *diskPace) ticks(every time.Duration) int {
-	if p.recent < slowSync {
+// ticks returns the longest recent sync time in ticks, 0 while the disk is
+// fast.
+func (p *syncTimes) ticks(every time.Duration) int {
+	if p.longest < slowSyncTime {
 		return 0
 	}
-	return int((p.recent + every - 1) / every)
+	return int((p.longest + every - 1) / every)
 }
 
-// mustHandOver says whether the disk is too slow for a leader, at most once in
-// handOverEvery.
-func (p *diskPace) mustHandOver(now time.Duration) bool {
-	if p.slow < slowSyncs || p.handedAt > 0 && now-p.handedAt < handOverEvery {
+// allowsHandover reports whether the disk is too slow for a leader. When it
+// returns true it records now as the time of the handover, so it does so at
+// most once per handoverInterval.
+func (p *syncTimes) allowsHandover(now time.Duration) bool {
+	if p.consecutiveSlow < minSlowSyncs || p.lastHandover > 0 && now-p.lastHandover < handoverInterval {
 		return false
 	}
-	p.handedAt = now
+	p.lastHandover = now
 	return true
 }
 
-// clearlyFaster says whether a voter's disk is worth a hand-over from one whose
-// syncs take so many ticks.
+// clearlyFaster reports whether a voter's disk is so much faster that a
+// handover is worthwhile; own is the sync time of the leader in ticks.
 func clearlyFaster(p quorum.PeerStatus, own int) bool {
-	return float64(p.SyncTicks) <= fasterShare*float64(own)
+	return float64(p.SyncTicks) <= fasterRatio*float64(own)
 }
 
-// leaveSlowDisk hands leadership over when this voter's disk has become slow.
-// Otherwise the leader would be confirmed and not confirmed by turns for as
-// long as that lasts, and refuse requests in between, while the others hear its
-// heartbeats and elect nobody.
+// handOverIfDiskSlow transfers leadership when the disk of this leader has
+// become slow. Otherwise the leader would keep losing and regaining its
+// confirmation for as long as that lasts and refuse requests in between, while
+// the others receive its heartbeats and hold no election.
 //
 // Where all voters sync to one slow storage the next leader would be no better,
-// and each change of leader refuses requests; then it stays.
-func (d *driver) leaveSlowDisk() {
-	if d.disk.slow < slowSyncs || d.raft.Status().Role != quorum.RoleLeader {
+// and each change of leader causes refused requests; then leadership stays.
+func (d *driver) handOverIfDiskSlow() {
+	if d.syncTimes.consecutiveSlow < minSlowSyncs || d.raft.Status().Role != quorum.RoleLeader {
 		return
 	}
-	own := d.disk.ticks(d.config.TickEvery)
+	own := d.syncTimes.ticks(d.config.TickEvery)
 	faster := func(p quorum.PeerStatus) bool { return clearlyFaster(p, own) }
-	if !slices.ContainsFunc(d.raft.Peers(), faster) || !d.disk.mustHandOver(d.config.Clock()) {
+	if !slices.ContainsFunc(d.raft.Peers(), faster) || !d.syncTimes.allowsHandover(d.config.Clock()) {
 		return
 	}
 	if err := d.transferTo(faster); err != nil {
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -9,44 +9,45 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// Symptom: for as long as a leader's disk is slow, requests are refused every
-// few hundred milliseconds. Sequence: each sync takes 225 ms, the leader's duty
-// takes in no answers meanwhile, its lease lapses and comes back, the others
-// hear its heartbeats and elect nobody. Cause: a slow disk kept the leader.
-func TestASlowDiskHandsOverOnce(t *testing.T) {
+// Guards against a leader that stays on a slow disk: each sync takes 225 ms,
+// the driver processes no replies meanwhile, and the lease lapses and is
+// renewed, while the others receive its heartbeats and hold no election.
+// Requests are then refused every few hundred milliseconds for as long as the
+// disk is slow.
+func TestSlowDiskHandsOverOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Hour
-	var p diskPace
-	p.synced(225 * time.Millisecond)
-	is.True(!p.mustHandOver(now)) // one may be chance
-	p.synced(9 * time.Millisecond)
-	p.synced(225 * time.Millisecond)
-	is.True(!p.mustHandOver(now))
-	p.synced(225 * time.Millisecond)
-	is.True(p.mustHandOver(now))
-	p.synced(225 * time.Millisecond)
-	is.True(!p.mustHandOver(now + time.Second)) // all disks may be slow
-	is.True(p.mustHandOver(now + handOverEvery))
+	var p syncTimes
+	p.record(225 * time.Millisecond)
+	is.True(!p.allowsHandover(now)) // a single slow sync is not enough
+	p.record(9 * time.Millisecond)
+	p.record(225 * time.Millisecond)
+	is.True(!p.allowsHandover(now))
+	p.record(225 * time.Millisecond)
+	is.True(p.allowsHandover(now))
+	p.record(225 * time.Millisecond)
+	is.True(!p.allowsHandover(now + time.Second)) // all disks may be slow
+	is.True(p.allowsHandover(now + handoverInterval))
 }
 
-// Symptom: leadership goes round in circles, and requests are refused at each
-// change. Sequence: all voters sync to one busy storage; a leader hands over to
-// one whose syncs take as long, which hands over in its turn. Cause: a slow disk
-// was taken for a reason to go though no other was known to be faster.
-func TestASlowDiskIsLeftOnlyForAFasterOne(t *testing.T) {
+// Guards against leadership that moves in circles, with refused requests at
+// each change: all voters sync to one busy storage, and a leader hands over to
+// a voter whose syncs take as long, which hands over in turn. A leader must
+// leave a slow disk only for one that is known to be faster.
+func TestHandoverOnlyToFasterDisk(t *testing.T) {
 	is := is.New(t)
 	const tick = 100 * time.Millisecond
-	var p diskPace
-	p.synced(9 * time.Millisecond)
+	var p syncTimes
+	p.record(9 * time.Millisecond)
 	is.Equal(p.ticks(tick), 0)
-	p.synced(390 * time.Millisecond)
+	p.record(390 * time.Millisecond)
 	own := p.ticks(tick)
 	is.Equal(own, 4)
 	is.True(!clearlyFaster(quorum.PeerStatus{SyncTicks: 4}, own))
 	is.True(!clearlyFaster(quorum.PeerStatus{SyncTicks: 3}, own))
 	is.True(clearlyFaster(quorum.PeerStatus{SyncTicks: 0}, own))
 	for range 8 {
-		p.synced(9 * time.Millisecond)
+		p.record(9 * time.Millisecond)
 	}
-	is.Equal(p.ticks(tick), 0) // fast again
+	is.Equal(p.ticks(tick), 0) // the disk is fast again
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,32 +9,34 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// Standing is how this voter sees the control log.
+// Standing is the state of the control log as seen by this voter.
 type Standing struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
 	Commit uint64
-	// Leads says that this voter is the leader.
+	// Leads is set when this voter is the leader.
 	Leads bool
-	// Confirmed says that this voter leads and heard from a quorum within its lease.
+	// Confirmed is set when this voter is the leader and received replies from a
+	// quorum within its lease.
 	Confirmed bool
 }
 
-// Status returns the quorum core's view as of the duty's last round. A
-// leader is Confirmed only while that round is fresh: after the process was
-// stopped for a while others could read the old status before the duty lets
-// the missed ticks pass, and act as a leader that was long replaced.
+// Status returns the quorum core's status as of the last round of the driver. A
+// leader is Confirmed only while that status is recent: when the process was
+// suspended, callers could read the old status before the driver has advanced
+// the clock by the missed ticks, and act on a leader that was replaced long
+// ago.
 func (r *Replica) Status() quorum.Status {
 	p := r.status.Load()
 	s := p.status
-	if r.config.Clock()-p.at > r.config.TickEvery*freshTicks(r.config.ElectionTicks) {
+	if r.config.Clock()-p.at > r.config.TickEvery*maxStatusAge(r.config.ElectionTicks) {
 		s.Confirmed = false
 	}
 	return s
 }
 
-// Standing returns Status in the terms of those outside the quorum.
+// Standing returns the part of Status that is relevant outside the quorum.
 func (r *Replica) Standing() Standing {
 	s := r.Status()
 	return Standing{
@@ -46,12 +48,13 @@
 	}
 }
 
-// ErrNoSuccessor says that no other voter answers, so that leadership stays.
+// ErrNoSuccessor is returned when no other voter can become leader, so that
+// leadership stays.
 var ErrNoSuccessor = errors.New("replica: no other voter can take over")
 
-// TransferLeadership hands leadership to the voter that is furthest, and
-// waits until this voter no longer leads. It returns nil at once when it does
-// not lead, ErrNoSuccessor, or the error of ctx.
+// TransferLeadership transfers leadership to the voter with the most complete
+// log, and waits until this voter is no longer the leader. It returns nil at
+// once when this voter is not the leader, ErrNoSuccessor, or the error of ctx.
 func (r *Replica) TransferLeadership(ctx context.Context) error {
 	for {
 		changed := r.notify.wait()
@@ -63,7 +66,7 @@
 		}
 		select {
 		case <-changed:
-		case <-r.ended:
+		case <-r.stopped:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
@@ -79,15 +82,15 @@
 	select {
 	case err := <-done:
 		return err
-	case <-r.ended:
+	case <-r.stopped:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// ReadIndex returns an index that covers everything committed before the
-// call, once a quorum confirmed that this voter still leads. Errors:
+// ReadIndex returns an index that covers everything committed before the call,
+// after a quorum has confirmed that this voter is still the leader. Errors:
 // ErrNotLeader, quorum.ErrBusy, the error of ctx.
 func (r *Replica) ReadIndex(ctx context.Context) (uint64, error) {
 	done := make(chan readOutcome, 1)
@@ -97,7 +100,7 @@
 	select {
 	case o := <-done:
 		return o.index, o.err
-	case <-r.ended:
+	case <-r.stopped:
 		return 0, ErrNotLeader{}
 	case <-ctx.Done():
 		return 0, ctx.Err()
--- a/internal/replica/storage_test.go
+++ b/internal/replica/storage_test.go
@@ -19,13 +19,12 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Symptom: a change that was accepted is gone after a power cut.
-// Sequence: the machine of a single voter stops within any call of its disk,
-// through founding, appends, snapshots and log compaction; it starts again
-// and is cut once more.
-// Cause: a proposer was answered before its command was durable, or the log
-// was shortened before the snapshot was durable.
-func TestPowerCutAtEveryStep(t *testing.T) {
+// Guards against the loss of an accepted change in a power cut. The machine of
+// a single voter stops within any call of its disk, during founding, appends,
+// snapshots and log compaction; it restarts and is cut once more. The failure
+// follows when a proposer gets its reply before the command is durable, or the
+// log is compacted before the snapshot is durable.
+func TestPowerCutAtEveryDiskCall(t *testing.T) {
 	steps := powerCut(t, 1<<30, 0)
 	stride := 1
 	if testing.Short() {
@@ -39,13 +38,14 @@
 	}
 }
 
-// powerCut runs a voter until the given call, twice, and returns the calls made.
+// powerCut runs a voter until the given disk call, twice, and returns the
+// number of calls.
 func powerCut(t *testing.T, crash int, seed uint64) int {
 	t.Helper()
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(seed, 9))
 	c := newCluster(t, "a")
-	c.tune = func(config *Config) { config.SnapshotEntries, config.SegmentBytes = 4, 300 }
+	c.adjustConfig = func(config *Config) { config.SnapshotEntries, config.SegmentBytes = 4, 300 }
 	var accepted, refused []string
 	disk := fakedisk.New()
 	steps := 0
@@ -53,7 +53,7 @@
 		disk.SetFault(crashAt(max(1, crash/(1+round*random.IntN(4)))))
 		n, err := c.tryStart("a", disk)
 		if err == nil {
-			c.until("leader or end", func() bool { return len(n.ended) > 0 || n.Status().Confirmed })
+			c.waitFor("leader or end of the voter", func() bool { return len(n.ended) > 0 || n.Status().Confirmed })
 		}
 		for i := 0; i < 14 && err == nil && len(n.ended) == 0; i++ {
 			command := fmt.Sprintf("%d/%d/%s", round, i, strings.Repeat("x", 60))
@@ -72,19 +72,18 @@
 	c.propose("end")
 	found := n.machine.commands()
 	for _, command := range accepted {
-		is.True(slices.Contains(found, command)) // accepted, so there
+		is.True(slices.Contains(found, command)) // an accepted command is present
 	}
 	for _, command := range refused {
-		is.True(!slices.Contains(found, command)) // not proposed, so not there
+		is.True(!slices.Contains(found, command)) // a command that was not proposed is absent
 	}
 	return steps
 }
 
-// Symptom: the process goes on after its disk failed, and promises what is
-// lost at the next start.
-// Sequence: a write, sync, create or rename fails, or the disk is full, while
-// commands are proposed.
-// Cause: an error of the disk was logged, or the call was tried again.
+// Guards against a process that continues after its disk failed, and so
+// acknowledges what is lost at the next start. A write, sync, create or rename
+// fails, or the disk is full, while commands are proposed; the error must
+// neither be only logged nor the call be retried.
 func TestStorageFailureEndsTheVoter(t *testing.T) {
 	for _, cause := range []error{syscall.EIO, syscall.ENOSPC} {
 		for _, kind := range []fakedisk.Kind{fakedisk.Write, fakedisk.Sync, fakedisk.Create, fakedisk.Rename, fakedisk.SyncDir} {
@@ -115,7 +114,7 @@
 	err := <-n.ended
 	n.ended <- err
 	var storage *datafolder.StorageError
-	is.True(errors.As(err, &storage) && storage.Remedy != "") // Run ends and says what to do
+	is.True(errors.As(err, &storage) && storage.Remedy != "") // Run ends with an error that names the remedy
 	is.True(errors.Is(err, cause))
 	is.True(errors.Is(last, state.ErrOutcomeUnknown) || errors.Is(last, state.ErrNotProposed))
 	c.mu.Lock()
@@ -125,14 +124,13 @@
 	c.propose("end")
 	found := again.machine.commands()
 	for _, command := range append(accepted, "before") {
-		is.True(slices.Contains(found, command)) // what was promised is there
+		is.True(slices.Contains(found, command)) // every acknowledged command is present
 	}
 }
 
-// Symptom: a voter comes back with part of its files and votes a second time
-// in a term it voted in.
-// Sequence: the log, or the snapshot, is deleted while the identity stays.
-// Cause: missing files were taken for a new disk.
+// Guards against a second vote in the same term by a voter that lost part of
+// its files: the log or the snapshot is deleted while the identity stays.
+// Missing files must not be taken for a new disk.
 func TestMissingFilesAreRefused(t *testing.T) {
 	is := is.New(t)
 	for _, pattern := range []string{"/data/log", "/data/snapshot"} {
@@ -154,13 +152,12 @@
 	}
 }
 
-// Symptom: after power cuts at several voters an accepted change is gone, or
-// two voters hold different logs.
-// Sequence: machines stop within any call of their disks while commands are
-// committed, one after another or all at once, and start again on what their
-// disks kept.
-// Cause: a voter acknowledged, voted or shortened its log before that was
-// durable, so that a quorum's promise rested on less than a quorum.
+// Guards against lost changes and diverging logs after power cuts at several
+// voters. Machines stop within any call of their disks while commands are
+// committed, one after another or all at once, and restart on what their disks
+// kept. The failure follows when a voter acknowledges, votes or compacts its
+// log before that is durable, so that less than a quorum holds what a quorum
+// acknowledged.
 func TestPowerCutsOfTheSite(t *testing.T) {
 	runs := uint64(8)
 	if steps, err := strconv.ParseUint(os.Getenv("COMFREYLOOM_STEPS"), 10, 64); err == nil {
@@ -188,8 +185,8 @@
 		}
 		for i := range 20 {
 			command := fmt.Sprintf("%d/%d", round, i)
-			c.until("leader or crash", func() bool { return c.confirmed() || c.crashed() })
-			for _, n := range c.all() {
+			c.waitFor("leader or crash", func() bool { return c.confirmed() || c.crashed() })
+			for _, n := range c.reachable() {
 				if n.Status().Confirmed && c.tryPropose(n, command) == nil {
 					accepted = append(accepted, command)
 				}
@@ -198,24 +195,24 @@
 				c.restartCrashed(random)
 			}
 		}
-		for _, n := range c.all() {
+		for _, n := range c.reachable() {
 			n.disk.SetFault(nil)
 		}
 		c.restartCrashed(random)
 	}
 	c.propose("end")
-	found := c.agree()
+	found := c.waitForAgreement()
 	at := 0
 	for _, command := range accepted {
 		next := slices.Index(found[at:], command)
-		is.True(next >= 0) // accepted, so there, and in order
+		is.True(next >= 0) // accepted commands are present and in order
 		at += next + 1
 	}
-	is.True(len(accepted) > 20) // the run was not idle
+	is.True(len(accepted) > 20) // enough commands were accepted for the check to mean something
 }
 
 func (c *cluster) confirmed() bool {
-	for _, n := range c.all() {
+	for _, n := range c.reachable() {
 		if n.Status().Confirmed {
 			return true
 		}
@@ -224,7 +221,7 @@
 }
 
 func (c *cluster) crashed() bool {
-	for _, n := range c.all() {
+	for _, n := range c.reachable() {
 		if len(n.ended) > 0 {
 			return true
 		}
@@ -233,7 +230,7 @@
 }
 
 func (c *cluster) restartCrashed(random *rand.Rand) {
-	for name, n := range c.all() {
+	for name, n := range c.reachable() {
 		if len(n.ended) > 0 {
 			c.mu.Lock()
 			delete(c.nodes, name)
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -13,15 +13,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// handle does one Ready in the order that keeps every promise: what binds
-// this voter is durable before a message that follows from it leaves, and an
-// entry is applied before its proposer is answered.
+// handle processes one Ready in the order that durability requires: state that
+// commits this voter is durable before a message that depends on it is sent,
+// and an entry is applied before its proposer gets a reply.
 func (d *driver) handle(rd quorum.Ready) error {
 	d.send(rd.Messages, false)
 	if err := d.store(rd); err != nil {
 		return err
 	}
-	if err := d.checkPromises(rd.Messages); err != nil {
+	if err := d.checkDurableBeforeSend(rd.Messages); err != nil {
 		return err
 	}
 	d.send(rd.Messages, true)
@@ -34,8 +34,9 @@
 	return d.takeSnapshot()
 }
 
-// store makes hard state, snapshot and entries durable, entries and hard
-// state by one sync. After an error nothing was promised, and the duty ends.
+// store makes hard state, snapshot and entries durable; entries and hard state
+// share one sync. After an error nothing has been acknowledged, and the driver
+// ends.
 func (d *driver) store(rd quorum.Ready) error {
 	if rd.Snapshot != nil {
 		if err := d.saver.save(*rd.Snapshot); err != nil {
@@ -54,18 +55,18 @@
 	}
 	d.counters.syncs.Inc(1)
 	d.counters.syncTime.UpdateSince(start)
-	d.disk.synced(time.Since(start))
-	d.raft.SetSyncTicks(d.disk.ticks(d.config.TickEvery))
+	d.syncTimes.record(time.Since(start))
+	d.raft.SetSyncTicks(d.syncTimes.ticks(d.config.TickEvery))
 	return nil
 }
 
-// send passes on the messages that make a promise, or the others. Messages to
-// one voter stay in order.
-func (d *driver) send(messages []quorum.Message, promises bool) {
+// send sends either the messages that depend on durable state or the others.
+// Messages to one voter stay in order.
+func (d *driver) send(messages []quorum.Message, needDurable bool) {
 	var nodes []model.NodeID
 	batches := map[model.NodeID][]quorum.Message{}
 	for i := range messages {
-		if messages[i].RequiresSync() != promises {
+		if messages[i].RequiresSync() != needDurable {
 			continue
 		}
 		node := datafolder.NodeOf(messages[i].To)
@@ -79,7 +80,7 @@
 	}
 }
 
-// install replaces the state by a snapshot that a leader sent.
+// install replaces the state by a snapshot received from a leader.
 func (d *driver) install(s *quorum.Snapshot) error {
 	if s == nil {
 		return nil
@@ -88,7 +89,7 @@
 		return fmt.Errorf("restore a received snapshot: %w", err)
 	}
 	d.counters.installed.Inc(1)
-	d.sinceSnap = snapshotDebt{}
+	d.sinceSnapshot = appliedSize{}
 	d.feed.reset(s)
 	n := d.waiters.unknown("a snapshot took the place of the command", func(index uint64, _ *waiter) bool {
 		return index <= s.Meta.Index
@@ -101,26 +102,27 @@
 func (d *driver) apply(entries []quorum.Entry) {
 	for i := range entries {
 		e := &entries[i]
-		d.waiters.applied(e.Index, e.Term, d.applyOne(e))
-		d.sinceSnap.bytes += len(e.Data)
+		d.waiters.applied(e.Index, e.Term, d.applyEntry(e))
+		d.sinceSnapshot.bytes += len(e.Data)
 	}
-	d.sinceSnap.entries += len(entries)
+	d.sinceSnapshot.entries += len(entries)
 	d.counters.applied.Inc(int64(len(entries)))
 	d.feed.append(entries)
 }
 
-// applyOne feeds the state machine; entries of the quorum's own only advance it.
-func (d *driver) applyOne(e *quorum.Entry) state.Result {
+// applyEntry applies an entry to the state machine; entries of the quorum core
+// itself only advance its applied index.
+func (d *driver) applyEntry(e *quorum.Entry) state.Result {
 	if e.Kind != quorum.EntryCommand {
 		return d.config.Machine.Apply(e.Index, nil)
 	}
 	return d.config.Machine.Apply(e.Index, e.Data)
 }
 
-// takeSnapshot takes one when enough was applied since the last, and leaves
-// the writing to another duty.
+// takeSnapshot encodes a snapshot when enough was applied since the last one; a
+// background task writes it.
 func (d *driver) takeSnapshot() error {
-	due := d.sinceSnap.entries >= d.config.SnapshotEntries || d.sinceSnap.bytes >= d.config.SnapshotBytes
+	due := d.sinceSnapshot.entries >= d.config.SnapshotEntries || d.sinceSnapshot.bytes >= d.config.SnapshotBytes
 	if !due || d.saving {
 		return nil
 	}
@@ -133,11 +135,11 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	d.saving = true
-	d.sinceSnap = snapshotDebt{}
+	d.sinceSnapshot = appliedSize{}
 	return d.toSave.TryPut(quorum.Snapshot{Meta: meta, Data: data})
 }
 
-// saveSnapshots is the duty that writes snapshots.
+// saveSnapshots is the background task that writes snapshots.
 func (d *driver) saveSnapshots(ctx context.Context) error {
 	for {
 		s, err := d.toSave.Get(ctx)
@@ -153,14 +155,14 @@
 	}
 }
 
-// snapshotSaved drops what the durable snapshot stands for. Some entries
-// before it stay for followers that lag a little.
+// snapshotSaved drops what the durable snapshot covers. Some entries before it
+// are kept for followers that lag behind a little.
 func (d *driver) snapshotSaved(s quorum.Snapshot) {
 	d.saving = false
 	d.counters.snapshots.Inc(1)
 	d.raft.SetSnapshot(s)
 	d.feed.compact(&s, d.config.KeepEntries)
 	if err := d.log.Compact(s.Meta.Index + 1); err != nil {
-		d.fatal = err
+		d.fatalErr = err
 	}
 }
