--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// BenchmarkAppend measures one synced append and the bytes that an entry of
-// 200 bytes takes, alone or together with others.
+// BenchmarkAppend measures one synced append and the overhead in bytes of an
+// entry of 200 bytes, alone or together with others.
 func BenchmarkAppend(b *testing.B) {
 	for _, together := range []int{1, 64} {
 		b.Run(fmt.Sprintf("entries=%d", together), func(b *testing.B) {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -14,10 +14,10 @@
 //	       8  CRC-32C of the payload
 //	      12  CRC-32C of the header before this field
 //
-// Numbers are little-endian. Both checksums start from the segment's sequence
-// and the frame's offset, so that a frame is valid in its own place only: a
-// copy inside another payload or a block written to the wrong place is not
-// taken for a record.
+// Numbers are little-endian. Both checksums are seeded with the segment's
+// sequence and the frame's offset, so that a frame is valid only at its own
+// position: a copy inside another payload, or a block written to the wrong
+// place, is not taken for a record.
 const (
 	headerSize           = 16
 	frameMagic           = 0xC10E
@@ -31,39 +31,39 @@
 type recordKind uint8
 
 const (
-	// kindHeader opens each segment.
+	// kindHeader is the first record of each segment.
 	kindHeader recordKind = iota + 1
-	// kindBatch is what one Append or Restart stored.
+	// kindBatch holds what one Append or Restart stored.
 	kindBatch
 	kindEnd
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameStatus is what the bytes at an offset turned out to be.
+// frameStatus is the result of reading a frame.
 type frameStatus uint8
 
 const (
 	frameValid frameStatus = iota
 	// frameShort: the file ends within the frame.
 	frameShort
-	// frameBad: the bytes are no valid frame.
+	// frameBad: the bytes are not a valid frame.
 	frameBad
 )
 
-// frame is a record as it was found in a segment.
+// frame is a record as found in a segment.
 type frame struct {
 	kind    recordKind
 	payload []byte
-	// end is the offset behind the frame, or as far as it is known to reach.
+	// end is the offset after the frame, as far as it is known.
 	end int
 }
 
-// sealFrame fills in the header of buf, which holds headerSize free bytes and
-// then the payload.
-func sealFrame(buf []byte, kind recordKind, sequence uint64, offset int64) {
+// writeFrameHeader fills in the header of buf, which consists of headerSize
+// reserved bytes followed by the payload.
+func writeFrameHeader(buf []byte, kind recordKind, sequence uint64, offset int64) {
 	payload := buf[headerSize:]
-	seed := placeSeed(sequence, offset)
+	seed := positionSeed(sequence, offset)
 	binary.LittleEndian.PutUint16(buf, frameMagic)
 	buf[2] = byte(kind)
 	buf[3] = formatVersion
@@ -73,13 +73,13 @@
 	binary.LittleEndian.PutUint32(buf[headerCRCOffset:], headerCRC)
 }
 
-// readFrame reads the frame at offset of a segment.
+// readFrame reads the frame at an offset of a segment.
 func readFrame(data []byte, sequence uint64, offset int) (frame, frameStatus) {
 	rest := data[offset:]
 	if len(rest) < headerSize {
 		return frame{end: len(data)}, frameShort
 	}
-	seed := placeSeed(sequence, int64(offset))
+	seed := positionSeed(sequence, int64(offset))
 	kind := recordKind(rest[2])
 	length := int64(binary.LittleEndian.Uint32(rest[4:]))
 	if !headerValid(rest, seed) || kind == 0 || kind >= kindEnd || length > maxPayload {
@@ -103,14 +103,15 @@
 	return crc32.Update(seed, castagnoli, rest[:headerCRCOffset]) == binary.LittleEndian.Uint32(rest[headerCRCOffset:])
 }
 
-func placeSeed(sequence uint64, offset int64) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:], sequence)
-	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
-	return crc32.Checksum(place[:], castagnoli)
+// positionSeed returns the checksum seed of a frame at a position.
+func positionSeed(sequence uint64, offset int64) uint32 {
+	var position [16]byte
+	binary.LittleEndian.PutUint64(position[:], sequence)
+	binary.LittleEndian.PutUint64(position[8:], uint64(offset))
+	return crc32.Checksum(position[:], castagnoli)
 }
 
-// validFrameAfter says whether any valid frame starts behind offset.
+// validFrameAfter reports whether a valid frame starts after offset.
 func validFrameAfter(data []byte, sequence uint64, offset int) bool {
 	for at := offset + 1; at+headerSize <= len(data); at++ {
 		if binary.LittleEndian.Uint16(data[at:]) != frameMagic {
@@ -123,9 +124,9 @@
 	return false
 }
 
-// hasEmptySector says whether a sector of data[from:to] is all zero. A crash
-// leaves whole sectors unwritten, never single bits changed; so a full-length
-// record without an empty sector was damaged after it had been stored.
+// hasEmptySector reports whether a sector of data[from:to] is all zero. A crash
+// leaves whole sectors unwritten and never changes single bits, so a record of
+// full length without an empty sector was damaged after it had been stored.
 func hasEmptySector(data []byte, from, to int) bool {
 	for from < to {
 		next := min((from/sectorSize+1)*sectorSize, to)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -10,26 +10,27 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// CorruptError says which file is damaged, where, why, and what to do.
+// CorruptError names the damaged file, the offset, the cause and the remedy.
 type CorruptError = datafolder.CorruptError
 
-// ErrClosed says that the log was closed.
+// ErrClosed is returned after the log was closed.
 var ErrClosed = errors.New("wal: closed")
 
 const defaultSegmentBytes = 8 << 20
 
-// Options set up a log.
+// Options configures a log.
 type Options struct {
-	// Disk is the file system; nil is that of the operating system.
+	// Disk is the file system; nil selects that of the operating system.
 	Disk datafolder.FS
-	// SegmentBytes is the size from which on a new segment is begun; 0 is 8 MiB.
+	// SegmentBytes is the segment size from which a new segment is started; 0
+	// selects 8 MiB.
 	SegmentBytes int
-	// MayCreate lets Open begin a log in an empty directory. Without it an
-	// empty directory is an error: the log was there before and is lost.
+	// MayCreate allows Open to create a log in an empty directory. Without it an
+	// empty directory is an error: the log existed before and is lost.
 	MayCreate bool
 }
 
-// Log is an open log. It has one user at a time.
+// Log is an open log. It must not be used concurrently.
 type Log struct {
 	disk         datafolder.FS
 	dir          string
@@ -63,14 +64,14 @@
 	}
 	if len(r.segments) == 0 && !o.MayCreate {
 		return nil, Recovered{}, &CorruptError{File: dir,
-			Why: "the log is missing although this disk took part in the quorum", Remedy: datafolder.RemedyRejoin}
+			Why: "the log is missing, although this disk took part in the quorum", Remedy: datafolder.RemedyRejoin}
 	}
 	l := &Log{disk: o.Disk, dir: dir, segmentBytes: o.SegmentBytes,
-		segments: r.segments, hard: r.out.Hard, last: r.out.Last()}
-	if err := l.begin(r.tail); err != nil {
+		segments: r.segments, hard: r.result.Hard, last: r.result.Last()}
+	if err := l.rewriteLastSegment(r.tail); err != nil {
 		return nil, Recovered{}, err
 	}
-	return l, r.out, nil
+	return l, r.result, nil
 }
 
 func prepare(disk datafolder.FS, dir string) error {
@@ -84,10 +85,10 @@
 	return datafolder.RemoveTemporary(disk, dir)
 }
 
-// begin rewrites the valid content of the last segment, or makes the first.
-// Rewriting both cuts a torn tail and makes durable what may have been read
-// from memory only.
-func (l *Log) begin(tail []byte) error {
+// rewriteLastSegment rewrites the valid content of the last segment, or creates
+// the first segment. Rewriting cuts off a torn tail and makes durable what may
+// have been read from the page cache only.
+func (l *Log) rewriteLastSegment(tail []byte) error {
 	if len(l.segments) == 0 {
 		return l.newSegment(1)
 	}
@@ -113,7 +114,7 @@
 		return err
 	}
 	if l.file != nil {
-		_ = l.file.Close() // it was synced before
+		_ = l.file.Close() // it is already synced
 	}
 	l.file = file
 	l.size = int64(len(data))
@@ -121,16 +122,16 @@
 }
 
 // Append makes hard state and entries durable with one sync. An entry whose
-// index is there already replaces it and all that follow. After an error the
-// log takes nothing more, and the process must end.
+// index exists already replaces that entry and all that follow. After an error
+// the log accepts nothing more, and the process must end.
 func (l *Log) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	return l.store(&batch{Hard: hard, Entries: entries})
 }
 
-// Restart drops all entries and lets the log go on after index, which a
+// Restart drops all entries and lets the log continue after index, which a
 // durable snapshot covers.
 func (l *Log) Restart(hard *quorum.HardState, index uint64) error {
-	return l.store(&batch{Hard: hard, Restart: &index})
+	return l.store(&batch{Hard: hard, ResetTo: &index})
 }
 
 func (l *Log) store(b *batch) error {
@@ -140,17 +141,17 @@
 	if err := l.check(b); err != nil {
 		return err
 	}
-	if err := l.roll(); err != nil {
+	if err := l.startSegmentIfFull(); err != nil {
 		return l.fail(err)
 	}
 	if err := l.write(b); err != nil {
 		return l.fail(err)
 	}
-	l.stored(b)
+	l.updateState(b)
 	return nil
 }
 
-// check refuses what recovery would refuse, before it is on the disk.
+// check rejects what recovery would reject, before it is written.
 func (l *Log) check(b *batch) error {
 	if b.Hard != nil && b.Hard.Term < l.hard.Term {
 		return fmt.Errorf("wal: term %d after term %d", b.Hard.Term, l.hard.Term)
@@ -165,8 +166,8 @@
 	return nil
 }
 
-// roll begins a new segment when the current one is full.
-func (l *Log) roll() error {
+// startSegmentIfFull starts a new segment when the current one is full.
+func (l *Log) startSegmentIfFull() error {
 	if l.size < int64(l.segmentBytes) {
 		return nil
 	}
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// encode returns a sealed frame that is valid until the next call.
+// encode returns a complete frame that is valid until the next call.
 func (l *Log) encode(kind recordKind, v any, sequence uint64, offset int64) ([]byte, error) {
 	l.buffer.Reset()
 	l.buffer.Write(make([]byte, headerSize))
@@ -201,39 +202,41 @@
 	if len(data)-headerSize > maxPayload {
 		return nil, fmt.Errorf("wal: a record of %d bytes is above the limit of %d", len(data)-headerSize, maxPayload)
 	}
-	sealFrame(data, kind, sequence, offset)
+	writeFrameHeader(data, kind, sequence, offset)
 	return data, nil
 }
 
-func (l *Log) stored(b *batch) {
+// updateState records that a batch is durable.
+func (l *Log) updateState(b *batch) {
 	if b.Hard != nil {
 		l.hard = *b.Hard
 	}
-	if b.Restart != nil {
-		l.last = *b.Restart
+	if b.ResetTo != nil {
+		l.last = *b.ResetTo
 	}
 	if n := len(b.Entries); n > 0 {
 		l.last = b.Entries[n-1].Index
 		current := l.current()
-		current.highest = max(current.highest, l.last)
+		current.highestIndex = max(current.highestIndex, l.last)
 	}
 }
 
-// fail closes the log for good. Nothing tells which bytes of the failed write
-// are durable, and a second sync may report success without having stored them.
+// fail makes the log permanently failed. It is unknown which bytes of the
+// failed write are durable, and a second sync may report success without having
+// stored them.
 func (l *Log) fail(err error) error {
 	l.failed = err
 	return err
 }
 
-// Compact removes whole segments, oldest first, that hold nothing from index
-// before on. A durable snapshot must cover all entries below before. Each
-// removal is synced before the next, so that a crash leaves no gap.
+// Compact removes the oldest segments that hold no entry with index before or
+// later. A durable snapshot must cover all entries below before. Each removal
+// is synced before the next, so that a crash leaves no gap.
 func (l *Log) Compact(before uint64) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	for len(l.segments) > 1 && l.segments[0].highest < before {
+	for len(l.segments) > 1 && l.segments[0].highestIndex < before {
 		if err := l.removeOldest(); err != nil {
 			return l.fail(err)
 		}
@@ -253,7 +256,7 @@
 	return nil
 }
 
-// Close closes the log; what was appended is durable already.
+// Close closes the log; everything appended is already durable.
 func (l *Log) Close() error {
 	if errors.Is(l.failed, ErrClosed) {
 		return nil
@@ -262,16 +265,16 @@
 	return l.file.Close()
 }
 
-// Last is the index of the last durable entry.
+// Last returns the index of the last durable entry.
 func (l *Log) Last() uint64 { return l.last }
 
-// Hard is the last durable hard state.
+// Hard returns the last durable hard state.
 func (l *Log) Hard() quorum.HardState { return l.hard }
 
-// Syncs counts the records that were written and synced.
+// Syncs returns the number of records that were written and synced.
 func (l *Log) Syncs() uint64 { return l.syncs }
 
-// Segments is the number of segments on the disk.
+// Segments returns the number of segments on disk.
 func (l *Log) Segments() int { return len(l.segments) }
 
 func (l *Log) current() *segment { return &l.segments[len(l.segments)-1] }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -18,16 +18,16 @@
 
 const testDir = "/data/log"
 
-// contents is what a log must hold.
-type contents struct {
+// logContents is the expected content of a log.
+type logContents struct {
 	hard    quorum.HardState
-	floor   uint64 // entries up to here may be gone
+	floor   uint64 // entries up to this index may be missing
 	entries map[uint64]string
 	last    uint64
 }
 
-func (c contents) with(hard quorum.HardState, entries []quorum.Entry) contents {
-	next := contents{hard: hard, floor: c.floor, entries: map[uint64]string{}, last: c.last}
+func (c logContents) with(hard quorum.HardState, entries []quorum.Entry) logContents {
+	next := logContents{hard: hard, floor: c.floor, entries: map[uint64]string{}, last: c.last}
 	for index, data := range c.entries {
 		if len(entries) == 0 || index < entries[0].Index {
 			next.entries[index] = data
@@ -40,7 +40,7 @@
 	return next
 }
 
-func (c contents) equal(r *Recovered) bool {
+func (c logContents) equal(r *Recovered) bool {
 	if r.Hard != c.hard || r.Last() != c.last || r.Base > c.floor {
 		return false
 	}
@@ -52,7 +52,7 @@
 	return true
 }
 
-func entriesFrom(random *rand.Rand, first uint64, term uint64) []quorum.Entry {
+func randomEntries(random *rand.Rand, first uint64, term uint64) []quorum.Entry {
 	entries := make([]quorum.Entry, 1+random.IntN(4))
 	for i := range entries {
 		entries[i] = quorum.Entry{Index: first + uint64(i), Term: term, Kind: quorum.EntryCommand,
@@ -61,54 +61,54 @@
 	return entries
 }
 
-// workload appends, overwrites, restarts and compacts until a call fails. It
-// returns what was promised last and what the failed call would have added.
-func workload(l *Log, random *rand.Rand, promised contents) (contents, contents) {
+// workload appends, overwrites, resets and compacts until a call fails. It
+// returns the content that was acknowledged last, and the content with the
+// failed call included.
+func workload(l *Log, random *rand.Rand, acknowledged logContents) (logContents, logContents) {
 	for step := range 30 {
-		hard := quorum.HardState{Term: promised.hard.Term + uint64(random.IntN(2)), VotedFor: "a#1", Commit: promised.floor}
+		hard := quorum.HardState{Term: acknowledged.hard.Term + uint64(random.IntN(2)), VotedFor: "a#1", Commit: acknowledged.floor}
 		switch {
 		case step%10 == 9:
-			floor := promised.last + 5
-			pending := contents{hard: hard, floor: floor, last: floor, entries: map[uint64]string{}}
+			floor := acknowledged.last + 5
+			pending := logContents{hard: hard, floor: floor, last: floor, entries: map[uint64]string{}}
 			if l.Restart(&hard, floor) != nil {
-				return promised, pending
+				return acknowledged, pending
 			}
-			promised = pending
+			acknowledged = pending
 		case step%5 == 4:
-			promised.floor = max(promised.floor, promised.last-min(2, promised.last))
-			if l.Compact(promised.floor+1) != nil {
-				return promised, promised
+			acknowledged.floor = max(acknowledged.floor, acknowledged.last-min(2, acknowledged.last))
+			if l.Compact(acknowledged.floor+1) != nil {
+				return acknowledged, acknowledged
 			}
 		default:
-			first := promised.floor + 1 + uint64(random.IntN(int(promised.last-promised.floor)+1))
-			entries := entriesFrom(random, first, hard.Term)
-			pending := promised.with(hard, entries)
+			first := acknowledged.floor + 1 + uint64(random.IntN(int(acknowledged.last-acknowledged.floor)+1))
+			entries := randomEntries(random, first, hard.Term)
+			pending := acknowledged.with(hard, entries)
 			if l.Append(&hard, entries) != nil {
-				return promised, pending
+				return acknowledged, pending
 			}
-			promised = pending
+			acknowledged = pending
 		}
 	}
-	return promised, promised
+	return acknowledged, acknowledged
 }
 
 func open(disk datafolder.FS) (*Log, Recovered, error) {
 	return Open(testDir, Options{Disk: disk, SegmentBytes: 2000, MayCreate: true})
 }
 
-// Symptom: after a power cut a voter has forgotten a vote or an entry that it
-// had acknowledged, or it refuses to start although nothing is damaged.
-// Sequence: the machine stops within any create, write, sync, rename, remove
-// or directory sync of the log; the disk keeps any part of what was not synced.
-// Then the voter recovers, goes on, and is cut again.
-// Cause: something was promised before it was durable, or a torn tail was
-// taken for damage.
-func TestCrashAtEveryStep(t *testing.T) {
+// Guards against a vote or acknowledged entry that is lost in a power cut, and
+// against a voter that does not start although nothing is damaged. The machine
+// stops within any create, write, sync, rename, remove or directory sync of the
+// log, and the disk keeps any part of what was not synced. Then the voter
+// recovers, continues, and is cut once more. The failure follows when something
+// is acknowledged before it is durable, or a torn tail is taken for damage.
+func TestCrashAtEveryDiskCall(t *testing.T) {
 	is := is.New(t)
 	probe := fakedisk.New()
 	l, _, err := open(probe)
 	is.NoErr(err)
-	workload(l, rand.New(rand.NewPCG(1, 1)), contents{})
+	workload(l, rand.New(rand.NewPCG(1, 1)), logContents{})
 	steps := probe.Ops()
 	for crash := 1; crash <= steps; crash++ {
 		for seed := range uint64(8) {
@@ -120,38 +120,38 @@
 func crashTwice(t *testing.T, crash int, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 7))
-	promised, pending := contents{}, contents{}
+	acknowledged, pending := logContents{}, logContents{}
 	disk := fakedisk.New()
 	for round := range 2 {
 		at := crash
 		if round == 1 {
-			at = 1 + random.IntN(12) // often within the recovery itself
+			at = 1 + random.IntN(12) // often during recovery itself
 		}
 		disk.SetFault(crashAt(at))
 		if l, recovered, err := open(disk); err == nil {
-			mustHold(t, crash, seed, &recovered, promised, pending)
-			promised = asFound(&recovered, promised, pending)
-			promised, pending = workload(l, rand.New(rand.NewPCG(1, 1)), promised)
+			checkRecovered(t, crash, seed, &recovered, acknowledged, pending)
+			acknowledged = matching(&recovered, acknowledged, pending)
+			acknowledged, pending = workload(l, rand.New(rand.NewPCG(1, 1)), acknowledged)
 		}
 		disk = disk.Reboot(random)
 	}
 	_, recovered, err := open(disk)
 	if err != nil {
-		t.Fatalf("crash at %d seed %d: refused: %v", crash, seed, err)
+		t.Fatalf("crash at %d seed %d: open failed: %v", crash, seed, err)
 	}
-	mustHold(t, crash, seed, &recovered, promised, pending)
+	checkRecovered(t, crash, seed, &recovered, acknowledged, pending)
 }
 
-func mustHold(t *testing.T, crash int, seed uint64, r *Recovered, promised, pending contents) {
+func checkRecovered(t *testing.T, crash int, seed uint64, r *Recovered, acknowledged, pending logContents) {
 	t.Helper()
-	if !promised.equal(r) && !pending.equal(r) {
-		t.Fatalf("crash at %d seed %d: promised %+v, recovered %+v", crash, seed, promised, r)
+	if !acknowledged.equal(r) && !pending.equal(r) {
+		t.Fatalf("crash at %d seed %d: acknowledged %+v, recovered %+v", crash, seed, acknowledged, r)
 	}
 }
 
-func asFound(r *Recovered, promised, pending contents) contents {
-	if promised.equal(r) {
-		return promised
+func matching(r *Recovered, acknowledged, pending logContents) logContents {
+	if acknowledged.equal(r) {
+		return acknowledged
 	}
 	return pending
 }
@@ -165,37 +165,37 @@
 	}
 }
 
-// Symptom: a voter starts on a damaged log and has lost entries it promised.
-// Sequence: a bit flips in a stored record, in its header or payload, in the
-// first, a middle or the last record, or a segment is gone or cut short.
-// Cause: damage was taken for a torn tail and cut off.
-func TestDamageIsRefused(t *testing.T) {
+// Guards against a voter that starts on a damaged log and has lost entries it
+// acknowledged: damage must not be taken for a torn tail and cut off. A bit
+// flips in the header or payload of the first, a middle or the last record, or
+// a segment is missing or truncated.
+func TestDamagedLogIsRefused(t *testing.T) {
 	is := is.New(t)
 	for segments := 1; segments <= 2; segments++ {
-		_, offsets, size := damagedLog(t, 0)
+		_, offsets, size := writeLog(t, 0)
 		for _, offset := range offsets {
 			for _, at := range []int{offset, offset + 3, offset + 5, offset + 9, offset + 13, offset + headerSize + 4} {
-				disk, _, _ := damagedLog(t, segments)
+				disk, _, _ := writeLog(t, segments)
 				disk.Flip(filepath.Join(testDir, segmentName(1)), min(at, size-1), uint(at))
 				_, _, err := open(disk)
 				var corrupt *CorruptError
-				is.True(errors.As(err, &corrupt))                  // refused
-				is.Equal(corrupt.Offset, int64(offset))            // names the place
+				is.True(errors.As(err, &corrupt))                  // Open fails
+				is.Equal(corrupt.Offset, int64(offset))            // names the offset
 				is.Equal(filepath.Dir(corrupt.File), testDir)      // names the file
-				is.True(corrupt.Why != "" && corrupt.Remedy != "") // says why and what to do
+				is.True(corrupt.Why != "" && corrupt.Remedy != "") // names the cause and the remedy
 			}
 		}
 	}
-	disk, offsets, _ := damagedLog(t, 1)
+	disk, offsets, _ := writeLog(t, 1)
 	disk.Zero(filepath.Join(testDir, segmentName(1)), offsets[1], offsets[2])
 	_, _, err := open(disk)
 	var corrupt *CorruptError
 	is.True(errors.As(err, &corrupt)) // a lost block looks like a torn tail, but records follow
-	disk, offsets, _ = damagedLog(t, 2)
+	disk, offsets, _ = writeLog(t, 2)
 	disk.Truncate(filepath.Join(testDir, segmentName(1)), offsets[len(offsets)-2])
 	_, _, err = open(disk)
-	is.True(errors.As(err, &corrupt)) // a segment before the last was cut at a record's end
-	disk, _, _ = damagedLog(t, 3)
+	is.True(errors.As(err, &corrupt)) // an earlier segment was truncated at the end of a record
+	disk, _, _ = writeLog(t, 3)
 	disk.Delete(filepath.Join(testDir, segmentName(2)))
 	_, _, err = open(disk)
 	is.True(errors.As(err, &corrupt)) // a segment in the middle is missing
@@ -203,9 +203,9 @@
 	is.True(errors.As(err, &corrupt)) // the whole log is missing on a disk that had one
 }
 
-// damagedLog writes several records to each of some segments; it returns the
-// offsets of the frames in the first and its size.
-func damagedLog(t *testing.T, segments int) (*fakedisk.Disk, []int, int) {
+// writeLog writes several records to each of some segments; it returns the
+// offsets of the frames in the first segment and its size.
+func writeLog(t *testing.T, segments int) (*fakedisk.Disk, []int, int) {
 	t.Helper()
 	is := is.New(t)
 	disk := fakedisk.New()
@@ -226,26 +226,26 @@
 	return disk, offsets, len(data)
 }
 
-// Symptom: a voter acknowledges an entry that the next power cut removes.
-// Sequence: a sync fails; the kernel marks the pages clean; a second sync, or
-// the next process, finds nothing to write and is told that all is well.
-// Cause: the sync was tried again, or recovery trusted what it read.
+// Guards against an acknowledged entry that the next power cut removes. A sync
+// fails and the kernel marks the pages clean; a second sync, or the next
+// process, finds nothing to write and gets a success. The log must not retry
+// the sync, and recovery must not trust what it read.
 func TestFailedSyncIsFinal(t *testing.T) {
 	for _, cause := range []error{syscall.EIO, syscall.ENOSPC} {
 		for _, kind := range []fakedisk.Kind{fakedisk.Write, fakedisk.Sync} {
-			failedCall(t, kind, cause)
+			testFailedCall(t, kind, cause)
 		}
 	}
 }
 
-func failedCall(t *testing.T, kind fakedisk.Kind, cause error) {
+func testFailedCall(t *testing.T, kind fakedisk.Kind, cause error) {
 	t.Helper()
 	is := is.New(t)
 	disk := fakedisk.New()
 	l, _, err := open(disk)
 	is.NoErr(err)
 	hard := quorum.HardState{Term: 1}
-	is.NoErr(l.Append(&hard, entriesFrom(rand.New(rand.NewPCG(1, 1)), 1, 1)))
+	is.NoErr(l.Append(&hard, randomEntries(rand.New(rand.NewPCG(1, 1)), 1, 1)))
 	kept := l.Last()
 	disk.SetFault(func(op fakedisk.Op) error {
 		if op.Kind == kind {
@@ -260,10 +260,10 @@
 	is.True(errors.As(first, &storage) && storage.Remedy != "")
 	disk.SetFault(nil)
 	ops := disk.Ops()
-	is.Equal(l.Append(&hard, lost), first) // the log stays failed
+	is.Equal(l.Append(&hard, lost), first) // the log remains failed
 	is.Equal(l.Compact(1), first)
-	is.Equal(disk.Ops(), ops) // and does not touch the disk again
-	is.Equal(l.Last(), kept)  // nothing was promised
+	is.Equal(disk.Ops(), ops) // and makes no further disk call
+	is.Equal(l.Last(), kept)  // nothing was acknowledged
 	is.Equal(l.Syncs(), uint64(1))
 
 	disk = disk.Restart() // the next process may read what is not durable
@@ -271,10 +271,10 @@
 	is.NoErr(err)
 	_, durable, err := open(disk.Reboot(rand.New(rand.NewPCG(2, 2))))
 	is.NoErr(err)
-	is.Equal(durable.Last(), read.Last()) // so it made it durable before it relied on it
+	is.Equal(durable.Last(), read.Last()) // so Open made durable what it read
 }
 
-func TestCompactKeepsWhatIsNeeded(t *testing.T) {
+func TestCompactKeepsNeededSegments(t *testing.T) {
 	is := is.New(t)
 	disk := fakedisk.New()
 	l, _, err := open(disk)
@@ -298,7 +298,7 @@
 	is.True(l.Append(nil, nil) != nil) // closed
 	l, _, err = open(disk.Reboot(rand.New(rand.NewPCG(1, 1))))
 	is.NoErr(err)
-	is.True(l.Append(nil, []quorum.Entry{{Index: 102, Term: 1}}) != nil) // a gap
-	is.True(l.Append(&quorum.HardState{}, nil) != nil)                   // a term that falls
+	is.True(l.Append(nil, []quorum.Entry{{Index: 102, Term: 1}}) != nil) // an entry after a gap
+	is.True(l.Append(&quorum.HardState{}, nil) != nil)                   // a lower term
 	is.NoErr(l.Append(nil, []quorum.Entry{{Index: 101, Term: 1}}))
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -6,8 +6,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// segmentHeader opens a segment. It repeats what older segments said, so that
-// those can be removed.
+// segmentHeader is the first record of a segment. It repeats the state that
+// older segments led to, so that those can be removed.
 type segmentHeader struct {
 	Sequence uint64           `cbor:"1,keyasint"`
 	Hard     quorum.HardState `cbor:"2,keyasint"`
@@ -15,15 +15,16 @@
 	Last uint64 `cbor:"3,keyasint"`
 }
 
-// batch is one append. Restart drops all entries and lets the log go on after
-// that index, which a snapshot covers.
+// batch is the content of one record. ResetTo drops all entries and lets the
+// log continue after that index, which a snapshot covers.
 type batch struct {
 	Hard    *quorum.HardState `cbor:"1,keyasint,omitempty"`
 	Entries []quorum.Entry    `cbor:"2,keyasint,omitempty"`
-	Restart *uint64           `cbor:"3,keyasint,omitempty"`
+	ResetTo *uint64           `cbor:"3,keyasint,omitempty"`
 }
 
-// maxElements bounds arrays when decoding; a batch is bounded by maxPayload.
+// maxElements limits the length of decoded arrays; the size of a batch is
+// limited by maxPayload.
 const maxElements = 1 << 24
 
 var encoder = func() cbor.UserBufferEncMode {
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// Recovered is what the log held when it was opened.
+// Recovered is the content of the log when it was opened.
 type Recovered struct {
 	// Hard is zero when none was stored.
 	Hard quorum.HardState
@@ -26,13 +26,13 @@
 	Segments int
 }
 
-// Last is the index of the last entry, or Base when there is none.
+// Last returns the index of the last entry, or Base when there is none.
 func (r *Recovered) Last() uint64 { return r.Base + uint64(len(r.Entries)) }
 
-// segment is a file of the log. Highest is the highest index it ever held.
+// segment is a file of the log. highestIndex is the highest index it ever held.
 type segment struct {
-	sequence uint64
-	highest  uint64
+	sequence     uint64
+	highestIndex uint64
 }
 
 const segmentSuffix = ".segment"
@@ -52,11 +52,11 @@
 
 // recovery reads the segments of a directory in order.
 type recovery struct {
-	disk     datafolder.FS
-	dir      string
-	out      Recovered
-	segments []segment
-	started  bool
+	disk      datafolder.FS
+	dir       string
+	result    Recovered
+	segments  []segment
+	hasHeader bool
 	// tail is the valid content of the last segment.
 	tail []byte
 }
@@ -68,13 +68,13 @@
 	}
 	for i, sequence := range sequences {
 		if i > 0 && sequence != sequences[i-1]+1 {
-			return r.corrupt(sequence, 0, fmt.Sprintf("segment %s before it is missing", segmentName(sequence-1)))
+			return r.corrupt(sequence, 0, fmt.Sprintf("the previous segment %s is missing", segmentName(sequence-1)))
 		}
 		if err := r.readSegment(sequence, i == len(sequences)-1); err != nil {
 			return err
 		}
 	}
-	r.out.Segments = len(sequences)
+	r.result.Segments = len(sequences)
 	return nil
 }
 
@@ -105,7 +105,7 @@
 		if status != frameValid {
 			return r.endSegment(sequence, data, offset, f, status, last)
 		}
-		if err := r.take(sequence, offset, f); err != nil {
+		if err := r.applyFrame(sequence, offset, f); err != nil {
 			return err
 		}
 		offset = f.end
@@ -117,8 +117,9 @@
 	return nil
 }
 
-// endSegment decides about a frame that is not valid: a torn tail is cut, and
-// anything else refuses the log, because cutting it would forget a promise.
+// endSegment handles an invalid frame: a torn tail is cut off; anything else
+// makes recovery fail, because cutting it off could drop an acknowledged entry
+// or vote.
 func (r *recovery) endSegment(sequence uint64, data []byte, offset int, f frame, status frameStatus, last bool) error {
 	switch {
 	case offset == 0:
@@ -130,78 +131,78 @@
 	case status == frameBad && !hasEmptySector(data, offset, f.end):
 		return r.corrupt(sequence, offset, "the last record has its full length but its checksum does not match")
 	}
-	r.out.CutBytes = len(data) - offset
+	r.result.CutBytes = len(data) - offset
 	r.tail = data[:offset]
 	return nil
 }
 
-func (r *recovery) take(sequence uint64, offset int, f frame) error {
+func (r *recovery) applyFrame(sequence uint64, offset int, f frame) error {
 	if (f.kind == kindHeader) != (offset == 0) {
-		return r.corrupt(sequence, offset, "a record of the wrong kind stands here")
+		return r.corrupt(sequence, offset, "a record of the wrong kind is at this offset")
 	}
 	if f.kind == kindHeader {
-		return r.takeHeader(sequence, f)
+		return r.applyHeader(sequence, f)
 	}
 	var b batch
 	if err := decoder.Unmarshal(f.payload, &b); err != nil {
 		return r.corrupt(sequence, offset, "a record has a valid checksum but cannot be decoded: "+err.Error())
 	}
-	r.out.Records++
-	return r.takeBatch(sequence, offset, &b)
+	r.result.Records++
+	return r.applyBatch(sequence, offset, &b)
 }
 
-func (r *recovery) takeHeader(sequence uint64, f frame) error {
+func (r *recovery) applyHeader(sequence uint64, f frame) error {
 	var h segmentHeader
 	if err := decoder.Unmarshal(f.payload, &h); err != nil {
 		return r.corrupt(sequence, 0, "the header of the segment cannot be decoded: "+err.Error())
 	}
 	if h.Sequence != sequence {
-		return r.corrupt(sequence, 0, fmt.Sprintf("the header says sequence %d", h.Sequence))
+		return r.corrupt(sequence, 0, fmt.Sprintf("the header has sequence %d", h.Sequence))
 	}
-	if r.started && h.Last != r.out.Last() {
-		return r.corrupt(sequence, 0, fmt.Sprintf("the segment goes on after index %d, the one before ends at %d", h.Last, r.out.Last()))
+	if r.hasHeader && h.Last != r.result.Last() {
+		return r.corrupt(sequence, 0, fmt.Sprintf("the segment continues after index %d, but the previous one ends at %d", h.Last, r.result.Last()))
 	}
-	if !r.started {
-		r.out.Base = h.Last
-		r.out.Hard = h.Hard
-		r.started = true
+	if !r.hasHeader {
+		r.result.Base = h.Last
+		r.result.Hard = h.Hard
+		r.hasHeader = true
 	}
 	return nil
 }
 
-func (r *recovery) takeBatch(sequence uint64, offset int, b *batch) error {
+func (r *recovery) applyBatch(sequence uint64, offset int, b *batch) error {
 	if b.Hard != nil {
-		if b.Hard.Term < r.out.Hard.Term {
-			return r.corrupt(sequence, offset, fmt.Sprintf("term %d follows term %d", b.Hard.Term, r.out.Hard.Term))
+		if b.Hard.Term < r.result.Hard.Term {
+			return r.corrupt(sequence, offset, fmt.Sprintf("term %d follows term %d", b.Hard.Term, r.result.Hard.Term))
 		}
-		r.out.Hard = *b.Hard
+		r.result.Hard = *b.Hard
 	}
-	if b.Restart != nil {
-		r.out.Base = *b.Restart
-		r.out.Entries = nil
+	if b.ResetTo != nil {
+		r.result.Base = *b.ResetTo
+		r.result.Entries = nil
 	}
 	for i := range b.Entries {
-		if !r.takeEntry(&b.Entries[i]) {
-			return r.corrupt(sequence, offset, fmt.Sprintf("entry %d follows entry %d", b.Entries[i].Index, r.out.Last()))
+		if !r.applyEntry(&b.Entries[i]) {
+			return r.corrupt(sequence, offset, fmt.Sprintf("entry %d follows entry %d", b.Entries[i].Index, r.result.Last()))
 		}
 	}
 	return nil
 }
 
-// takeEntry appends an entry, which may overwrite a suffix. The suffix may
-// reach back to before Base: the overwritten entries stood in a segment that
-// was removed since.
-func (r *recovery) takeEntry(e *quorum.Entry) bool {
-	if e.Index == 0 || e.Index > r.out.Last()+1 {
+// applyEntry appends an entry, which may overwrite a suffix. The suffix may
+// reach back to before Base: the overwritten entries were in a segment that was
+// removed since.
+func (r *recovery) applyEntry(e *quorum.Entry) bool {
+	if e.Index == 0 || e.Index > r.result.Last()+1 {
 		return false
 	}
-	if e.Index <= r.out.Base {
-		r.out.Base = e.Index - 1
-		r.out.Entries = nil
+	if e.Index <= r.result.Base {
+		r.result.Base = e.Index - 1
+		r.result.Entries = nil
 	}
-	r.out.Entries = append(r.out.Entries[:e.Index-r.out.Base-1], *e)
+	r.result.Entries = append(r.result.Entries[:e.Index-r.result.Base-1], *e)
 	current := &r.segments[len(r.segments)-1]
-	current.highest = max(current.highest, e.Index)
+	current.highestIndex = max(current.highestIndex, e.Index)
 	return true
 }
 
