--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot keeps the newest snapshot of a voter in one file, with a
-// versioned header and checksums. A new snapshot replaces the one before in
-// one step once it is durable; a damaged one refuses to be loaded.
+// Package snapshot stores the newest snapshot of a voter in one file, with a
+// versioned header and checksum. A new snapshot atomically replaces the
+// previous one once it is durable; a damaged one is not loaded.
 package snapshot
 
 import (
@@ -20,8 +20,8 @@
 const (
 	fileName      = "snapshot"
 	formatVersion = 1
-	// Header, little-endian: magic 8 bytes, version 4, CRC-32C of version,
-	// length and content 4, length of the content 8.
+	// The header is little-endian: magic, 8 bytes; version, 4; CRC-32C of
+	// version, length and content, 4; length of the content, 8.
 	headerSize    = 24
 	magic         = "CFLSNAP\n"
 	versionOffset = 8
@@ -29,11 +29,11 @@
 	lengthOffset  = 16
 )
 
-// remedy: nothing older can stand in for a damaged snapshot, because the
-// entries it covers are removed from the log.
+// remedy is to rejoin: no older snapshot can replace a damaged one, because the
+// entries that it covers are removed from the log.
 const remedy = datafolder.RemedyRejoin
 
-// Save makes a snapshot durable in dir and then replaces the one before.
+// Save makes a snapshot durable in dir and then replaces the previous one.
 func Save(disk datafolder.FS, dir string, s quorum.Snapshot) error {
 	data, err := encode(s)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return datafolder.Replace(disk, filepath.Join(dir, fileName), data)
 }
 
-// Load returns the snapshot in dir, or nil when none was ever saved. Errors
-// are *datafolder.CorruptError and *datafolder.StorageError.
+// Load returns the snapshot in dir, or nil when none was ever saved. Errors are
+// *datafolder.CorruptError and *datafolder.StorageError.
 func Load(disk datafolder.FS, dir string) (*quorum.Snapshot, error) {
 	if err := disk.MkdirAll(dir); err != nil {
 		return nil, datafolder.Failed("make folder", dir, err)
@@ -98,7 +98,7 @@
 	}
 	if length := binary.LittleEndian.Uint64(data[lengthOffset:]); length != uint64(len(data)-headerSize) {
 		return nil, corrupt(name, lengthOffset,
-			fmt.Sprintf("the header says %d bytes of content, the file has %d", length, len(data)-headerSize), remedy)
+			fmt.Sprintf("the header gives %d bytes of content, but the file has %d", length, len(data)-headerSize), remedy)
 	}
 	if checksum(data) != binary.LittleEndian.Uint32(data[crcOffset:]) {
 		return nil, corrupt(name, headerSize, "the checksum does not match", remedy)
@@ -110,7 +110,7 @@
 	return &s, nil
 }
 
-// checksum covers everything but the magic and the checksum itself.
+// checksum covers everything except the magic and the checksum itself.
 func checksum(data []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	sum := crc32.Checksum(data[versionOffset:crcOffset], table)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// Symptom: a voter starts without the snapshot that its shortened log needs.
-// Sequence: the machine stops, or the disk is full, within any call of a save.
-// Cause: the new file took the place of the old one before it was durable.
-func TestCrashAtEveryStep(t *testing.T) {
+// Guards against a voter that starts without the snapshot that its compacted
+// log needs. The machine stops, or the disk is full, within any call of a save;
+// the new file must not replace the old one before it is durable.
+func TestCrashAtEveryDiskCall(t *testing.T) {
 	is := is.New(t)
 	for crash := 1; crash <= 8; crash++ {
 		for seed := range uint64(16) {
@@ -47,15 +47,15 @@
 			found, loadErr := Load(disk.Reboot(rand.New(rand.NewPCG(seed, 1))), testDir)
 			is.NoErr(loadErr)
 			is.True(found != nil)
-			is.True(found.Meta.Index == 2 || err != nil) // what was saved is there
-			is.True(len(found.Data) == 3000)             // and whole, whichever it is
+			is.True(found.Meta.Index == 2 || err != nil) // a saved snapshot is present
+			is.True(len(found.Data) == 3000)             // and complete, whichever it is
 		}
 	}
 }
 
-// Symptom: a voter applies a damaged state and spreads it.
-// Cause: a snapshot was used without comparing its checksum.
-func TestDamageIsRefused(t *testing.T) {
+// Guards against a damaged state that is applied and spread to other voters
+// because the checksum of the snapshot was not compared.
+func TestDamagedSnapshotIsRefused(t *testing.T) {
 	is := is.New(t)
 	none, err := Load(fakedisk.New(), testDir)
 	is.NoErr(err)
