--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec is the one encoding of what is replicated: commands, rows,
-// snapshots and digests, as CBOR in its core deterministic form, so that equal
-// values encode to equal bytes on every VM.
+// Package codec encodes everything that is replicated: commands, rows,
+// snapshots and digests. It uses the core deterministic form of CBOR, so that
+// equal values encode to equal bytes on every VM.
 package codec
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxElements bounds the rows of one table in a snapshot and the items of one
+// maxElements limits the rows of one table in a snapshot and the items of one
 // list in a command.
 const maxElements = 1 << 20
 
@@ -21,13 +21,13 @@
 // Marshal encodes a value.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// MarshalToBuffer encodes a value behind what the buffer holds.
+// MarshalToBuffer appends the encoding of a value to a buffer.
 func MarshalToBuffer(v any, to *bytes.Buffer) error { return encoder.MarshalToBuffer(v, to) }
 
-// Unmarshal decodes a value. It refuses unknown fields, repeated keys, tags and
-// lists of open length: a VM with an older build that skipped a field would
-// silently apply another change than the rest of the site. Text need not be
-// UTF-8, since some of it is what callers sent.
+// Unmarshal decodes a value. It rejects unknown fields, duplicate keys, tags
+// and lists of indefinite length: a VM with an older build that skipped a field
+// would silently apply another change than the rest of the site. Text need not
+// be UTF-8, since some of it is what callers sent.
 func Unmarshal(data []byte, v any) error { return decoder.Unmarshal(data, v) }
 
 func mustEncoder() cbor.UserBufferEncMode {
