--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -169,8 +169,8 @@
 	}
 	return replica.Config{
 		Folder: m.Settings.Node.DataFolder, Site: siteName, Self: self, Members: founders,
-		Candidates: m.directory.Cores, Machine: m.machine, Transport: m.nodes, Bootstrapper: m.nodes,
-		TickEvery: tick, ReviewTicks: reviewTicks, Log: m.Logger, Metrics: m.Metrics,
+		Candidates: m.directory.Cores, StateMachine: m.machine, Transport: m.nodes, Bootstrapper: m.nodes,
+		TickInterval: tick, ReviewTicks: reviewTicks, Log: m.Logger, Metrics: m.Metrics,
 		// Only the leader answers requests and acts.
 		CommitsWithNext: true,
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -24,4 +24,4 @@
 }
 
 // Standing says how the replica sees the control log.
-func (v replicaVoter) Standing() Standing { return Standing(v.Replica.Standing()) }
+func (v replicaVoter) Standing() Standing { return Standing(v.Replica.Leadership()) }
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -306,7 +306,7 @@
 func (s *site) openReplica(tb testing.TB, p *process) *replica.Replica {
 	tb.Helper()
 	r, err := replica.Open(replica.Config{
-		Folder: filepath.Join(s.folders, string(p.name)), Site: testSite, Self: p.name, Members: s.voters, Machine: p.machine,
+		Folder: filepath.Join(s.folders, string(p.name)), Site: testSite, Self: p.name, Members: s.voters, StateMachine: p.machine,
 		Transport: p.client, Bootstrapper: p.client, Log: p.follower.config.Logger, Metrics: p.metrics,
 	})
 	is.New(tb).NoErr(err)
--- a/internal/replica/api.go
+++ b/internal/replica/api.go
@@ -10,8 +10,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Machine is the state machine to which the replica applies committed entries.
-type Machine interface {
+// StateMachine is the state machine to which the replica applies committed
+// entries.
+type StateMachine interface {
 	// Apply applies the command at index. Entries that hold no command for the
 	// state machine have nil data and only advance Applied.
 	Apply(index uint64, data []byte) state.Result
@@ -23,7 +24,7 @@
 	Applied() uint64
 }
 
-var _ Machine = (*state.Machine)(nil)
+var _ StateMachine = (*state.Machine)(nil)
 
 // Transport carries messages to other voters. It may lose, duplicate and
 // reorder them, and it never blocks: a message to a slow node is dropped.
@@ -41,9 +42,9 @@
 	Identify(ctx context.Context, node model.NodeID) (Identity, error)
 }
 
-// Feed is a part of the committed log for a follower: either Entries that start
-// at the requested index, or a Snapshot when that index was compacted.
-type Feed struct {
+// LogChunk is a part of the committed log for a follower: either Entries that
+// start at the requested index, or a Snapshot when that index was compacted.
+type LogChunk struct {
 	Entries  []quorum.Entry
 	Snapshot *quorum.Snapshot
 	// Commit is the index up to which the voter has applied the log.
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -26,7 +26,7 @@
 	c.adjustConfig = func(config *Config) {
 		config.Folder = filepath.Join(parent, string(config.Self))
 		config.Disk, config.Clock = nil, nil
-		config.TickEvery = 20 * time.Millisecond
+		config.TickInterval = 20 * time.Millisecond
 		config.SnapshotEntries, config.SnapshotBytes, config.SegmentBytes = 1<<30, 1<<40, 0
 	}
 	c.startAll()
@@ -116,8 +116,8 @@
 			b.Fatal(err)
 		}
 	}
-	if d.config.Machine.Applied() < applied {
-		b.Fatalf("applied %d of %d", d.config.Machine.Applied(), applied)
+	if d.config.StateMachine.Applied() < applied {
+		b.Fatalf("applied %d of %d", d.config.StateMachine.Applied(), applied)
 	}
 }
 
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -44,7 +44,7 @@
 func (d *driver) checkInvariants() error {
 	violations := d.raft.Check()
 	s := d.raft.Status()
-	if applied := d.config.Machine.Applied(); applied != s.Applied {
+	if applied := d.config.StateMachine.Applied(); applied != s.Applied {
 		violations = append(violations, fmt.Sprintf("applied index of the state machine is %d, of the core %d", applied, s.Applied))
 	}
 	if before := d.lastStatus; s.Commit < before.Commit || s.Applied < before.Applied || s.Term < before.Term {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -150,8 +150,8 @@
 	random := rand.New(rand.NewPCG(uint64(name[0]), 5))
 	config := Config{
 		Folder: "/data", Site: "port-klang", Self: name, Members: c.members,
-		Machine: machine, Transport: c, Bootstrapper: c, Disk: disk, Clock: c.clock, Random: random.IntN,
-		TickEvery: 2 * time.Millisecond, ElectionTicks: 12, HeartbeatTicks: 2, ReviewTicks: 5,
+		StateMachine: machine, Transport: c, Bootstrapper: c, Disk: disk, Clock: c.clock, Random: random.IntN,
+		TickInterval: 2 * time.Millisecond, ElectionTicks: 12, HeartbeatTicks: 2, ReviewTicks: 5,
 		SnapshotEntries: 20, KeepEntries: 5, SegmentBytes: 2000, Log: discardLogger,
 	}
 	c.adjustConfig(&config)
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	defaultTickEvery        = 100 * time.Millisecond
+	defaultTickInterval     = 100 * time.Millisecond
 	defaultElectionTicks    = 8
 	defaultHeartbeatTicks   = 2
 	defaultReviewTicks      = 50
@@ -24,8 +24,8 @@
 	defaultSnapshotEntries  = 10_000
 	defaultSnapshotBytes    = 8 << 20
 	defaultKeepEntries      = 1_000
-	defaultMessageRing      = 256
-	defaultProposalRing     = 4_096
+	defaultMessageRingSize  = 256
+	defaultProposalRingSize = 4_096
 	defaultMaxProposalBytes = 8 << 20
 	defaultMaxPendingBytes  = 16 << 20
 )
@@ -48,7 +48,7 @@
 	// unresponsive.
 	Candidates func() []model.NodeID
 
-	Machine      Machine
+	StateMachine StateMachine
 	Transport    Transport
 	Bootstrapper Bootstrapper
 
@@ -60,8 +60,8 @@
 	// Random returns a number in [0, n); a seeded generator by default.
 	Random func(n int) int
 
-	// TickEvery is the duration of a tick; 100 ms by default.
-	TickEvery time.Duration
+	// TickInterval is the duration of a tick; 100 ms by default.
+	TickInterval time.Duration
 	// ElectionTicks is the shortest time without a leader after which a voter
 	// starts an election; 8 by default.
 	ElectionTicks int
@@ -85,10 +85,11 @@
 	// SegmentBytes is the size of a log segment; 0 selects the log's default.
 	SegmentBytes int
 
-	// MessageRing is the number of message batches that may wait for the driver,
-	// 256 by default; ProposalRing that of commands, 4,096 by default.
-	MessageRing  int
-	ProposalRing int
+	// MessageRingSize is the number of message batches that may wait for the
+	// driver, 256 by default; ProposalRingSize that of commands, 4,096 by
+	// default.
+	MessageRingSize  int
+	ProposalRingSize int
 	// MaxProposalBytes limits the size of one command, 8 MiB by default;
 	// MaxPendingBytes that of all waiting commands, 16 MiB by default. Commands
 	// above a limit are refused as not proposed.
@@ -112,10 +113,10 @@
 		return errors.New("replica: config: Folder, Site and Self are needed")
 	case c.Candidates == nil && !slices.Contains(c.Members, c.Self):
 		return fmt.Errorf("replica: config: node %s is not among the voters %v", c.Self, c.Members)
-	case c.Machine == nil || c.Transport == nil || c.Bootstrapper == nil:
+	case c.StateMachine == nil || c.Transport == nil || c.Bootstrapper == nil:
 		return errors.New("replica: config: Machine, Transport and Bootstrapper are needed")
 	}
-	orDefault(&c.TickEvery, defaultTickEvery)
+	orDefault(&c.TickInterval, defaultTickInterval)
 	orDefault(&c.IdentifyTimeout, defaultIdentifyTimeout)
 	orDefault(&c.ElectionTicks, defaultElectionTicks)
 	orDefault(&c.HeartbeatTicks, defaultHeartbeatTicks)
@@ -123,8 +124,8 @@
 	orDefault(&c.SnapshotEntries, defaultSnapshotEntries)
 	orDefault(&c.SnapshotBytes, defaultSnapshotBytes)
 	orDefault(&c.KeepEntries, defaultKeepEntries)
-	orDefault(&c.MessageRing, defaultMessageRing)
-	orDefault(&c.ProposalRing, defaultProposalRing)
+	orDefault(&c.MessageRingSize, defaultMessageRingSize)
+	orDefault(&c.ProposalRingSize, defaultProposalRingSize)
 	orDefault(&c.MaxProposalBytes, defaultMaxProposalBytes)
 	orDefault(&c.MaxPendingBytes, defaultMaxPendingBytes)
 	c.completeEnvironment()
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -59,7 +59,7 @@
 	var meta quorum.SnapshotMeta
 	if r.loadedSnapshot != nil {
 		meta = r.loadedSnapshot.Meta
-		if err := r.config.Machine.Restore(r.loadedSnapshot.Data); err != nil {
+		if err := r.config.StateMachine.Restore(r.loadedSnapshot.Data); err != nil {
 			return nil, fmt.Errorf("restore the snapshot: %w", err)
 		}
 	}
@@ -114,8 +114,8 @@
 			Why: "the snapshot of the founding is missing", Remedy: datafolder.RemedyRejoin}
 	}
 	meta := quorum.FoundingMeta(founding.Voters)
-	r.config.Machine.Apply(meta.Index, nil)
-	data, err := r.config.Machine.Snapshot()
+	r.config.StateMachine.Apply(meta.Index, nil)
+	data, err := r.config.StateMachine.Snapshot()
 	if err != nil {
 		return fmt.Errorf("snapshot of the empty state: %w", err)
 	}
@@ -153,7 +153,7 @@
 
 func (d *driver) run(ctx context.Context) error {
 	defer d.failPending()
-	ticker := time.NewTicker(d.config.TickEvery)
+	ticker := time.NewTicker(d.config.TickInterval)
 	defer ticker.Stop()
 	for {
 		if err := d.round(); err != nil {
@@ -197,8 +197,8 @@
 // tick advances the core's clock. After a long suspension the number of ticks
 // is limited to what ends any lease and any election.
 func (d *driver) tick() {
-	passed := uint64((d.config.Clock() - d.lastTick) / d.config.TickEvery)
-	d.lastTick += time.Duration(passed) * d.config.TickEvery
+	passed := uint64((d.config.Clock() - d.lastTick) / d.config.TickInterval)
+	d.lastTick += time.Duration(passed) * d.config.TickInterval
 	for range min(passed, uint64(4*d.config.ElectionTicks)) {
 		d.ticks++
 		d.raft.Tick()
--- a/internal/replica/enter.go
+++ b/internal/replica/enter.go
@@ -15,7 +15,7 @@
 // enterSite queries the other voters until this disk is active. Each step is
 // durable before the next round of queries.
 func (r *Replica) enterSite(ctx context.Context) error {
-	ticker := time.NewTicker(r.config.TickEvery)
+	ticker := time.NewTicker(r.config.TickInterval)
 	defer ticker.Stop()
 	var previous identities
 	unanswered := ""
--- a/internal/replica/feed.go
+++ b/internal/replica/feed.go
@@ -75,20 +75,20 @@
 
 // read returns the available entries from an index on, or a channel that is
 // closed when there may be more.
-func (f *feed) read(from uint64, maxBytes int) (Feed, <-chan struct{}, error) {
+func (f *feed) read(from uint64, maxBytes int) (LogChunk, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
-		return Feed{}, nil, errStopped
+		return LogChunk{}, nil, errStopped
 	}
 	if from > f.applied {
-		return Feed{}, f.changed, nil
+		return LogChunk{}, f.changed, nil
 	}
 	first := f.applied - uint64(len(f.entries)) + 1
 	if from < first {
-		return Feed{Snapshot: f.snapshot, Commit: f.applied}, nil, nil
+		return LogChunk{Snapshot: f.snapshot, Commit: f.applied}, nil, nil
 	}
-	return Feed{Entries: limitBytes(f.entries[from-first:], maxBytes), Commit: f.applied}, nil, nil
+	return LogChunk{Entries: limitBytes(f.entries[from-first:], maxBytes), Commit: f.applied}, nil, nil
 }
 
 // limitBytes returns the first entries that have at most maxBytes together, but
@@ -107,7 +107,7 @@
 // Committed returns applied entries from an index on, at most maxBytes but at
 // least one entry, or a snapshot when that index was compacted. It waits until
 // there are entries or ctx ends.
-func (r *Replica) Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error) {
+func (r *Replica) Committed(ctx context.Context, from uint64, maxBytes int) (LogChunk, error) {
 	for {
 		piece, changed, err := r.feed.read(from, maxBytes)
 		if err != nil || changed == nil {
@@ -116,7 +116,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Feed{}, ctx.Err()
+			return LogChunk{}, ctx.Err()
 		}
 	}
 }
--- a/internal/replica/growing.go
+++ b/internal/replica/growing.go
@@ -25,8 +25,8 @@
 
 func (d *driver) unresponsiveLimits() unresponsiveLimits {
 	return unresponsiveLimits{
-		replace: uint64(replaceAfter / d.config.TickEvery),
-		remove:  uint64(removeAfter / d.config.TickEvery),
+		replace: uint64(replaceAfter / d.config.TickInterval),
+		remove:  uint64(removeAfter / d.config.TickInterval),
 	}
 }
 
--- a/internal/replica/slowdisk.go
+++ b/internal/replica/slowdisk.go
@@ -82,7 +82,7 @@
 	if d.syncTimes.consecutiveSlow < minSlowSyncs || d.raft.Status().Role != quorum.RoleLeader {
 		return
 	}
-	own := d.syncTimes.ticks(d.config.TickEvery)
+	own := d.syncTimes.ticks(d.config.TickInterval)
 	faster := func(p quorum.PeerStatus) bool { return clearlyFaster(p, own) }
 	if !slices.ContainsFunc(d.raft.Peers(), faster) || !d.syncTimes.allowsHandover(d.config.Clock()) {
 		return
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,8 +9,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// Standing is the state of the control log as seen by this voter.
-type Standing struct {
+// Leadership is the leader, the term and the commit index of the control log as
+// seen by this voter.
+type Leadership struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
@@ -30,16 +31,16 @@
 func (r *Replica) Status() quorum.Status {
 	p := r.status.Load()
 	s := p.status
-	if r.config.Clock()-p.at > r.config.TickEvery*maxStatusAge(r.config.ElectionTicks) {
+	if r.config.Clock()-p.at > r.config.TickInterval*maxStatusAge(r.config.ElectionTicks) {
 		s.Confirmed = false
 	}
 	return s
 }
 
-// Standing returns the part of Status that is relevant outside the quorum.
-func (r *Replica) Standing() Standing {
+// Leadership returns the part of Status that is relevant outside the quorum.
+func (r *Replica) Leadership() Leadership {
 	s := r.Status()
-	return Standing{
+	return Leadership{
 		Leader:    datafolder.NodeOf(s.Leader),
 		Term:      s.Term,
 		Commit:    s.Commit,
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -56,7 +56,7 @@
 	d.counters.syncs.Inc(1)
 	d.counters.syncTime.UpdateSince(start)
 	d.syncTimes.record(time.Since(start))
-	d.raft.SetSyncTicks(d.syncTimes.ticks(d.config.TickEvery))
+	d.raft.SetSyncTicks(d.syncTimes.ticks(d.config.TickInterval))
 	return nil
 }
 
@@ -85,7 +85,7 @@
 	if s == nil {
 		return nil
 	}
-	if err := d.config.Machine.Restore(s.Data); err != nil {
+	if err := d.config.StateMachine.Restore(s.Data); err != nil {
 		return fmt.Errorf("restore a received snapshot: %w", err)
 	}
 	d.counters.installed.Inc(1)
@@ -114,9 +114,9 @@
 // itself only advance its applied index.
 func (d *driver) applyEntry(e *quorum.Entry) state.Result {
 	if e.Kind != quorum.EntryCommand {
-		return d.config.Machine.Apply(e.Index, nil)
+		return d.config.StateMachine.Apply(e.Index, nil)
 	}
-	return d.config.Machine.Apply(e.Index, e.Data)
+	return d.config.StateMachine.Apply(e.Index, e.Data)
 }
 
 // takeSnapshot encodes a snapshot when enough was applied since the last one; a
@@ -126,11 +126,11 @@
 	if !due || d.saving {
 		return nil
 	}
-	meta, err := d.raft.SnapshotMeta(d.config.Machine.Applied())
+	meta, err := d.raft.SnapshotMeta(d.config.StateMachine.Applied())
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	data, err := d.config.Machine.Snapshot()
+	data, err := d.config.StateMachine.Snapshot()
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
