--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	hard := recovered.Hard
+	hard := recovered.HardState
 	data := bytes.Repeat([]byte("x"), commandBytes)
 	for index := recovered.Last() + 1; index <= uint64(entries)+1; index++ {
 		hard.Commit = index
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -22,7 +22,7 @@
 // notDurable describes what a message commits this voter to beyond the durable
 // log; empty when there is nothing.
 func (d *driver) notDurable(m *quorum.Message) string {
-	hard := d.log.Hard()
+	hard := d.log.HardState()
 	switch {
 	case !m.RequiresSync():
 		return ""
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -63,7 +63,7 @@
 			return nil, fmt.Errorf("restore the snapshot: %w", err)
 		}
 	}
-	raft, err := quorum.New(r.coreConfig(), r.recovered.Hard, meta, r.recovered.Entries)
+	raft, err := quorum.New(r.coreConfig(), r.recovered.HardState, meta, r.recovered.Entries)
 	if err != nil {
 		return nil, &wal.CorruptError{File: r.folder.LogPath(), Why: err.Error(), Remedy: datafolder.RemedyRejoin}
 	}
@@ -137,8 +137,8 @@
 	if !raft.LogDropped() && raft.Status().Last == r.log.Last() {
 		return nil
 	}
-	hard := r.log.Hard()
-	return r.log.Restart(&hard, meta.Index)
+	hard := r.log.HardState()
+	return r.log.Reset(&hard, meta.Index)
 }
 
 // runTasks runs the driver, the snapshot writer and the voter review until one
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -103,8 +103,8 @@
 		return err
 	}
 	r.log, r.recovered, r.loadedSnapshot = log, recovered, loaded
-	if recovered.CutBytes > 0 {
-		r.config.Log.WithField("bytes", recovered.CutBytes).Warn("removed a torn tail of the log; nothing in it had been acknowledged")
+	if recovered.TruncatedBytes > 0 {
+		r.config.Log.WithField("bytes", recovered.TruncatedBytes).Warn("removed a torn tail of the log; nothing in it had been acknowledged")
 	}
 	return r.checkPhase(phase)
 }
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -42,7 +42,7 @@
 		if err := d.saver.save(*rd.Snapshot); err != nil {
 			return err
 		}
-		if err := d.log.Restart(rd.Hard, rd.Snapshot.Meta.Index); err != nil {
+		if err := d.log.Reset(rd.Hard, rd.Snapshot.Meta.Index); err != nil {
 			return err
 		}
 	}
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -33,7 +33,7 @@
 const (
 	// kindHeader is the first record of each segment.
 	kindHeader recordKind = iota + 1
-	// kindBatch holds what one Append or Restart stored.
+	// kindBatch holds what one Append or Reset stored.
 	kindBatch
 	kindEnd
 )
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -67,7 +67,7 @@
 			Why: "the log is missing, although this disk took part in the quorum", Remedy: datafolder.RemedyRejoin}
 	}
 	l := &Log{disk: o.Disk, dir: dir, segmentBytes: o.SegmentBytes,
-		segments: r.segments, hard: r.result.Hard, last: r.result.Last()}
+		segments: r.segments, hard: r.result.HardState, last: r.result.Last()}
 	if err := l.rewriteLastSegment(r.tail); err != nil {
 		return nil, Recovered{}, err
 	}
@@ -128,9 +128,9 @@
 	return l.store(&batch{Hard: hard, Entries: entries})
 }
 
-// Restart drops all entries and lets the log continue after index, which a
+// Reset drops all entries and lets the log continue after index, which a
 // durable snapshot covers.
-func (l *Log) Restart(hard *quorum.HardState, index uint64) error {
+func (l *Log) Reset(hard *quorum.HardState, index uint64) error {
 	return l.store(&batch{Hard: hard, ResetTo: &index})
 }
 
@@ -268,8 +268,8 @@
 // Last returns the index of the last durable entry.
 func (l *Log) Last() uint64 { return l.last }
 
-// Hard returns the last durable hard state.
-func (l *Log) Hard() quorum.HardState { return l.hard }
+// HardState returns the last durable hard state.
+func (l *Log) HardState() quorum.HardState { return l.hard }
 
 // Syncs returns the number of records that were written and synced.
 func (l *Log) Syncs() uint64 { return l.syncs }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -41,7 +41,7 @@
 }
 
 func (c logContents) equal(r *Recovered) bool {
-	if r.Hard != c.hard || r.Last() != c.last || r.Base > c.floor {
+	if r.HardState != c.hard || r.Last() != c.last || r.Base > c.floor {
 		return false
 	}
 	for _, e := range r.Entries {
@@ -71,7 +71,7 @@
 		case step%10 == 9:
 			floor := acknowledged.last + 5
 			pending := logContents{hard: hard, floor: floor, last: floor, entries: map[uint64]string{}}
-			if l.Restart(&hard, floor) != nil {
+			if l.Reset(&hard, floor) != nil {
 				return acknowledged, pending
 			}
 			acknowledged = pending
@@ -294,7 +294,7 @@
 	is.NoErr(err)
 	is.True(recovered.Base > 0 && recovered.Base < 90)
 	is.Equal(recovered.Last(), uint64(100))
-	is.Equal(recovered.Hard, quorum.HardState{Term: 1, VotedFor: "a#1"})
+	is.Equal(recovered.HardState, quorum.HardState{Term: 1, VotedFor: "a#1"})
 	is.True(l.Append(nil, nil) != nil) // closed
 	l, _, err = open(disk.Reboot(rand.New(rand.NewPCG(1, 1))))
 	is.NoErr(err)
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -12,14 +12,14 @@
 
 // Recovered is the content of the log when it was opened.
 type Recovered struct {
-	// Hard is zero when none was stored.
-	Hard quorum.HardState
+	// HardState is zero when none was stored.
+	HardState quorum.HardState
 	// Base is the index before the first of Entries.
 	Base uint64
 	// Entries follow Base without a gap.
 	Entries []quorum.Entry
-	// CutBytes is the length of the torn tail that was cut off.
-	CutBytes int
+	// TruncatedBytes is the length of the torn tail that was cut off.
+	TruncatedBytes int
 	// Records is the number of records read.
 	Records int
 	// Segments is the number of segments read.
@@ -131,7 +131,7 @@
 	case status == frameBad && !hasEmptySector(data, offset, f.end):
 		return r.corrupt(sequence, offset, "the last record has its full length but its checksum does not match")
 	}
-	r.result.CutBytes = len(data) - offset
+	r.result.TruncatedBytes = len(data) - offset
 	r.tail = data[:offset]
 	return nil
 }
@@ -164,7 +164,7 @@
 	}
 	if !r.hasHeader {
 		r.result.Base = h.Last
-		r.result.Hard = h.Hard
+		r.result.HardState = h.Hard
 		r.hasHeader = true
 	}
 	return nil
@@ -172,10 +172,10 @@
 
 func (r *recovery) applyBatch(sequence uint64, offset int, b *batch) error {
 	if b.Hard != nil {
-		if b.Hard.Term < r.result.Hard.Term {
-			return r.corrupt(sequence, offset, fmt.Sprintf("term %d follows term %d", b.Hard.Term, r.result.Hard.Term))
+		if b.Hard.Term < r.result.HardState.Term {
+			return r.corrupt(sequence, offset, fmt.Sprintf("term %d follows term %d", b.Hard.Term, r.result.HardState.Term))
 		}
-		r.result.Hard = *b.Hard
+		r.result.HardState = *b.Hard
 	}
 	if b.ResetTo != nil {
 		r.result.Base = *b.ResetTo
