--- a/internal/upstream/announce.go
+++ b/internal/upstream/announce.go
@@ -17,37 +17,37 @@
 const (
 	// maxAnnouncementBytes bounds the body of one announcement.
 	maxAnnouncementBytes = 8 << 10
-	// fullRetryAfter is when an upstream should come back after a refusal.
+	// fullRetryAfter is when an upstream should retry while the registry is full.
 	fullRetryAfter = 1 * time.Second
 )
 
-// Announcer is where announcements go; *registry.Registry is one.
+// Announcer registers upstreams; *registry.Registry implements it.
 type Announcer interface {
-	// Announce enters or renews an instance. It refuses an announcement that
-	// is older than the one it holds.
+	// Announce registers or renews an instance. It refuses an announcement that
+	// is older than the registered one.
 	Announce(u model.Upstream, now model.Instant) (registry.Lease, error)
 	// Withdraw ends an instance's announcement of this incarnation.
 	Withdraw(service model.ServiceID, instance model.InstanceID, incarnation uint64, now model.Instant) error
 }
 
 // Authorizer checks the bearer token of an announcement; *security.Authorizer
-// is one.
+// implements it.
 type Authorizer interface {
-	// Authorize returns the peer's name, or an error unless the request bears
+	// Authorize returns the peer's name, or an error unless the request carries
 	// a valid token.
 	Authorize(r *http.Request) (string, error)
 }
 
-// HandlerConfig is what the announcement handler works with.
+// HandlerConfig holds the dependencies and limits of the announcement handler.
 type HandlerConfig struct {
 	Announcer Announcer
-	// Authorizer may be nil: then every upstream that reaches the listener may announce.
+	// Authorizer may be nil; then no token is required.
 	Authorizer Authorizer
-	// Limits bounds what one remote IP may announce.
+	// Limits bounds the announcements of each remote IP.
 	Limits RateLimits
-	// Now is the clock; time.Now when nil.
+	// Now is the clock; time.Now if nil.
 	Now func() time.Time
-	// Metrics takes the counters; the default registry when nil.
+	// Metrics receives the counters; the default registry if nil.
 	Metrics metrics.Registry
 }
 
@@ -59,7 +59,7 @@
 	refused  metrics.Counter
 }
 
-// NewHandler returns the handler of the upstreams' listener.
+// NewHandler returns the HTTP handler of the listener for upstreams.
 func NewHandler(c HandlerConfig) http.Handler {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -82,7 +82,7 @@
 	return router
 }
 
-// guarded checks the rate and the token before an input is read.
+// guarded checks the rate limit and the token before the body is read.
 func (h *handler) guarded(next httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		if !h.limiter.allow(r.RemoteAddr, h.Now()) {
@@ -100,9 +100,9 @@
 	}
 }
 
-// instanceOf returns the rest of the path as the instance's name. It may hold
-// a slash, since identifiers are region-qualified; a parameter of one path
-// segment would not match then, whether the slash is escaped or not.
+// instanceOf returns the rest of the path as the instance's name. The name may
+// contain a slash, since identifiers are region-qualified. A parameter for one
+// path segment would not match such a name, even with the slash escaped.
 func instanceOf(p httprouter.Params) string {
 	return strings.TrimPrefix(p.ByName("instance"), "/")
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	h.accepted.Inc(1)
-	writeJSON(w, http.StatusOK, announced{
+	writeJSON(w, http.StatusOK, announceResponse{
 		RenewAfter: lease.RenewAfter.String(),
 		Lease:      lease.Expires.Sub(now).String(),
 		Leaving:    lease.Leaving,
@@ -148,7 +148,7 @@
 		h.refuseAnnouncement(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, announced{})
+	writeJSON(w, http.StatusOK, announceResponse{})
 }
 
 func (h *handler) refuseAnnouncement(w http.ResponseWriter, err error) {
@@ -166,12 +166,12 @@
 
 func (h *handler) refuse(w http.ResponseWriter, status int, err error) {
 	h.refused.Inc(1)
-	answer := refused{Error: err.Error()}
+	body := errorResponse{Error: err.Error()}
 	var input *InputError
 	if errors.As(err, &input) {
-		answer.Key = input.Key
+		body.Key = input.Key
 	}
-	writeJSON(w, status, answer)
+	writeJSON(w, status, body)
 }
 
 func statusOfInput(err error) int {
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -22,7 +22,7 @@
 const goodAnnouncement = `{"address":"10.0.0.7:8080","vm":"vm-7","availability_zone":"az-1",` +
 	`"incarnation":3,"sequence":1,"slots":8,"connections":64,"state":"serving"}`
 
-// oneToken accepts one token.
+// oneToken accepts a single token.
 type oneToken string
 
 func (o oneToken) Authorize(r *http.Request) (string, error) {
@@ -77,20 +77,20 @@
 	is.Equal(put(h, "/upstreams/drafts/i%20x", goodAnnouncement).Code, 400)
 	is.Equal(put(h, "/upstreams/drafts/i1", goodAnnouncement+strings.Repeat(" ", 10_000)).Code, 413)
 	is.Equal(put(h, "/upstreams/drafts/i1", goodAnnouncement, "Authorization", "Bearer u").Code, 401)
-	is.Equal(len(known.All()), 0) // nothing was entered
+	is.Equal(len(known.All()), 0) // nothing was registered
 }
 
-func TestAnnouncementIsEnteredAndOrdered(t *testing.T) {
+func TestAnnouncementsAreRegisteredInOrder(t *testing.T) {
 	is := is.New(t)
 	known := registry.New(registry.Options{})
 	h := newHandler(known, upstream.RateLimits{PerSecond: 1, Burst: 4})
 	w := put(h, "/upstreams/drafts/i1", goodAnnouncement)
 	is.Equal(w.Code, 200)
-	var answer struct {
+	var body struct {
 		RenewAfter string `json:"renew_after"`
 	}
-	is.NoErr(json.Unmarshal(w.Body.Bytes(), &answer))
-	renew, err := time.ParseDuration(answer.RenewAfter)
+	is.NoErr(json.Unmarshal(w.Body.Bytes(), &body))
+	renew, err := time.ParseDuration(body.RenewAfter)
 	is.NoErr(err)
 	is.True(renew > 0)
 	got, ok := known.Get("drafts", "i1")
@@ -106,7 +106,7 @@
 	is.Equal(w.Code, 200)
 	is.Equal(len(known.Serving("drafts")), 0)
 
-	// Symptom: one upstream in a loop keeps the others from announcing.
+	// An upstream that announces in a loop must not keep others from announcing.
 	is.True(put(h, "/upstreams/drafts/i1", stale).Code != 429)
 	is.Equal(put(h, "/upstreams/drafts/i1", stale).Code, 429)
 	r = httptest.NewRequest("PUT", "/upstreams/drafts/i2", strings.NewReader(goodAnnouncement))
@@ -114,7 +114,7 @@
 	r.Header.Set("Authorization", "Bearer t")
 	w = httptest.NewRecorder()
 	h.ServeHTTP(w, r)
-	is.Equal(w.Code, 200) // another address is not held up
+	is.Equal(w.Code, 200) // another address isn't limited
 }
 
 func TestStandinAnnouncesAndLeaves(t *testing.T) {
@@ -145,7 +145,7 @@
 			return
 		}
 		if _, err := registry.New(registry.Options{}).Announce(u, 0); err != nil {
-			t.Errorf("%+v passed the checks, and the registry refuses it: %v", u, err)
+			t.Errorf("%+v passed the validation but the registry refuses it: %v", u, err)
 		}
 	})
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// conn is a connection to an upstream that writes only what its exchange
-// allows and reads only what a request asked for.
+// conn is a connection to an upstream. It writes only what its exchange allows
+// and passes on bytes only while a response is expected.
 type conn struct {
 	net.Conn
 	pool *pool
 
 	mu sync.Mutex
-	// idle wakes a writer that waits for the reader.
-	idle sync.Cond
+	// readerReady wakes a writer that waits for the reader.
+	readerReady sync.Cond
 	// current is the exchange that the connection serves, or served last.
 	current *exchange
-	// asked is set once a byte of current was written.
-	asked bool
-	// reading says that the reader waits in the socket: no byte of an
-	// earlier answer is left in its buffer.
+	// writeStarted is set before the first byte of current is written.
+	writeStarted bool
+	// reading is set while the reader is in a read of the socket: its buffer
+	// holds no byte of an earlier response then.
 	reading bool
 	closed  bool
-	// proved is when the connection was made or last yielded bytes, on the
+	// lastActiveAt is when the connection was made or last read from, on the
 	// pool's clock.
-	proved time.Duration
+	lastActiveAt time.Duration
 }
 
 func newConn(c net.Conn, p *pool) *conn {
-	g := &conn{Conn: c, pool: p, proved: p.now()}
-	g.idle.L = &g.mu
-	p.prove(g.proved)
+	g := &conn{Conn: c, pool: p, lastActiveAt: p.now()}
+	g.readerReady.L = &g.mu
+	p.recordActivity(g.lastActiveAt)
 	return g
 }
 
-// bind hands the connection to an exchange. It marks the exchange as stale
-// when the connection has been silent for so long that it may be dead.
+// bind assigns the connection to an exchange. It marks the exchange as stale
+// when the connection is reused and may be dead.
 func (c *conn) bind(x *exchange, reused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = x
-	c.asked = false
+	c.writeStarted = false
 	x.reused.Store(reused)
-	if reused && !c.pool.trusted(c.proved) {
+	if reused && !c.pool.isReusable(c.lastActiveAt) {
 		x.stale.Store(true)
 	}
 }
 
 // Write sends bytes of the current exchange. The first write waits until the
-// reader is in the socket. Were bytes left over from an earlier answer, the
-// reader would take them for the answer to this request; it does so before a
-// byte of the request was written then, and checkAnswer sees that.
+// reader is in a read of the socket. If bytes of an earlier response are left,
+// the reader takes them for the response to this request, but before a byte of
+// the request was written, which checkResponse detects.
 func (c *conn) Write(p []byte) (int, error) {
 	x, first, err := c.beginWrite()
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	n, err := c.Conn.Write(p)
 	if first && n == 0 && err != nil {
-		c.takeBack(x)
+		c.releaseClaim(x)
 	}
 	return n, err
 }
@@ -68,11 +68,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x = c.current
-	if c.asked {
-		return x, false, x.begin(c)
+	if c.writeStarted {
+		return x, false, x.claim(c)
 	}
 	for !c.reading && !c.closed {
-		c.idle.Wait()
+		c.readerReady.Wait()
 	}
 	if c.closed {
 		return x, false, net.ErrClosed
@@ -80,22 +80,22 @@
 	if x.stale.Load() {
 		return x, false, ErrStale
 	}
-	if err := x.begin(c); err != nil {
+	if err := x.claim(c); err != nil {
 		return x, false, err
 	}
-	c.asked = true
-	x.movedAt.Store(int64(c.pool.now()))
+	c.writeStarted = true
+	x.lastByteAt.Store(int64(c.pool.now()))
 	return x, true, nil
 }
 
-func (c *conn) takeBack(x *exchange) {
+func (c *conn) releaseClaim(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = false
-	x.unbegin(c)
+	c.writeStarted = false
+	x.release(c)
 }
 
-// Read yields bytes only while a request is being answered.
+// Read returns bytes only while a response is expected.
 func (c *conn) Read(p []byte) (int, error) {
 	c.enterRead()
 	n, err := c.Conn.Read(p)
@@ -106,33 +106,33 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = true
-	c.idle.Signal()
+	c.readerReady.Signal()
 }
 
 func (c *conn) leaveRead(n int, err error) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
-	if n > 0 && !c.asked {
-		c.pool.foreign.Inc(1)
+	if n > 0 && !c.writeStarted {
+		c.pool.mismatched.Inc(1)
 		return 0, errUnsolicited
 	}
 	if n > 0 {
-		c.proved = c.pool.now()
-		c.pool.prove(c.proved)
-		c.current.answered.Store(true)
-		c.current.movedAt.Store(int64(c.proved))
+		c.lastActiveAt = c.pool.now()
+		c.pool.recordActivity(c.lastActiveAt)
+		c.current.responded.Store(true)
+		c.current.lastByteAt.Store(int64(c.lastActiveAt))
 		return n, err
 	}
-	c.endUnanswered(err)
+	c.cancelUnanswered(err)
 	return n, err
 }
 
-// endUnanswered ends the exchange when its connection ends before an answer
-// began. net/http would otherwise try the request on the next kept
-// connection; that one refuses the write and is lost as well.
-func (c *conn) endUnanswered(err error) {
-	if err != nil && c.asked && !c.current.answered.Load() {
+// cancelUnanswered cancels the exchange when its connection ends before a
+// response began. net/http would otherwise retry the request on the next idle
+// connection, which refuses the write and is closed as well.
+func (c *conn) cancelUnanswered(err error) {
+	if err != nil && c.writeStarted && !c.current.responded.Load() {
 		c.current.cancel(ErrLost)
 	}
 }
@@ -141,7 +141,7 @@
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
-	c.idle.Broadcast()
+	c.readerReady.Broadcast()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -11,7 +11,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// newPipe returns a connection of a pool and its other end.
+// newPipe returns a connection of a pool and the remote end of it.
 func newPipe(t *testing.T) (*conn, net.Conn) {
 	near, far := net.Pipe()
 	_ = near.SetDeadline(time.Now().Add(10 * time.Second))
@@ -25,32 +25,30 @@
 	return &exchange{cancel: cancel}
 }
 
-// Symptom: a caller was told not-run, and its request ran.
-// Sequence: a request is given up before its first byte; its writer wakes up
-// later, on the connection that it had, or on another one.
-// Cause: nothing but the connection itself can know that no byte will follow.
-func TestSealedExchangeIsNeverWritten(t *testing.T) {
+// A caller was told not-run, but its request ran: the request had ended before
+// its first byte, and its writer woke up later, on the same connection or on
+// another one. Only the connection itself can ensure that no byte follows.
+func TestEndedExchangeIsNeverWritten(t *testing.T) {
 	is := is.New(t)
 	c, _ := newPipe(t)
 	x := newExchange()
 	c.bind(x, false)
 	c.enterRead()
-	is.Equal(x.seal(), NotSent)
+	is.Equal(x.end(), NotSent)
 	n, err := c.Write([]byte("POST /plan"))
 	is.Equal(n, 0)
-	is.True(errors.Is(err, errGivenUp))
+	is.True(errors.Is(err, errEndedUnsent))
 
-	begun := newExchange()
-	is.NoErr(begun.begin(c))
-	is.Equal(begun.seal(), MaybeSent)
+	sent := newExchange()
+	is.NoErr(sent.claim(c))
+	is.Equal(sent.end(), MaybeSent)
 	other, _ := newPipe(t)
-	is.True(errors.Is(begun.begin(other), errSecondSend)) // one connection only
+	is.True(errors.Is(sent.claim(other), errSecondSend)) // one connection only
 }
 
-// Symptom: a request got bytes that belong to an earlier answer.
-// Sequence: they arrive after the connection was handed out and before the
-// request was written.
-// Cause: on one connection, order is all that ties an answer to its request.
+// A request got bytes of an earlier response, which arrived after the
+// connection was selected and before the request was written. On a connection,
+// only the order relates a response to its request.
 func TestBytesBeforeTheRequestAreRefused(t *testing.T) {
 	is := is.New(t)
 	c, far := newPipe(t)
@@ -61,10 +59,9 @@
 	is.True(errors.Is(err, errUnsolicited))
 }
 
-// Symptom: as above.
-// Sequence: the earlier answer's copy already lies in the reader's buffer when
-// the next request is about to be written.
-// Cause: a writer that does not wait for its reader can't know.
+// As above, but the bytes of the earlier response are already in the reader's
+// buffer when the next request is to be written. The writer must wait for the
+// reader to detect this.
 func TestWriterWaitsForItsReader(t *testing.T) {
 	is := is.New(t)
 	c, _ := newPipe(t)
@@ -75,8 +72,8 @@
 		_, err := c.Write([]byte("POST /plan"))
 		written <- err
 	}()
-	time.Sleep(10 * time.Millisecond) // lets a writer that does not wait go on
+	time.Sleep(10 * time.Millisecond) // time for a writer that doesn't wait to write
 	is.NoErr(c.Close())
 	is.True(errors.Is(<-written, net.ErrClosed))
-	is.True(!x.begun())
+	is.True(!x.mayHaveSent())
 }
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -24,7 +24,7 @@
 
 // Announcement is the body of PUT /upstreams/:service/:instance.
 type Announcement struct {
-	// Address is IP:port; a host name is refused.
+	// Address is IP:port; host names are refused.
 	Address          string `json:"address"`
 	VM               string `json:"vm"`
 	AvailabilityZone string `json:"availability_zone"`
@@ -36,7 +36,7 @@
 	State string `json:"state"`
 }
 
-// InputError says which part of an input is wrong and what is allowed.
+// InputError is an invalid input: the key at fault and what is allowed.
 type InputError struct {
 	Key     string
 	Message string
@@ -54,21 +54,22 @@
 // Unwrap returns the cause, which may be nil.
 func (e *InputError) Unwrap() error { return e.cause }
 
-type announced struct {
+type announceResponse struct {
 	// RenewAfter and Lease are durations with a unit.
 	RenewAfter string `json:"renew_after,omitempty"`
 	Lease      string `json:"lease,omitempty"`
-	// Leaving says that the instance counts as leaving, whatever it announced.
+	// Leaving is set when the registry treats the instance as leaving, whatever
+	// state it announced.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-type refused struct {
+type errorResponse struct {
 	Error string `json:"error"`
 	Key   string `json:"key,omitempty"`
 }
 
-// DecodeAnnouncement reads one announcement. Unknown keys, wrong types and
-// data behind the announcement are errors that name the key.
+// DecodeAnnouncement decodes one announcement. Unknown keys and wrong types are
+// errors that name the key; data after the announcement is an error, too.
 func DecodeAnnouncement(r io.Reader) (Announcement, error) {
 	var a Announcement
 	d := json.NewDecoder(r)
@@ -82,7 +83,8 @@
 	return a, nil
 }
 
-// Upstream checks every value and returns the instance as the registry holds it.
+// Upstream validates all values and returns the instance in the form that the
+// registry stores.
 func (a Announcement) Upstream(service, instance string) (model.Upstream, error) {
 	s, i, err := parseNames(service, instance)
 	if err != nil {
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// checkAddress refuses host names: a name would be looked up anew by each
-// entry VM and could lead each of them to another place.
+// checkAddress refuses host names: each entry VM would resolve the name by
+// itself and could get a different address.
 func checkAddress(address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 {
@@ -165,13 +167,13 @@
 }
 
 func checkName(key, name string) error {
-	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, notInName) {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, isInvalidNameRune) {
 		return &InputError{Key: key, Message: fmt.Sprintf("must have 1 to %d letters, digits or any of - _ . : / @", maxNameBytes)}
 	}
 	return nil
 }
 
-func notInName(c rune) bool {
+func isInvalidNameRune(c rune) bool {
 	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 	digit := c >= '0' && c <= '9'
 	return !letter && !digit && !strings.ContainsRune("-_.:/@", c)
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,7 +1,8 @@
-// Package upstream talks with upstreams: it takes their announcements over
-// HTTP and sends them the requests of callers.
+// Package upstream communicates with upstreams: it accepts their announcements
+// over HTTP and sends them the requests of callers.
 //
-// Transport answers the one question that the caller path can't do without:
-// may a request have reached an upstream? It decides this at the connection,
-// where the bytes are written, and not from the error that comes back.
+// Transport also reports whether a failed request may have reached the
+// upstream, which decides whether the request can be sent again. It knows this
+// from the connection, where the bytes are written, not from the error that
+// net/http returns.
 package upstream
--- a/internal/upstream/limiter.go
+++ b/internal/upstream/limiter.go
@@ -12,13 +12,15 @@
 	defaultLimitedAddresses       = 4096
 )
 
-// RateLimits bounds the announcements of one remote IP; zeros take defaults.
+// RateLimits bounds the announcements of each remote IP. Zero fields take
+// their defaults.
 type RateLimits struct {
 	// PerSecond is the steady rate.
 	PerSecond float64
-	// Burst is how many may come at once.
+	// Burst is how many may arrive at once.
 	Burst float64
-	// Addresses bounds the table of remote IPs; those beyond share one bucket.
+	// Addresses bounds the table of remote IPs. When it is full, further IPs
+	// share one bucket.
 	Addresses int
 }
 
@@ -53,10 +55,10 @@
 type rateLimiter struct {
 	limits RateLimits
 
-	mu       sync.Mutex
-	buckets  map[netip.Addr]*bucket
-	overflow bucket
-	swept    time.Time
+	mu        sync.Mutex
+	buckets   map[netip.Addr]*bucket
+	overflow  bucket
+	lastSweep time.Time
 }
 
 func newRateLimiter(l RateLimits) *rateLimiter {
@@ -64,8 +66,8 @@
 	return &rateLimiter{limits: l, buckets: make(map[netip.Addr]*bucket), overflow: bucket{tokens: l.Burst}}
 }
 
-// allow takes one token of the address. An address that can't be read shares
-// the overflow bucket.
+// allow takes one token of the remote address and reports whether there was
+// one. An address that can't be parsed shares the overflow bucket.
 func (l *rateLimiter) allow(remote string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,14 +99,14 @@
 	return b
 }
 
-// sweep drops the buckets that are full again: they hold nothing that a new
-// bucket would not. It runs at most once a second, since a flood from many
-// addresses would otherwise make each announcement walk the whole table.
+// sweep drops the buckets that are full again, as they equal a new bucket. It
+// runs at most once a second, since a flood from many addresses would
+// otherwise make each announcement walk the whole table.
 func (l *rateLimiter) sweep(now time.Time) {
-	if now.Sub(l.swept) < time.Second {
+	if now.Sub(l.lastSweep) < time.Second {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for a, b := range l.buckets {
 		b.refill(l.limits, now)
 		if b.tokens >= l.limits.Burst {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,7 +11,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// poolKey names a pool: connections of one address under one limit.
+// poolKey identifies a pool: the connections to one address under one limit.
 type poolKey struct {
 	address string
 	limit   int
@@ -19,23 +19,23 @@
 
 // pool holds the connections to one address.
 type pool struct {
-	options *Options
-	http    http.Transport
-	foreign metrics.Counter
-	// started is the zero of the pool's clock, which never steps.
+	options    *Options
+	http       http.Transport
+	mismatched metrics.Counter
+	// started is the origin of the pool's monotonic clock.
 	started time.Time
-	// provedAt is when any connection last yielded bytes.
-	provedAt atomic.Int64
-	// distrustedAt is when a request last met silence: connections that have
-	// not answered since are not used again.
-	distrustedAt atomic.Int64
-	// usedAt is when the pool was last asked.
+	// lastActiveAt is when a connection of the pool was last made or read from.
+	lastActiveAt atomic.Int64
+	// invalidatedAt is when the connections last became suspect. Those from
+	// which nothing has been read since are not reused.
+	invalidatedAt atomic.Int64
+	// usedAt is when a request last used the pool.
 	usedAt   atomic.Int64
 	inFlight atomic.Int64
 }
 
-func newPool(key poolKey, o *Options, foreign metrics.Counter) *pool {
-	p := &pool{options: o, foreign: foreign, started: time.Now()}
+func newPool(key poolKey, o *Options, mismatched metrics.Counter) *pool {
+	p := &pool{options: o, mismatched: mismatched, started: time.Now()}
 	p.http = http.Transport{
 		DialContext:            p.dial,
 		DisableCompression:     true,
@@ -50,7 +50,7 @@
 	return p
 }
 
-// now is the time since the pool was made.
+// now returns the time since the pool was made.
 func (p *pool) now() time.Duration { return time.Since(p.started) }
 
 func (p *pool) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -73,25 +73,25 @@
 	return newConn(c, p), nil
 }
 
-// prove records that a connection of the pool works.
-func (p *pool) prove(at time.Duration) { p.provedAt.Store(int64(at)) }
+// recordActivity records that a connection of the pool works.
+func (p *pool) recordActivity(at time.Duration) { p.lastActiveAt.Store(int64(at)) }
 
-// distrust records that a request met silence.
-func (p *pool) distrust() { p.distrustedAt.Store(int64(p.now())) }
+// invalidate marks the current connections as suspect.
+func (p *pool) invalidate() { p.invalidatedAt.Store(int64(p.now())) }
 
-// trusted reports whether a connection that was proved at the time may carry
-// a request.
-func (p *pool) trusted(proved time.Duration) bool {
-	if p.now()-proved > p.options.FreshFor {
+// isReusable reports whether a connection that was last active at the given
+// time may carry another request.
+func (p *pool) isReusable(lastActive time.Duration) bool {
+	if p.now()-lastActive > p.options.FreshFor {
 		return false
 	}
-	return int64(proved) > p.distrustedAt.Load()
+	return int64(lastActive) > p.invalidatedAt.Load()
 }
 
-// dropStale closes the idle connections when none of them can be trusted, so
+// dropStale closes the idle connections when none of them may be reused, so
 // that the next request makes a new one.
 func (p *pool) dropStale() {
-	if !p.trusted(time.Duration(p.provedAt.Load())) {
+	if !p.isReusable(time.Duration(p.lastActiveAt.Load())) {
 		p.http.CloseIdleConnections()
 	}
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -18,15 +18,15 @@
 // RequestIDHeader carries the id of a request; an upstream may echo it.
 const RequestIDHeader = "Comfreyloom-Request-Id"
 
-// maxStatus is the largest status that an answer may have.
+// maxStatus is the largest status that a response may have.
 const maxStatus = 599
 
-// staleTries bounds how often Send looks for a connection that is proved.
-const staleTries = 3
+// maxStaleTries bounds how often Send tries to get a connection that isn't stale.
+const maxStaleTries = 3
 
 // Request is one request to an upstream.
 type Request struct {
-	// ID is sent in RequestIDHeader and compared with the answer's, if any.
+	// ID is compared with RequestIDHeader of the response, if it has one.
 	ID     string
 	Method string
 	// URL has Path, RawPath and RawQuery set.
@@ -36,34 +36,36 @@
 	// Header is read only; it must hold no hop-by-hop field.
 	Header http.Header
 	// Body returns the body for one try; nil means that there is none. It is
-	// called again only when no byte of the earlier try left.
+	// called again only when no byte of the earlier try was sent.
 	Body func() io.Reader
 	// Length is the length of the body, -1 when it is unknown.
 	Length int64
-	// SuspectAfter is how long an answer may keep still before the other
-	// connections to the address are no longer trusted; 0 means never.
+	// SuspectAfter is how long the exchange may be inactive before the other
+	// connections to the address are no longer reused; 0 means no limit, and
+	// GiveUp is never called.
 	SuspectAfter time.Duration
-	// Fresh asks for a connection that is new, or was proved since Send began.
+	// Fresh requires a connection that was made, or read from, since Send began.
 	Fresh bool
-	// GiveUp is asked after a longer silence whether to end the request with
-	// ErrSilent, and again after as much silence when it says no. It may be nil.
+	// GiveUp is called after a longer inactivity and reports whether to end the
+	// request with ErrSilent. When it returns false, it is called again after the
+	// same time. It may be nil.
 	GiveUp func() bool
-	// GiveUpAfter is that silence on a new connection, GiveUpReused that on
+	// GiveUpAfter is that inactivity on a new connection, GiveUpReused that on
 	// one which was used before and may be dead.
 	GiveUpAfter  time.Duration
 	GiveUpReused time.Duration
 }
 
-// Send sends a request and returns the answer once its header was read. The
-// answer's body fails on a cut answer; it must be closed. ctx bounds the whole
-// exchange, body included.
+// Send sends a request and returns the response once its header was read. The
+// body returns an error when the response is truncated; it must be closed. ctx
+// bounds the whole exchange, body included.
 //
-// With an error, the state says whether the request may have reached the
-// upstream. NotSent is final: no byte leaves after Send has returned.
+// With an error, the SentState reports whether the request may have reached
+// the upstream. NotSent is final: no byte is sent after Send has returned.
 func (t *Transport) Send(ctx context.Context, u model.Upstream, r *Request) (*http.Response, SentState, error) {
-	p := t.enter(u)
+	p := t.acquirePool(u)
 	if r.Fresh {
-		p.distrust()
+		p.invalidate()
 	}
 	for try := 1; ; try++ {
 		p.dropStale()
@@ -71,7 +73,7 @@
 		if err == nil {
 			return resp, MaybeSent, nil
 		}
-		if sent == NotSent && errors.Is(err, ErrStale) && try < staleTries {
+		if sent == NotSent && errors.Is(err, ErrStale) && try < maxStaleTries {
 			p.http.CloseIdleConnections()
 			continue
 		}
@@ -83,27 +85,27 @@
 func (t *Transport) try(ctx context.Context, p *pool, u model.Upstream, r *Request) (*http.Response, SentState, error) {
 	x := &exchange{}
 	ctx, x.cancel = context.WithCancelCause(ctx)
-	w := startWatch(p, x, r)
+	w := startStallDetector(p, x, r)
 	resp, err := p.http.RoundTrip(r.build(withTrace(ctx, x), u.Address))
 	if err == nil {
-		err = checkAnswer(x, r, resp)
+		err = checkResponse(x, r, resp)
 	}
 	if err != nil {
 		w.stop()
-		sent := x.seal()
-		err = t.explain(ctx, p, x, sent, err)
+		sent := x.end()
+		err = t.classifyError(ctx, p, x, sent, err)
 		x.cancel(err)
 		if resp != nil {
 			_ = resp.Body.Close()
 		}
 		return nil, sent, err
 	}
-	resp.Body = &answerBody{ReadCloser: resp.Body, pool: p, exchange: x, watch: w, ctx: ctx}
+	resp.Body = &responseBody{ReadCloser: resp.Body, pool: p, exchange: x, detector: w, ctx: ctx}
 	return resp, MaybeSent, nil
 }
 
-// build makes the request of net/http. GetBody stays nil: net/http can't
-// rewind the body and send it again.
+// build returns the request for net/http. GetBody stays nil, so that net/http
+// can't rewind the body and send it again.
 func (r *Request) build(ctx context.Context, address string) *http.Request {
 	u := r.URL
 	u.Scheme = "http"
@@ -124,17 +126,17 @@
 	return h.WithContext(ctx)
 }
 
-// withTrace binds whichever connection net/http picks to the exchange.
+// withTrace binds the connection that net/http selects to the exchange.
 func withTrace(ctx context.Context, x *exchange) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*conn).bind(x, info.Reused) },
 	})
 }
 
-// checkAnswer refuses an answer that can't be that of the request, and one
-// whose end could not be told from a cut.
-func checkAnswer(x *exchange, r *Request, resp *http.Response) error {
-	if !x.begun() {
+// checkResponse refuses a response that can't belong to the request, and one
+// whose end can't be told from a truncation.
+func checkResponse(x *exchange, r *Request, resp *http.Response) error {
+	if !x.mayHaveSent() {
 		return ErrForeign
 	}
 	if echo := resp.Header.Get(RequestIDHeader); echo != "" && echo != r.ID {
@@ -150,46 +152,46 @@
 	return nil
 }
 
-// explain names the cause of a failed try and draws the conclusion for the
-// other connections to the address.
-func (t *Transport) explain(ctx context.Context, p *pool, x *exchange, sent SentState, err error) error {
+// classifyError returns the cause of a failed try, counts it, and invalidates
+// the other connections to the address where the cause may affect them.
+func (t *Transport) classifyError(ctx context.Context, p *pool, x *exchange, sent SentState, err error) error {
 	switch {
 	case errors.Is(err, ErrForeign):
-		t.foreign.Inc(1)
-		p.distrust()
+		t.mismatched.Inc(1)
+		p.invalidate()
 	case x.stale.Load() && sent == NotSent:
 		err = ErrStale
-	case errors.Is(err, errGivenUp) || errors.Is(err, errSecondSend):
+	case errors.Is(err, errEndedUnsent) || errors.Is(err, errSecondSend):
 		t.refused.Inc(1)
 	case context.Cause(ctx) != nil:
 		err = context.Cause(ctx)
-		t.noteSilence(p, x, err)
+		t.recordUnanswered(p, x, err)
 	}
-	return oops.In("upstream").Wrapf(err, "no answer")
+	return oops.In("upstream").Wrapf(err, "no response")
 }
 
-// noteSilence distrusts the address's connections after a request that was
-// written and met silence until its deadline.
-func (t *Transport) noteSilence(p *pool, x *exchange, err error) {
-	if errors.Is(err, context.DeadlineExceeded) && x.begun() && !x.answered.Load() {
-		t.silent.Inc(1)
-		p.distrust()
+// recordUnanswered invalidates the address's connections after a request that
+// was written and got no byte of a response before its deadline.
+func (t *Transport) recordUnanswered(p *pool, x *exchange, err error) {
+	if errors.Is(err, context.DeadlineExceeded) && x.mayHaveSent() && !x.responded.Load() {
+		t.unanswered.Inc(1)
+		p.invalidate()
 	}
 }
 
-// answerBody is the body of an answer. Closing it before its end closes the
-// connection, so that what comes late is never read as another answer.
-type answerBody struct {
+// responseBody is the body of a response. Closing it before its end closes the
+// connection, so that late bytes are never read as part of another response.
+type responseBody struct {
 	io.ReadCloser
 	pool     *pool
 	exchange *exchange
-	watch    *watch
+	detector *stallDetector
 	ctx      context.Context
 	once     sync.Once
 }
 
-// Read fails with io.ErrUnexpectedEOF on a cut answer.
-func (b *answerBody) Read(p []byte) (int, error) {
+// Read fails with io.ErrUnexpectedEOF on a truncated response.
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF && context.Cause(b.ctx) != nil {
 		err = context.Cause(b.ctx)
@@ -198,10 +200,10 @@
 }
 
 // Close ends the exchange.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.once.Do(func() {
-		b.watch.stop()
+		b.detector.stop()
 		b.exchange.cancel(context.Canceled)
 		b.pool.inFlight.Add(-1)
 	})
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -26,7 +26,7 @@
 )
 
 func TestMain(m *testing.M) {
-	log.SetOutput(io.Discard) // net/http logs each answer that nobody asked for
+	log.SetOutput(io.Discard) // net/http logs each unsolicited response
 	os.Exit(m.Run())
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// send returns the whole answer's text.
+// send returns the body of the response.
 func send(ctx context.Context, t *upstream.Transport, address string, r *upstream.Request) (string, upstream.SentState, error) {
 	resp, sent, err := t.Send(ctx, at(address), r)
 	if err != nil {
@@ -67,20 +67,19 @@
 	return string(text), sent, err
 }
 
-// Symptom: one stowage plan was drafted twice, with one request of the planner.
-// Sequence: a connection carried a request before; the next request goes out
-// on it, the upstream runs it and ends the connection without an answer.
-// Cause: net/http takes a request with an Idempotency-Key for safe to repeat
-// and sends it again by itself. The first half of the test shows that it does.
-func TestLibraryResendIsRefused(t *testing.T) {
+// One request of a planner drafted a stowage plan twice. The request was sent on
+// a reused connection; the upstream ran it and ended the connection without a
+// response. net/http considers a request with an Idempotency-Key safe to repeat
+// and resent it by itself. The first half of the test shows that it does.
+func TestResendByNetHTTPIsRefused(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{})
 	plain := &http.Transport{}
 	defer plain.CloseIdleConnections()
 	runTwice := func(send func(key string) error) int {
-		is.NoErr(send("first")) // leaves a kept connection behind
+		is.NoErr(send("first")) // leaves an idle connection
 		u.Fail(standin.FaultCut, -1)
-		is.True(send("plan") != nil) // cut
+		is.True(send("plan") != nil) // the connection was cut
 		u.Fail(standin.FaultNone, 0)
 		return u.Runs("plan")
 	}
@@ -106,11 +105,11 @@
 	is.Equal(after-before, 1)
 }
 
-// Symptom: a caller was told not-run, and the plan was drafted all the same.
-// Sequence: a caller goes away while its request has a connection and no byte
-// was written yet; the transport returns an error, then its writer wakes up.
-// Cause: the error says when we stopped to wait, not what the writer does.
-func TestGivenUpRequestIsNeverWritten(t *testing.T) {
+// A caller was told not-run, but the plan was drafted. The caller had gone away
+// while its request had a connection and no byte was written yet; the transport
+// returned an error, and its writer woke up afterwards. The error of net/http
+// doesn't mean that the writer has stopped.
+func TestCancelledRequestIsNeverWritten(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{Slots: 1000})
 	transport := newTransport(t, upstream.Options{})
@@ -129,19 +128,19 @@
 	}
 	_, _, err := send(context.Background(), transport, u.Address(), request("POST", "/plan", "last"))
 	is.NoErr(err)
-	time.Sleep(20 * time.Millisecond) // lets late writers do their harm
+	time.Sleep(20 * time.Millisecond) // time for late writers to write
 	runs := u.AllRuns()
 	for _, key := range unsent {
 		is.Equal(runs[key], 0) // reported as not sent
 	}
-	t.Logf("%d of 1000 requests were given up unsent", len(unsent))
+	t.Logf("%d of 1000 requests were cancelled before they were sent", len(unsent))
 }
 
-// Symptom: a household got another household's visit slots.
-// Sequence: an upstream writes one answer twice; the connection is used again
-// at once, and the second copy is read as the answer to the next request.
-// Cause: on one connection, order is all that ties an answer to its request.
-func TestLeftoverAnswerIsNotTheNextOne(t *testing.T) {
+// A household got another household's visit slots. An upstream had written one
+// response twice; the connection was reused at once, and the second copy was
+// read as the response to the next request. On a connection, only the order
+// relates a response to its request.
+func TestDuplicateResponseIsNotReadForTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	address := serveRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -150,11 +149,11 @@
 			if err != nil {
 				return
 			}
-			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.URL.Path), r.URL.Path)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.URL.Path), r.URL.Path)
 			if i%2 == 0 {
-				answer += answer
+				response += response
 			}
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 		}
 	})
 	transport := newTransport(t, upstream.Options{})
@@ -167,11 +166,10 @@
 	}
 }
 
-// Symptom: a caller gets the answer to a request that was given up before.
-// Sequence: a request passes its deadline; its answer comes afterwards, while
-// the next request is on its way to the same upstream.
-// Cause: a connection that still owes an answer was used again.
-func TestLateAnswerIsNotTheNextOne(t *testing.T) {
+// A caller got the response to an earlier request. That request had passed its
+// deadline, and its response came while the next request to the same upstream
+// was in flight: a connection with an outstanding response had been reused.
+func TestLateResponseIsNotReadForTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{Latency: 20 * time.Millisecond})
 	transport := newTransport(t, upstream.Options{})
@@ -187,7 +185,7 @@
 	}
 }
 
-// serveRaw serves each connection with a function.
+// serveRaw listens, calls serve for each connection, and returns the address.
 func serveRaw(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,11 +212,10 @@
 	return l.Addr().String()
 }
 
-// Symptom: half a loading plan was passed on as the plan.
-// Sequence: an upstream ends its connection in the middle of an answer, or
-// gives an answer that is no whole answer to this request.
-// Cause: an end of file is the end of the answer only if a length says so.
-func TestFaultyAnswersAreErrors(t *testing.T) {
+// Half of a loading plan was passed on as the whole plan. The upstream had ended
+// the connection in the middle of a response. The end of the connection is the
+// end of a response only if the length or the chunks confirm it.
+func TestFaultyResponsesAreErrors(t *testing.T) {
 	u := newStandin(t, standin.Options{})
 	transport := newTransport(t, upstream.Options{})
 	for fault, want := range map[standin.Fault]error{
@@ -236,8 +233,8 @@
 	}
 }
 
-// relay passes bytes between a transport and an upstream. Frozen connections
-// stay open and swallow what comes in one direction or both.
+// relay forwards bytes between a transport and an upstream. Frozen connections
+// stay open and drop the bytes of one direction or both.
 type relay struct {
 	target string
 
@@ -246,7 +243,7 @@
 	conns  []net.Conn
 }
 
-// count is how many connections were made.
+// count returns how many connections were made.
 func (r *relay) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -277,34 +274,33 @@
 	for {
 		n, err := from.Read(part)
 		r.mu.Lock()
-		swallow := r.frozen[from]
+		drop := r.frozen[from]
 		r.mu.Unlock()
 		if err != nil {
 			return
 		}
-		if !swallow {
+		if !drop {
 			_, _ = to.Write(part[:n])
 		}
 	}
 }
 
-// freeze swallows, on the connections that are open now, what comes from the
-// transport's side or from the upstream's.
-func (r *relay) freeze(requests, answers bool) {
+// freeze drops what the connections that are open now receive from the
+// transport (requests) or from the upstream (responses).
+func (r *relay) freeze(requests, responses bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.frozen = make(map[net.Conn]bool)
 	for i, c := range r.conns {
-		r.frozen[c] = i%2 == 0 && requests || i%2 == 1 && answers
+		r.frozen[c] = i%2 == 0 && requests || i%2 == 1 && responses
 	}
 }
 
-// Symptom: bookings fail for minutes after a firewall was restarted.
-// Sequence: kept connections go silent, in one direction or both, while new
-// ones work; request after request goes out on a silent one.
-// Cause: nothing ends a connection that is merely silent.
-func TestSilentConnectionsAreLeft(t *testing.T) {
-	const kept = 6
+// Bookings failed for minutes after a firewall was restarted. Idle connections
+// no longer passed bytes, in one direction or both, while new ones worked. One
+// request after another was sent on such a connection, as nothing closed it.
+func TestUnresponsiveConnectionsAreAbandoned(t *testing.T) {
+	const idle = 6
 	for name, side := range map[string][2]bool{"requests": {true, false}, "answers": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -313,35 +309,35 @@
 			address := serveRaw(t, r.serve)
 			transport := newTransport(t, upstream.Options{FreshFor: 30 * time.Second})
 			var warm sync.WaitGroup
-			for range kept {
+			for range idle {
 				warm.Go(func() { _, _, _ = send(context.Background(), transport, address, request("GET", "/warm", "w")) })
 			}
 			warm.Wait()
 			r.freeze(side[0], side[1])
 
-			silent := request("GET", "/slots", "silent")
-			silent.SuspectAfter, silent.GiveUpReused, silent.GiveUpAfter = 20*time.Millisecond, 40*time.Millisecond, time.Minute
-			asked := 0
-			silent.GiveUp = func() bool { asked++; return asked == 2 } // no retry can be paid for at first
+			stalled := request("GET", "/slots", "silent")
+			stalled.SuspectAfter, stalled.GiveUpReused, stalled.GiveUpAfter = 20*time.Millisecond, 40*time.Millisecond, time.Minute
+			calls := 0
+			stalled.GiveUp = func() bool { calls++; return calls == 2 } // at first no retry is allowed
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			_, sent, err := send(ctx, transport, address, silent)
+			_, sent, err := send(ctx, transport, address, stalled)
 			is.True(errors.Is(err, upstream.ErrSilent))
 			is.Equal(sent, upstream.MaybeSent)
 			made := r.count()
-			for i := range kept {
+			for i := range idle {
 				_, _, err := send(ctx, transport, address, request("POST", "/book", fmt.Sprint(i)))
-				is.NoErr(err) // none goes out on a silent connection
+				is.NoErr(err) // none is sent on a frozen connection
 			}
 			is.True(r.count() > made)
 		})
 	}
 }
 
-// Symptom: a booking is lost on a connection that nobody used for a while.
-// Sequence: connections go silent while idle; the next request comes later.
-// Cause: an idle connection proves nothing, so only lately proved ones serve.
-func TestUnprovedConnectionIsNotUsed(t *testing.T) {
+// A booking was lost on a connection that had been idle for a while and had
+// stopped passing bytes meanwhile. Only connections that were active lately may
+// be reused.
+func TestLongIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{})
 	r := &relay{target: u.Address()}
--- a/internal/upstream/standin/announce.go
+++ b/internal/upstream/standin/announce.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// Run announces the stand-in until ctx ends, at the interval that the answers
-// ask for. A failed announcement is tried again soon, at the next address.
+// Run announces the stand-in until ctx ends, at the interval given in the
+// responses. A failed announcement is retried soon, at the next address.
 func (u *Upstream) Run(ctx context.Context) {
 	for try := 0; ; try++ {
 		wait, err := u.announce(ctx, try)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Announce announces once, at the first address that takes it.
+// Announce announces the stand-in once, at the first address that accepts it.
 func (u *Upstream) Announce(ctx context.Context) error {
 	var err error
 	for try := range u.options.Announce {
@@ -42,7 +42,7 @@
 	return err
 }
 
-// Leave announces that the stand-in leaves; it goes on serving.
+// Leave announces that the stand-in is leaving; it continues to serve.
 func (u *Upstream) Leave(ctx context.Context) error {
 	u.mu.Lock()
 	u.leaving = true
@@ -50,7 +50,7 @@
 	return u.Announce(ctx)
 }
 
-// Withdraw ends the announcement.
+// Withdraw withdraws the announcement.
 func (u *Upstream) Withdraw(ctx context.Context) error {
 	if len(u.options.Announce) == 0 {
 		return nil
@@ -68,20 +68,20 @@
 	if err != nil {
 		return 0, err
 	}
-	answer, err := u.call(ctx, http.MethodPut, u.url(try), body)
+	response, err := u.call(ctx, http.MethodPut, u.url(try), body)
 	if err != nil {
 		return 0, err
 	}
 	var renew struct {
 		RenewAfter string `json:"renew_after"`
 	}
-	if err := json.Unmarshal(answer, &renew); err != nil {
+	if err := json.Unmarshal(response, &renew); err != nil {
 		return 0, err
 	}
 	return time.ParseDuration(renew.RenewAfter)
 }
 
-// next is the announcement with the next sequence number.
+// next returns an announcement with the next sequence number.
 func (u *Upstream) next() upstream.Announcement {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -120,9 +120,9 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
+	response, err := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("standin: announcement refused with status %d: %s", resp.StatusCode, answer)
+		err = fmt.Errorf("standin: announcement refused with status %d: %s", resp.StatusCode, response)
 	}
-	return answer, err
+	return response, err
 }
--- a/internal/upstream/standin/doc.go
+++ b/internal/upstream/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin is a small stand-in for an upstream: an HTTP server on a
-// loopback socket that announces itself, takes requests in slots, counts what
-// it ran, and misbehaves on demand. Tests, the demo and benchmarks use it.
+// Package standin is a small stand-in for an upstream, used by tests, the demo
+// and benchmarks: an HTTP server on a loopback socket that announces itself,
+// bounds its requests by slots, counts what it ran, and injects faults.
 package standin
--- a/internal/upstream/standin/freeze.go
+++ b/internal/upstream/standin/freeze.go
@@ -6,30 +6,30 @@
 	"sync/atomic"
 )
 
-// silencer is a listener whose open connections can be made silent, as when
-// something between the two ends has lost track of them.
-type silencer struct {
+// freezableListener is a listener whose open connections can be frozen, as when
+// a firewall between the two ends loses their state.
+type freezableListener struct {
 	net.Listener
 
 	mu   sync.Mutex
-	open map[*silentConn]bool
+	open map[*freezableConn]bool
 }
 
-// Accept returns a connection that Freeze can silence.
-func (s *silencer) Accept() (net.Conn, error) {
+// Accept returns a connection that Freeze can freeze.
+func (s *freezableListener) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	silent := &silentConn{Conn: c, owner: s, closed: make(chan struct{})}
-	s.open[silent] = true
-	return silent, nil
+	accepted := &freezableConn{Conn: c, listener: s, closed: make(chan struct{})}
+	s.open[accepted] = true
+	return accepted, nil
 }
 
-// Freeze silences the connections that are open now: what comes in is
-// swallowed, and so is what goes out. New connections work.
+// Freeze freezes the connections that are open now: they stay open, and bytes
+// in both directions are dropped. New connections work.
 func (u *Upstream) Freeze() {
 	u.listener.mu.Lock()
 	defer u.listener.mu.Unlock()
@@ -38,17 +38,17 @@
 	}
 }
 
-// silentConn is a connection that may be frozen.
-type silentConn struct {
+// freezableConn is a connection that can be frozen.
+type freezableConn struct {
 	net.Conn
-	owner  *silencer
-	frozen atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener *freezableListener
+	frozen   atomic.Bool
+	once     sync.Once
+	closed   chan struct{}
 }
 
-// Read yields nothing once the connection is frozen.
-func (c *silentConn) Read(p []byte) (int, error) {
+// Read blocks until Close once the connection is frozen.
+func (c *freezableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if !c.frozen.Load() {
 		return n, err
@@ -57,8 +57,8 @@
 	return 0, net.ErrClosed
 }
 
-// Write swallows once the connection is frozen.
-func (c *silentConn) Write(p []byte) (int, error) {
+// Write drops the bytes once the connection is frozen.
+func (c *freezableConn) Write(p []byte) (int, error) {
 	if c.frozen.Load() {
 		return len(p), nil
 	}
@@ -66,12 +66,12 @@
 }
 
 // Close closes the connection.
-func (c *silentConn) Close() error {
+func (c *freezableConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.owner.mu.Lock()
-		delete(c.owner.open, c)
-		c.owner.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.open, c)
+		c.listener.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
--- a/internal/upstream/standin/serve.go
+++ b/internal/upstream/standin/serve.go
@@ -11,37 +11,38 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// Fault is a way to misbehave.
+// Fault is a fault that the stand-in injects.
 type Fault uint8
 
 const (
-	// FaultNone answers as it should.
+	// FaultNone responds normally.
 	FaultNone Fault = iota
 	// FaultBusy refuses with status 503 and the verdict not-run.
 	FaultBusy
-	// FaultError runs the request and answers with status 500.
+	// FaultError runs the request and responds with status 500.
 	FaultError
-	// FaultHang runs the request and answers nothing until Close.
+	// FaultHang runs the request and sends no response before Close.
 	FaultHang
-	// FaultCut runs the request and ends the connection without an answer.
+	// FaultCut runs the request and ends the connection without a response.
 	FaultCut
-	// FaultTruncate runs the request and cuts the answer in its middle.
+	// FaultTruncate runs the request and ends the connection in the middle of
+	// the response.
 	FaultTruncate
-	// FaultTruncateChunks does the same to an answer without a length.
+	// FaultTruncateChunks does the same to a response in chunks.
 	FaultTruncateChunks
-	// FaultUndelimited answers without a length and without chunks.
+	// FaultUndelimited responds without a length and without chunks.
 	FaultUndelimited
-	// FaultForeign answers under the id of another request.
+	// FaultForeign responds with the ID of another request.
 	FaultForeign
-	// FaultDouble answers twice.
+	// FaultDouble responds twice.
 	FaultDouble
 )
 
-// Fail lets the next n requests meet a fault; n below 0 means all.
+// Fail injects a fault into the next n requests; n below 0 means all.
 func (u *Upstream) Fail(f Fault, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.fault, u.faulty = f, n
+	u.fault, u.faultsLeft = f, n
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +51,7 @@
 		return
 	}
 	if r.URL.Query().Has("hang") {
-		<-u.hung
+		<-u.closing
 		return
 	}
 	fault, latency, ok := u.begin(keyOf(r, body))
@@ -60,7 +61,7 @@
 	}
 	defer u.end()
 	wait(r, latency)
-	u.answer(w, r, fault, body)
+	u.respond(w, r, fault, body)
 }
 
 func keyOf(r *http.Request, body []byte) string {
@@ -86,11 +87,11 @@
 }
 
 func (u *Upstream) nextFault() Fault {
-	if u.faulty == 0 {
+	if u.faultsLeft == 0 {
 		return FaultNone
 	}
-	if u.faulty > 0 {
-		u.faulty--
+	if u.faultsLeft > 0 {
+		u.faultsLeft--
 	}
 	return u.fault
 }
@@ -119,25 +120,25 @@
 	}
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, fault Fault, body []byte) {
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, fault Fault, body []byte) {
 	id := r.Header.Get(upstream.RequestIDHeader)
-	text := u.text(r, body)
+	text := u.responseText(r, body)
 	switch fault {
 	case FaultError:
 		w.WriteHeader(http.StatusInternalServerError)
 	case FaultHang:
-		<-u.hung
+		<-u.closing
 	case FaultCut:
 		panic(http.ErrAbortHandler)
 	case FaultTruncate:
-		raw(w, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2]))
+		writeRaw(w, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2]))
 	case FaultTruncateChunks:
-		raw(w, fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text))
+		writeRaw(w, fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text))
 	case FaultUndelimited:
-		raw(w, "HTTP/1.1 200 OK\r\n\r\n"+string(text))
+		writeRaw(w, "HTTP/1.1 200 OK\r\n\r\n"+string(text))
 	case FaultDouble:
 		one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		raw(w, one+one)
+		writeRaw(w, one+one)
 	case FaultForeign:
 		id = "another-" + id
 		fallthrough
@@ -148,8 +149,9 @@
 	}
 }
 
-// text is the answer: as many bytes as the query asks for, or an echo.
-func (u *Upstream) text(r *http.Request, body []byte) []byte {
+// responseText returns the body of the response: as many bytes as the query
+// asks for, or an echo of the request.
+func (u *Upstream) responseText(r *http.Request, body []byte) []byte {
 	if n, err := strconv.Atoi(r.URL.Query().Get("bytes")); err == nil && n >= 0 {
 		text := make([]byte, n)
 		for i := range text {
@@ -160,8 +162,8 @@
 	return fmt.Appendf(nil, "%s %s %s %s", u.options.Instance, r.Method, r.URL.RequestURI(), body)
 }
 
-// raw writes bytes to the connection as they are and closes it.
-func raw(w http.ResponseWriter, text string) {
+// writeRaw writes text to the connection as it is and closes the connection.
+func writeRaw(w http.ResponseWriter, text string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/upstream/standin/upstream.go
+++ b/internal/upstream/standin/upstream.go
@@ -18,18 +18,18 @@
 	AvailabilityZone string
 	// Incarnation is 1 when 0.
 	Incarnation uint64
-	// Slots bounds the requests in progress; more are refused as busy.
+	// Slots bounds the requests in progress; further ones are refused as busy.
 	Slots int
-	// Connections is announced and not enforced.
+	// Connections is announced but not enforced.
 	Connections int
 	// Latency is how long each request runs.
 	Latency time.Duration
-	// Announce lists the base URLs at which Run announces, in turn; empty
-	// leaves it to the test to enter the instance.
+	// Announce lists the base URLs at which Run announces, in turn. When it is
+	// empty, the test registers the instance itself.
 	Announce []string
 	// Token is the bearer token of announcements; empty for none.
 	Token string
-	// Renew is the interval of announcements until an answer names one.
+	// Renew is the interval of announcements until a response gives one.
 	Renew time.Duration
 	// Listen is the address to listen on; 127.0.0.1:0 when empty.
 	Listen string
@@ -38,7 +38,7 @@
 // Upstream is a running stand-in.
 type Upstream struct {
 	options  Options
-	listener *silencer
+	listener *freezableListener
 	server   *http.Server
 	client   *http.Client
 	serving  conc.WaitGroup
@@ -53,10 +53,10 @@
 	runs     map[string]int
 	total    int
 	fault    Fault
-	// faulty is how many more requests meet the fault; -1 for all.
-	faulty int
-	// hung holds the requests of FaultHang until Close.
-	hung chan struct{}
+	// faultsLeft is how many more requests get the fault; -1 for all.
+	faultsLeft int
+	// closing ends the requests that hang; Close closes it.
+	closing chan struct{}
 }
 
 const (
@@ -66,7 +66,7 @@
 	announceTimeout    = 2 * time.Second
 )
 
-// Start listens and serves.
+// Start starts a stand-in.
 func Start(o Options) (*Upstream, error) {
 	o = withDefaults(o)
 	l, err := net.Listen("tcp", o.Listen)
@@ -75,12 +75,12 @@
 	}
 	u := &Upstream{
 		options:  o,
-		listener: &silencer{Listener: l, open: make(map[*silentConn]bool)},
+		listener: &freezableListener{Listener: l, open: make(map[*freezableConn]bool)},
 		client:   &http.Client{Timeout: announceTimeout},
 		latency:  o.Latency,
 		slots:    o.Slots,
 		runs:     make(map[string]int),
-		hung:     make(chan struct{}),
+		closing:  make(chan struct{}),
 	}
 	u.server = &http.Server{Handler: http.HandlerFunc(u.serve), ReadHeaderTimeout: time.Minute}
 	u.serving.Go(func() { _ = u.server.Serve(u.listener) })
@@ -106,16 +106,16 @@
 	return o
 }
 
-// Address is the IP:port that the stand-in serves on.
+// Address returns the IP:port on which the stand-in serves.
 func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Close ends every connection at once, like a VM that fails.
+// Close closes all connections at once, like a VM that fails.
 func (u *Upstream) Close() {
 	u.mu.Lock()
 	select {
-	case <-u.hung:
+	case <-u.closing:
 	default:
-		close(u.hung)
+		close(u.closing)
 	}
 	u.mu.Unlock()
 	_ = u.server.Close()
@@ -123,7 +123,8 @@
 	u.client.CloseIdleConnections()
 }
 
-// Shutdown announces that it leaves, waits for the requests in progress, and ends.
+// Shutdown announces that the stand-in is leaving, waits for the requests in
+// progress, and closes it.
 func (u *Upstream) Shutdown(ctx context.Context) error {
 	err := u.Leave(ctx)
 	if stop := u.server.Shutdown(ctx); err == nil {
@@ -133,15 +134,15 @@
 	return err
 }
 
-// SetLatency changes how long requests run.
+// SetLatency sets how long requests run.
 func (u *Upstream) SetLatency(d time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.latency = d
 }
 
-// Runs is how often the request with this key ran. The key is the request's
-// Idempotency-Key or, without one, its body.
+// Runs returns how often the request with this key ran. The key is the
+// request's Idempotency-Key or, without one, its body.
 func (u *Upstream) Runs(key string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -159,14 +160,14 @@
 	return runs
 }
 
-// Total is how many requests ran.
+// Total returns how many requests ran.
 func (u *Upstream) Total() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.total
 }
 
-// Peak is the largest number of requests that ran at one time.
+// Peak returns the largest number of requests that ran at one time.
 func (u *Upstream) Peak() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/tcp_linux.go
+++ b/internal/upstream/tcp_linux.go
@@ -6,12 +6,12 @@
 )
 
 // tcpUserTimeout is the socket option TCP_USER_TIMEOUT of tcp(7), in
-// milliseconds; the syscall package does not name it.
+// milliseconds; the syscall package has no constant for it.
 const tcpUserTimeout = 0x12
 
 // SetUserTimeout bounds how long sent bytes may stay unacknowledged. Without
-// it a connection whose path lost track of it retries for many minutes before
-// the kernel reports an error.
+// it the kernel retransmits for many minutes before it reports an error, for
+// example when a firewall on the path has lost the state of the connection.
 func SetUserTimeout(raw syscall.RawConn, d time.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/upstream/tcp_other.go
+++ b/internal/upstream/tcp_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// SetUserTimeout does nothing where TCP_USER_TIMEOUT does not exist; keepalive
-// probes then find dead connections, later.
+// SetUserTimeout does nothing on systems without TCP_USER_TIMEOUT. Keepalive
+// probes detect dead connections there, but later.
 func SetUserTimeout(syscall.RawConn, time.Duration) error { return nil }
--- a/internal/upstream/watch.go
+++ b/internal/upstream/watch.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// watch draws conclusions from the silence of one exchange. Whatever lost
-// track of one connection lost track of others too: after SuspectAfter the
-// other connections to the address are no longer trusted, which costs one
-// round trip for a new one. After a longer silence the request itself may be
-// given up, if the caller path can send it again.
-type watch struct {
+// stallDetector reacts to the inactivity of one exchange. What breaks one
+// connection silently, such as a firewall that loses its state, mostly breaks
+// others too. So after SuspectAfter the other connections to the address are no
+// longer reused, which costs one round trip for a new one. After a longer
+// inactivity the request itself may be given up, if the caller path can send it
+// again.
+type stallDetector struct {
 	pool     *pool
 	exchange *exchange
 	request  *Request
@@ -21,19 +22,19 @@
 	suspected bool
 }
 
-// startWatch returns nil when the request asks for no conclusions.
-func startWatch(p *pool, x *exchange, r *Request) *watch {
+// startStallDetector returns nil when the request sets no SuspectAfter.
+func startStallDetector(p *pool, x *exchange, r *Request) *stallDetector {
 	if r.SuspectAfter <= 0 {
 		return nil
 	}
-	w := &watch{pool: p, exchange: x, request: r}
+	w := &stallDetector{pool: p, exchange: x, request: r}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(r.SuspectAfter, w.fire)
+	w.timer = time.AfterFunc(r.SuspectAfter, w.onTimer)
 	return w
 }
 
-func (w *watch) stop() {
+func (w *stallDetector) stop() {
 	if w == nil {
 		return
 	}
@@ -43,22 +44,22 @@
 	w.timer.Stop()
 }
 
-// fire looks at how long the exchange has been silent.
-func (w *watch) fire() {
+// onTimer acts on the time for which the exchange has been inactive.
+func (w *stallDetector) onTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	quiet := w.quiet()
-	if quiet < w.limit() {
-		w.timer.Reset(w.limit() - quiet)
+	inactive := w.inactiveFor()
+	if inactive < w.limit() {
+		w.timer.Reset(w.limit() - inactive)
 		return
 	}
 	if !w.suspected {
 		w.suspected = true
-		w.pool.distrust()
-		w.awaitLimit(quiet)
+		w.pool.invalidate()
+		w.scheduleNext(inactive)
 		return
 	}
 	if w.request.GiveUp() {
@@ -68,15 +69,15 @@
 	w.timer.Reset(w.limit())
 }
 
-// awaitLimit sets the timer for the next conclusion, if there is one.
-func (w *watch) awaitLimit(quiet time.Duration) {
+// scheduleNext sets the timer for the next step, if there is one.
+func (w *stallDetector) scheduleNext(inactive time.Duration) {
 	if w.request.GiveUp != nil {
-		w.timer.Reset(max(w.limit()-quiet, 0))
+		w.timer.Reset(max(w.limit()-inactive, 0))
 	}
 }
 
-// limit is the silence that leads to the next conclusion.
-func (w *watch) limit() time.Duration {
+// limit returns the inactivity after which the next step is taken.
+func (w *stallDetector) limit() time.Duration {
 	switch {
 	case !w.suspected:
 		return w.request.SuspectAfter
@@ -87,10 +88,11 @@
 	}
 }
 
-// quiet is how long no byte has moved; waiting for a connection is no silence.
-func (w *watch) quiet() time.Duration {
-	if !w.exchange.begun() {
+// inactiveFor returns how long no byte has been sent or received. Waiting for a
+// connection doesn't count.
+func (w *stallDetector) inactiveFor() time.Duration {
+	if !w.exchange.mayHaveSent() {
 		return 0
 	}
-	return w.pool.now() - time.Duration(w.exchange.movedAt.Load())
+	return w.pool.now() - time.Duration(w.exchange.lastByteAt.Load())
 }
