--- a/internal/health/history.go
+++ b/internal/health/history.go
@@ -1,9 +1,11 @@
-// Package health tells workers that fail jobs from jobs that fail on workers.
+// Package health distinguishes bad workers, on which good jobs fail, from bad
+// jobs, which fail on good workers. It quarantines the former and holds the
+// latter.
 //
-// Raw failure rates can't: a worker that happened to get three bad jobs looks
-// broken, and a job that happened to meet a broken worker looks bad. So each
-// failure is looked at from both margins: what else the worker did, and how
-// the job fared elsewhere.
+// Raw failure rates can't distinguish them: a worker that happened to get three
+// bad jobs looks broken, and a job that happened to run on a broken worker looks
+// bad. So each failure is judged by both sides: what else succeeded on the
+// worker, and whether the job succeeded elsewhere.
 package health
 
 import (
@@ -14,21 +16,22 @@
 )
 
 const (
-	// Window is how long an outcome counts.
+	// Window is how long an outcome is taken into account.
 	Window = 6 * time.Hour
-	// outcomesKept bounds the outcomes remembered for each worker.
-	outcomesKept = 64
-	// workersKept bounds the workers remembered.
-	workersKept = 20_000
+	// maxOutcomesPerWorker bounds the outcomes kept for each worker.
+	maxOutcomesPerWorker = 64
+	// maxWorkers is the number of workers from which on those without a recent
+	// outcome are dropped.
+	maxWorkers = 20_000
 )
 
-// Subject names what ran: a job, or an instance of a service.
+// Subject identifies what ran: a job or a service.
 type Subject string
 
-// JobSubject names a job.
+// JobSubject returns the subject of a job.
 func JobSubject(id model.JobID) Subject { return Subject("job " + id) }
 
-// SubjectOf names what a task ran.
+// SubjectOf returns the subject of a task.
 func SubjectOf(t *model.Task) Subject {
 	if t.Job != "" {
 		return JobSubject(t.Job)
@@ -37,14 +40,15 @@
 	return Subject("service " + t.Service)
 }
 
-// Class names the kind of what ran: jobs of one team and kind, or a service.
+// Class identifies a kind of subject: the jobs of one team and kind, or a service.
 type Class string
 
-// JobClass names the kind of a job.
+// JobClass returns the class of a job.
 func JobClass(spec *model.JobSpec) Class { return Class(string(spec.Team) + "/" + spec.Kind) }
 
-// Outcome is how one task ended on a worker. Tasks that were stopped, lapsed
-// or never started say nothing and are not observed.
+// Outcome is how one task ended on a worker. Tasks that were stopped, whose
+// lease lapsed or that never started are not observed, as they show nothing about
+// the worker or the job.
 type Outcome struct {
 	Subject Subject
 	Class   Class
@@ -53,8 +57,8 @@
 	At      model.Instant
 }
 
-// History holds the latest outcomes by worker. It is soft state of the
-// leader; what a new leader lacks it takes from the jobs' own records.
+// History holds the latest outcomes by worker. It is soft state of the leader.
+// A new leader starts without it and uses the records of the jobs instead.
 type History struct {
 	workers map[model.WorkerID][]Outcome
 	now     model.Instant
@@ -65,22 +69,21 @@
 	return &History{workers: make(map[model.WorkerID][]Outcome)}
 }
 
-// Observe remembers an outcome, in place of the oldest of the worker when
-// there are too many.
+// Observe adds an outcome. When the worker has too many, its oldest is dropped.
 func (h *History) Observe(o Outcome) {
 	h.now = max(h.now, o.At)
 	list, known := h.workers[o.Worker]
-	if !known && len(h.workers) >= workersKept {
-		h.dropStale()
+	if !known && len(h.workers) >= maxWorkers {
+		h.dropExpired()
 	}
-	if len(list) == outcomesKept {
+	if len(list) == maxOutcomesPerWorker {
 		list = slices.Delete(list, 0, 1)
 	}
 	h.workers[o.Worker] = append(list, o)
 }
 
-// dropStale forgets the workers without an outcome in the window.
-func (h *History) dropStale() {
+// dropExpired drops the workers without an outcome in the window.
+func (h *History) dropExpired() {
 	for w, list := range h.workers {
 		if h.now.Sub(list[len(list)-1].At) > Window {
 			delete(h.workers, w)
--- a/internal/health/margins.go
+++ b/internal/health/margins.go
@@ -10,122 +10,124 @@
 )
 
 const (
-	// provenAfter is how long a task must have run on a worker to show that
-	// the worker can run tasks.
-	provenAfter = 5 * time.Minute
-	// likelyWeight is what the failure of a job that ran nowhere else counts
-	// when other jobs of its kind run well elsewhere.
+	// successAfter is how long a task must have run on a worker to count as a
+	// success there before it ends.
+	successAfter = 5 * time.Minute
+	// likelyWeight is the weight of the failure of a job that ran nowhere else
+	// while other jobs of its kind succeed elsewhere.
 	likelyWeight = 0.75
-	// goodClassShare and goodClassLeast say when jobs of a kind run well
-	// elsewhere: the share that succeeds, and of how many at least.
-	goodClassShare = 0.8
-	goodClassLeast = 5
+	// Jobs of a kind are reliable elsewhere when at least reliableClassShare of
+	// their outcomes there are successes, and at least reliableClassMin are.
+	reliableClassShare = 0.8
+	reliableClassMin   = 5
 )
 
-// margins are the failures and successes of the workers on which something
-// failed, and of the subjects that failed. The others are not looked at: on
-// most days they are nearly all.
-type margins struct {
+// statistics holds the failures and successes of the workers on which something
+// failed, and of the subjects that failed. All others, which are nearly all on
+// most days, are skipped.
+type statistics struct {
 	ix       *fleet.Index
-	workers  map[model.WorkerID]*workerMargin
-	subjects map[Subject]*subjectMargin
-	classes  map[Class]*classMargin
+	workers  map[model.WorkerID]*workerStats
+	subjects map[Subject]*subjectStats
+	classes  map[Class]*classStats
 }
 
-// workerMargin is one worker's side: distinct subjects, not attempts.
-type workerMargin struct {
+// workerStats are the distinct subjects, not attempts, that failed and succeeded
+// on one worker.
+type workerStats struct {
 	id        model.WorkerID
 	failed    map[Subject]model.Instant
 	succeeded map[Subject]bool
-	// evidence is what the worker must answer for: the subjects that failed
-	// here and ran well elsewhere count 1 each, see likelyWeight for others.
+	// evidence is the weight of the failures attributed to the worker: 1 for each
+	// subject that failed here and succeeded elsewhere, likelyWeight for others
+	// that probably would have.
 	evidence float64
-	// streak counts the successes since the last failure.
+	// streak is the number of successes since the last failure.
 	streak int
 }
 
-// subjectMargin is one job's, or service's, side.
-type subjectMargin struct {
+// subjectStats are the workers on which one job or service failed and succeeded.
+type subjectStats struct {
 	class       Class
 	failedOn    []model.WorkerID
 	succeededOn []model.WorkerID
-	// elsewhere says that it succeeded, on a worker that is not known.
-	elsewhere bool
+	// succeededOnUnknown is set when it succeeded on a worker that isn't known.
+	succeededOnUnknown bool
 }
 
-// classMargin counts the outcomes of one kind of job, by worker.
-type classMargin struct {
-	good, bad     int
-	goodOn, badOn map[model.WorkerID]int
+// classStats counts the outcomes of one class, in total and by worker.
+type classStats struct {
+	succeeded, failed     int
+	succeededOn, failedOn map[model.WorkerID]int
 }
 
-func newMargins(ix *fleet.Index, h *History) *margins {
-	m := &margins{
+func newStatistics(ix *fleet.Index, h *History) *statistics {
+	m := &statistics{
 		ix:       ix,
-		workers:  make(map[model.WorkerID]*workerMargin),
-		subjects: make(map[Subject]*subjectMargin),
-		classes:  make(map[Class]*classMargin),
+		workers:  make(map[model.WorkerID]*workerStats),
+		subjects: make(map[Subject]*subjectStats),
+		classes:  make(map[Class]*classStats),
 	}
 	m.addFailures(h)
-	m.addRecords()
+	m.addJobRecords()
 	m.addSuccesses(h)
 	m.addRunning()
-	m.weigh()
+	m.computeEvidence()
 	return m
 }
 
-func (m *margins) addFailures(h *History) {
+func (m *statistics) addFailures(h *History) {
 	for w := range h.workers {
 		for _, o := range h.recent(w, m.ix.Now()) {
 			if o.Failed {
-				m.fail(o)
+				m.recordFailure(o)
 			}
 		}
 	}
 }
 
-func (m *margins) fail(o Outcome) {
+func (m *statistics) recordFailure(o Outcome) {
 	w := m.workers[o.Worker]
 	if w == nil {
-		w = &workerMargin{id: o.Worker, failed: make(map[Subject]model.Instant), succeeded: make(map[Subject]bool)}
+		w = &workerStats{id: o.Worker, failed: make(map[Subject]model.Instant), succeeded: make(map[Subject]bool)}
 		m.workers[o.Worker] = w
 	}
 	s := m.subjects[o.Subject]
 	if s == nil {
-		s = &subjectMargin{class: o.Class}
+		s = &subjectStats{class: o.Class}
 		m.subjects[o.Subject] = s
 	}
 	if w.failed[o.Subject] == 0 {
-		m.class(o.Class).add(o.Worker, false)
+		m.classOf(o.Class).add(o.Worker, false)
 	}
 	w.failed[o.Subject] = max(w.failed[o.Subject], o.At)
 	s.failedOn = addDistinct(s.failedOn, o.Worker)
 }
 
-func (m *margins) class(id Class) *classMargin {
+func (m *statistics) classOf(id Class) *classStats {
 	c := m.classes[id]
 	if c == nil {
-		c = &classMargin{goodOn: make(map[model.WorkerID]int), badOn: make(map[model.WorkerID]int)}
+		c = &classStats{succeededOn: make(map[model.WorkerID]int), failedOn: make(map[model.WorkerID]int)}
 		m.classes[id] = c
 	}
 	return c
 }
 
-func (c *classMargin) add(w model.WorkerID, succeeded bool) {
+func (c *classStats) add(w model.WorkerID, succeeded bool) {
 	if succeeded {
-		c.good++
-		c.goodOn[w]++
+		c.succeeded++
+		c.succeededOn[w]++
 		return
 	}
-	c.bad++
-	c.badOn[w]++
+	c.failed++
+	c.failedOn[w]++
 }
 
-// addRecords adds what the jobs' own records say: on which workers they
-// failed, and that they were done in the end. A new leader has only these. A
-// job that still waits counts however long ago it failed: it would wait for
-// ever if its failures were forgotten before it is held.
-func (m *margins) addRecords() {
+// addJobRecords adds the outcomes in the records of the jobs: on which workers
+// they failed, and whether they were done in the end. A new leader has only
+// these. The failures of a job that still waits count regardless of their age:
+// it would wait forever if they expired before it is held.
+func (m *statistics) addJobRecords() {
 	for id, j := range m.ix.Snap.View.Jobs {
 		old := j.State.Final() && m.ix.Now().Sub(j.Changed) > Window
 		if len(j.FailedOn) == 0 || old {
@@ -134,14 +136,14 @@
 		subject := JobSubject(id)
 		for _, w := range j.FailedOn {
 			if known := m.workers[w]; known == nil || known.failed[subject] == 0 {
-				m.fail(Outcome{Subject: subject, Class: JobClass(&j.Spec), Worker: w, Failed: true, At: j.Changed})
+				m.recordFailure(Outcome{Subject: subject, Class: JobClass(&j.Spec), Worker: w, Failed: true, At: j.Changed})
 			}
 		}
-		m.subjects[subject].elsewhere = j.State == model.JobDone
+		m.subjects[subject].succeededOnUnknown = j.State == model.JobDone
 	}
 }
 
-func (m *margins) addSuccesses(h *History) {
+func (m *statistics) addSuccesses(h *History) {
 	for id := range h.workers {
 		w := m.workers[id]
 		for _, o := range h.recent(id, m.ix.Now()) {
@@ -149,13 +151,13 @@
 				w.streak = 0
 			}
 			if !o.Failed {
-				m.succeed(w, o)
+				m.recordSuccess(w, o)
 			}
 		}
 	}
 }
 
-func (m *margins) succeed(w *workerMargin, o Outcome) {
+func (m *statistics) recordSuccess(w *workerStats, o Outcome) {
 	if w != nil {
 		w.streak++
 		w.succeeded[o.Subject] = true
@@ -168,11 +170,11 @@
 	}
 }
 
-// addRunning counts tasks that have run well for a while as successes: an
-// instance that serves may never end.
-func (m *margins) addRunning() {
+// addRunning counts tasks that have run for successAfter as successes, since
+// an instance that serves may never end.
+func (m *statistics) addRunning() {
 	for _, t := range m.ix.Snap.View.Tasks {
-		if t.State != model.TaskRunning || m.ix.Now().Sub(t.Started) < provenAfter {
+		if t.State != model.TaskRunning || m.ix.Now().Sub(t.Started) < successAfter {
 			continue
 		}
 		if t.Job == "" && !m.ix.Snap.Serving[t.ID] {
@@ -182,7 +184,7 @@
 	}
 }
 
-func (m *margins) addRunningTask(t *model.Task) {
+func (m *statistics) addRunningTask(t *model.Task) {
 	w := m.workers[t.Worker]
 	job := m.ix.Job(t.Job)
 	if w == nil && job != nil && len(job.FailedOn) == 0 {
@@ -197,16 +199,16 @@
 	}
 }
 
-// weigh sums what each worker must answer for.
-func (m *margins) weigh() {
+// computeEvidence sums the failures attributed to each worker.
+func (m *statistics) computeEvidence() {
 	for _, w := range m.workers {
 		certain, likely := 0, 0
 		for id := range w.failed {
 			s := m.subjects[id]
 			switch {
-			case s.ranWellOff(w.id):
+			case s.succeededElsewhere(w.id):
 				certain++
-			case len(s.failedOn) == 1 && m.classes[s.class].goodOff(w.id):
+			case len(s.failedOn) == 1 && m.classes[s.class].reliableElsewhere(w.id):
 				likely++
 			}
 		}
@@ -214,52 +216,55 @@
 	}
 }
 
-// ranWellOff reports whether the subject ran well on another worker.
-func (s *subjectMargin) ranWellOff(w model.WorkerID) bool {
-	if s.elsewhere {
+// succeededElsewhere reports whether the subject succeeded on another worker.
+func (s *subjectStats) succeededElsewhere(w model.WorkerID) bool {
+	if s.succeededOnUnknown {
 		return true
 	}
 	return slices.ContainsFunc(s.succeededOn, func(o model.WorkerID) bool { return o != w })
 }
 
-// goodOff reports whether jobs of the kind run well on other workers.
-func (c *classMargin) goodOff(w model.WorkerID) bool {
-	good, bad := c.good-c.goodOn[w], c.bad-c.badOn[w]
-	return good >= goodClassLeast && float64(good) >= goodClassShare*float64(good+bad)
+// reliableElsewhere reports whether jobs of the class mostly succeed on other
+// workers.
+func (c *classStats) reliableElsewhere(w model.WorkerID) bool {
+	succeeded, failed := c.succeeded-c.succeededOn[w], c.failed-c.failedOn[w]
+	return succeeded >= reliableClassMin && float64(succeeded) >= reliableClassShare*float64(succeeded+failed)
 }
 
-// suspect reports whether a worker may be the cause of failures: what it must
-// answer for is more than chance beside what succeeded, and it has not shown
-// since that it works again.
-func (w *workerMargin) suspect() bool {
+// isSuspect reports whether a worker may be the cause of failures: those that
+// are attributed to it are more than chance compared to its successes, and it
+// has not had enough successes in a row since.
+func (w *workerStats) isSuspect() bool {
 	if w.evidence == 0 || w.streak >= releaseProbes {
 		return false
 	}
-	return w.evidence/(w.evidence+float64(len(w.succeeded))) >= suspectBlame
+	return w.evidence/(w.evidence+float64(len(w.succeeded))) >= minFailureShare
 }
 
-// proven reports whether a worker showed that it can run tasks: something
-// else than the subject succeeded there and it is not suspect itself.
+// isProven reports whether a worker has shown that it can run tasks: something
+// other than the subject succeeded there, and it is neither suspect nor in
+// quarantine.
 //
-// When everything fails everywhere, because of a fault that all share, no
-// worker is proven, and so no job is held for it.
-func (m *margins) proven(id model.WorkerID, subject Subject) bool {
+// When everything fails everywhere because of a shared fault, no worker is
+// proven, so no job is held because of it.
+func (m *statistics) isProven(id model.WorkerID, subject Subject) bool {
 	w := m.workers[id]
-	if w == nil || w.suspect() || m.ix.Snap.View.Quarantines[id] != nil {
+	if w == nil || w.isSuspect() || m.ix.Snap.View.Quarantines[id] != nil {
 		return false
 	}
 	return len(w.succeeded) > 1 || len(w.succeeded) == 1 && !w.succeeded[subject]
 }
 
-// suspects lists the workers to be put into quarantine, the worst first.
-func (m *margins) suspects(least float64) []*workerMargin {
-	var found []*workerMargin
+// suspects returns the suspect workers with at least this evidence, the worst
+// first.
+func (m *statistics) suspects(minEvidence float64) []*workerStats {
+	var found []*workerStats
 	for _, w := range m.workers {
-		if w.evidence >= least && w.suspect() {
+		if w.evidence >= minEvidence && w.isSuspect() {
 			found = append(found, w)
 		}
 	}
-	slices.SortFunc(found, func(a, b *workerMargin) int {
+	slices.SortFunc(found, func(a, b *workerStats) int {
 		return cmp.Or(cmp.Compare(b.evidence, a.evidence), cmp.Compare(a.id, b.id))
 	})
 	return found
