--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// lineRing bounds the lines that wait for the writer.
-	lineRing = 4096
-	// lossEvery is the least time between two lines that tell of lost ones.
-	lossEvery = time.Second
+	// maxQueuedLines bounds the lines that wait for the writer.
+	maxQueuedLines = 4096
+	// lostReportInterval is the minimum time between two reports of lost lines.
+	lostReportInterval = time.Second
 )
 
-// Bounded is a log handler that never makes its callers wait: lines go through
-// a bounded ring to one writer. What does not fit is counted as
-// "log.lost_lines", and a line tells of it. Without it a reader of the log
-// that stops would stop every request.
+// Bounded is a log handler that never blocks its callers: lines go through a
+// bounded ring to a single writer. Lines that don't fit are dropped, counted as
+// "log.lost_lines" and reported by a log line. With a blocking handler, a reader
+// of the log that stops reading would stop every request.
 type Bounded struct {
-	lines *ring.Ring[*log.Entry]
-	lost  metrics.Counter
-	told  int64
-	out   *bufio.Writer
+	lines    *ring.Ring[*log.Entry]
+	lost     metrics.Counter
+	reported int64
+	out      *bufio.Writer
 }
 
-// flushBytes is how much is gathered for one write while lines go on coming: what
-// a pipe takes in one piece.
+// flushBytes is how many bytes are collected for one write while lines keep
+// arriving: as many as a pipe accepts atomically.
 const flushBytes = 4 << 10
 
 // NewBounded returns a handler that writes JSON lines to out.
 func NewBounded(out io.Writer, r metrics.Registry) *Bounded {
-	return &Bounded{lines: ring.New[*log.Entry](lineRing), lost: metrics.GetOrRegisterCounter("log.lost_lines", r), out: bufio.NewWriterSize(out, flushBytes)}
+	return &Bounded{lines: ring.New[*log.Entry](maxQueuedLines), lost: metrics.GetOrRegisterCounter("log.lost_lines", r), out: bufio.NewWriterSize(out, flushBytes)}
 }
 
 // HandleLog implements log.Handler.
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// Run writes lines until ctx ends, then those that still wait.
+// Run writes lines until ctx ends, then those that are still queued.
 func (b *Bounded) Run(ctx context.Context) error {
-	ticker := time.NewTicker(lossEvery)
+	ticker := time.NewTicker(lostReportInterval)
 	defer ticker.Stop()
 	for {
 		e, err := b.lines.Get(ctx)
@@ -59,11 +59,11 @@
 		}
 		b.write(e)
 		if b.lines.Len() == 0 {
-			_ = b.out.Flush() // nobody is left to tell when standard output is gone
+			_ = b.out.Flush() // an error of standard output can't be reported anywhere
 		}
 		select {
 		case <-ticker.C:
-			b.tellLoss()
+			b.reportLost()
 		default:
 		}
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// line is how an entry is written.
-type line struct {
+// logLine is the JSON form of an entry.
+type logLine struct {
 	Time    string     `json:"time"`
 	Level   string     `json:"level"`
 	Message string     `json:"message"`
@@ -93,25 +93,25 @@
 			e.Fields[name] = err.Error()
 		}
 	}
-	text, err := json.Marshal(line{Time: e.Timestamp.Format(timeFormat), Level: e.Level.String(), Message: e.Message, Fields: e.Fields})
+	text, err := json.Marshal(logLine{Time: e.Timestamp.Format(timeFormat), Level: e.Level.String(), Message: e.Message, Fields: e.Fields})
 	if err != nil {
 		b.lost.Inc(1)
 		return
 	}
 	if b.out.Available() <= len(text) {
-		_ = b.out.Flush() // a line never spans two writes, so that readers get whole ones
+		_ = b.out.Flush() // a line is never split over two writes, so that readers get whole lines
 	}
-	_, _ = b.out.Write(append(text, '\n')) // as above
+	_, _ = b.out.Write(append(text, '\n')) // errors are ignored as in Run
 }
 
-func (b *Bounded) tellLoss() {
+func (b *Bounded) reportLost() {
 	lost := b.lost.Count()
-	if lost == b.told {
+	if lost == b.reported {
 		return
 	}
 	entry := log.NewEntry(&log.Logger{Handler: b, Level: log.InfoLevel})
 	entry.Timestamp, entry.Level, entry.Message = time.Now(), log.WarnLevel, "log lines were left out"
-	entry.Fields = log.Fields{"lines": lost - b.told}
-	b.told = lost
+	entry.Fields = log.Fields{"lines": lost - b.reported}
+	b.reported = lost
 	b.write(entry)
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// stuckWriter is a reader of the log that has stopped.
+// stuckWriter acts like a pipe whose reader has stopped.
 type stuckWriter struct{ release chan struct{} }
 
 func (w stuckWriter) Write(p []byte) (int, error) {
@@ -20,9 +20,9 @@
 	return len(p), nil
 }
 
-// Symptom: requests stand still. Sequence: whatever reads the standard output
-// stops, the pipe is full, each line waits. Cause: lines written by whoever logs.
-func TestAStuckReaderStopsNobody(t *testing.T) {
+// Requests stalled when the reader of standard output stopped: the pipe was full,
+// and every goroutine that logged blocked in the write.
+func TestStuckReaderBlocksNobody(t *testing.T) {
 	is := is.New(t)
 	registry := NewRegistry()
 	stuck := stuckWriter{release: make(chan struct{})}
@@ -34,7 +34,7 @@
 		_ = b.Run(ctx)
 	}()
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
-	for range 3 * lineRing {
+	for range 3 * maxQueuedLines {
 		logger.Info("a line of some length that fills what is gathered for one write")
 	}
 	is.True(b.lost.Count() > 0)
@@ -43,7 +43,7 @@
 	<-ended
 }
 
-func TestLinesComeWholeAndErrorsAsText(t *testing.T) {
+func TestLinesAreWholeAndErrorsAreText(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	b := NewBounded(&out, NewRegistry())
--- a/internal/telemetry/standard.go
+++ b/internal/telemetry/standard.go
@@ -9,43 +9,43 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// strayEvery is the least time between two lines passed on.
-const strayEvery = 10 * time.Second
+// libraryLineInterval is the minimum time between two lines that are passed on.
+const libraryLineInterval = 10 * time.Second
 
-// strayLines takes what libraries write to the standard logger. A faulty peer
-// can make net/http write a line for each of its answers, which would fill the
-// disk; so every line is counted and few are passed on.
-type strayLines struct {
+// libraryLogWriter receives what libraries write to the standard logger. A faulty
+// peer can make net/http write a line for each of its responses, which would
+// fill the disk. So all lines are counted, and few are passed on.
+type libraryLogWriter struct {
 	logger log.Interface
-	count  metrics.Counter
+	lines  metrics.Counter
 	now    func() time.Time
 
-	mu   sync.Mutex
-	last time.Time
+	mu         sync.Mutex
+	lastPassed time.Time
 }
 
 // NewStandardWriter returns a writer for log.SetOutput of the standard library.
 // Lines are counted as "log.stray_lines".
-func NewStandardWriter(logger log.Interface, registry metrics.Registry) *strayLines {
-	return &strayLines{logger: logger, count: metrics.GetOrRegisterCounter("log.stray_lines", registry), now: time.Now}
+func NewStandardWriter(logger log.Interface, registry metrics.Registry) *libraryLogWriter {
+	return &libraryLogWriter{logger: logger, lines: metrics.GetOrRegisterCounter("log.stray_lines", registry), now: time.Now}
 }
 
-// Write implements io.Writer; it takes one line at a time.
-func (s *strayLines) Write(line []byte) (int, error) {
-	s.count.Inc(1)
+// Write implements io.Writer. It receives one line at a time.
+func (s *libraryLogWriter) Write(line []byte) (int, error) {
+	s.lines.Inc(1)
 	if s.due() {
-		s.logger.WithField("lines_so_far", s.count.Count()).Warn("library: " + strings.TrimSpace(string(line)))
+		s.logger.WithField("lines_so_far", s.lines.Count()).Warn("library: " + strings.TrimSpace(string(line)))
 	}
 	return len(line), nil
 }
 
-func (s *strayLines) due() bool {
+func (s *libraryLogWriter) due() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if !s.last.IsZero() && now.Sub(s.last) < strayEvery {
+	if !s.lastPassed.IsZero() && now.Sub(s.lastPassed) < libraryLineInterval {
 		return false
 	}
-	s.last = now
+	s.lastPassed = now
 	return true
 }
--- a/internal/telemetry/standard_test.go
+++ b/internal/telemetry/standard_test.go
@@ -9,10 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: the log fills the disk. Sequence: an upstream sends answers that
-// nobody asked for, net/http writes a line for each. Cause: the library logs
-// whatever a peer does.
-func TestStrayLinesAreCountedAndFew(t *testing.T) {
+// The log filled the disk: an upstream sent unsolicited responses, and net/http
+// wrote a log line for each of them.
+func TestLibraryLinesAreCountedAndLimited(t *testing.T) {
 	is := is.New(t)
 	handler := memory.New()
 	registry := NewRegistry()
@@ -24,8 +23,8 @@
 		is.NoErr(err)
 	}
 	is.Equal(len(handler.Entries), 1)
-	is.Equal(w.count.Count(), int64(1000))
-	now = now.Add(strayEvery)
+	is.Equal(w.lines.Count(), int64(1000))
+	now = now.Add(libraryLineInterval)
 	_, _ = w.Write([]byte("again\n"))
 	is.Equal(len(handler.Entries), 2)
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry sets up logs and counters. Counters come first: a log
-// line is written only when a state changes, so that a flood of requests or
-// faults can't become a flood of lines.
+// Package telemetry sets up logs and metrics. Events are counted; a log line is
+// written only when a state changes, so that a flood of requests or faults can't
+// become a flood of log lines.
 package telemetry
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// NewLogger returns a logger that writes to w. Level is debug, info, warn or
-// error; format is json or text.
+// NewLogger returns a logger that writes to w. The level is debug, info, warn or
+// error; the format is json or text.
 func NewLogger(w io.Writer, level, format string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -29,5 +29,5 @@
 	return json.New(w)
 }
 
-// NewRegistry returns an empty set of counters for one process.
+// NewRegistry returns an empty metrics registry for one process.
 func NewRegistry() metrics.Registry { return metrics.NewRegistry() }
