--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,15 +24,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
-// Options are what a test or the demo may change; all may be zero.
+// Options are settings for tests and the demo. All may be zero.
 type Options struct {
-	// Listeners are sockets opened beforehand; nil opens those of the settings.
+	// Listeners are sockets that are already open; nil opens those of the settings.
 	Listeners *Listeners
-	// Logger takes log lines; the default logger when nil.
+	// Logger receives the log lines; the default logger if nil.
 	Logger log.Interface
-	// Metrics takes the counters; a new registry when nil.
+	// Metrics receives the counters; a new registry if nil.
 	Metrics metrics.Registry
-	// Tune may shorten the controller's intervals.
+	// Tune may change the controller's configuration, such as its intervals.
 	Tune func(*controller.Config)
 }
 
@@ -42,7 +42,7 @@
 	logger    log.Interface
 	metrics   metrics.Registry
 	listeners *Listeners
-	// now is the clock of the announcements.
+	// now is the clock used for announcements.
 	now func() time.Time
 
 	machine    *state.Machine
@@ -66,15 +66,15 @@
 	tokens tokens
 }
 
-// tokens are the token files, one for each kind of peer.
+// tokens holds the tokens of each kind of peer, each from its own file.
 type tokens struct {
 	operators, nodes, upstreams, platform *security.Authorizer
 }
 
-// New opens what one process needs: token files, sockets and data folder.
-// Nothing runs before Run.
+// New opens the token files, the sockets and the data folder, and connects the
+// components. Nothing runs before Run.
 func New(s *settings.Settings, o Options) (*Agent, error) {
-	a := &Agent{settings: s, logger: o.Logger, metrics: o.Metrics, listeners: o.Listeners, now: steadyClock()}
+	a := &Agent{settings: s, logger: o.Logger, metrics: o.Metrics, listeners: o.Listeners, now: monotonicClock()}
 	if a.logger == nil {
 		a.logger = log.Log
 	}
@@ -84,7 +84,7 @@
 	steps := []func() error{a.openTokens, a.openSockets, a.openStorage, func() error { return a.wire(o) }}
 	for _, step := range steps {
 		if err := step(); err != nil {
-			a.close()
+			a.releaseResources()
 			return nil, err
 		}
 	}
@@ -121,8 +121,8 @@
 	return err
 }
 
-// openStorage opens the data folder of a voter, and the audit trail of every
-// VM that has a folder.
+// openStorage opens the replica on a voter, and the audit trail on every VM with
+// a data folder.
 func (a *Agent) openStorage() error {
 	a.machine = state.NewMachine(state.Options{})
 	a.leader = &node.LeaderHint{}
@@ -185,8 +185,8 @@
 	return names
 }
 
-// close gives back what New opened; for a New that failed halfway.
-func (a *Agent) close() {
+// releaseResources closes what New opened before it failed.
+func (a *Agent) releaseResources() {
 	if a.replica != nil {
 		a.replica.Close()
 	}
@@ -197,31 +197,33 @@
 }
 
 // Run serves until ctx ends, then stops gracefully. It returns nil after a
-// graceful stop, and an error when a duty failed or the stop took too long.
+// graceful stop, and an error when a background task failed or the stop took too
+// long.
 func (a *Agent) Run(ctx context.Context) error {
-	duties, end := context.WithCancel(context.Background())
-	defer end()
-	failed := a.start(duties)
+	background, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
+	failed := a.start(background)
 	a.logger.WithField("node", a.settings.Node.Name).Info("started")
 	select {
 	case err := <-failed:
-		end()
+		stopBackground()
 		a.callers.Close()
 		a.listeners.close()
-		return oops.In("agent").Wrapf(err, "a duty ended")
+		return oops.In("agent").Wrapf(err, "a background task ended")
 	case <-ctx.Done():
 	}
-	stopErr := a.stop(end)
+	stopErr := a.stop(stopBackground)
 	err := <-failed
 	a.logger.WithField("node", a.settings.Node.Name).Info("stopped")
 	return errors.Join(stopErr, err, a.closeTrail())
 }
 
-// stop drains in the order that cuts off no request: first the balancer is
-// told, then running requests end, then leadership is handed over, and last
-// the duties which those requests needed.
-func (a *Agent) stop(end context.CancelFunc) error {
-	defer end()
+// stop stops the process in an order that interrupts no request: first it
+// becomes unready, so that the balancer removes it, then the requests in progress
+// end, then leadership is handed over, and last the background tasks end, which
+// those requests needed.
+func (a *Agent) stop(stopBackground context.CancelFunc) error {
+	defer stopBackground()
 	ctx, cancel := context.WithTimeout(context.Background(), a.settings.Limits.StopTimeout)
 	defer cancel()
 	a.heartbeats.Leave()
@@ -229,15 +231,15 @@
 	if err != nil {
 		a.callers.Close()
 	}
-	a.handOver(ctx)
+	a.handOverLeadership(ctx)
 	return err
 }
 
-// handOverTimeout bounds the transfer of leadership; without it the others
-// elect a new leader after an election timeout.
+// handOverTimeout bounds the transfer of leadership. If it fails, the other
+// voters elect a new leader after an election timeout.
 const handOverTimeout = 3 * time.Second
 
-func (a *Agent) handOver(ctx context.Context) {
+func (a *Agent) handOverLeadership(ctx context.Context) {
 	if a.replica == nil {
 		return
 	}
--- a/internal/agent/bounded.go
+++ b/internal/agent/bounded.go
@@ -6,14 +6,14 @@
 )
 
 // boundedListener keeps at most cap(semaphore) connections open. Without it, a
-// peer that opens connections and sends nothing would use up the process's
-// file descriptors, and with them every other listener.
+// peer that opens connections and sends nothing would exhaust the process's file
+// descriptors, and all other listeners would fail, too.
 type boundedListener struct {
 	net.Listener
 	semaphore chan struct{}
 }
 
-// Accept waits for room, then for a connection.
+// Accept waits until a connection is allowed, then for a connection.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	l.semaphore <- struct{}{}
 	c, err := l.Listener.Accept()
@@ -24,14 +24,14 @@
 	return &boundedConn{Conn: c, release: func() { <-l.semaphore }}, nil
 }
 
-// boundedConn gives its place back once, when it is closed.
+// boundedConn releases the semaphore once, when it is closed.
 type boundedConn struct {
 	net.Conn
 	once    sync.Once
 	release func()
 }
 
-// Close closes the connection and gives the place back.
+// Close closes the connection and releases the semaphore.
 func (c *boundedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(c.release)
--- a/internal/agent/catalog.go
+++ b/internal/agent/catalog.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// catalog looks up services and teams in the manifest that is in force here.
+// catalog looks up services and teams in the manifest that is in force on this VM.
 type catalog struct{ log state.Log }
 
 // Service implements slots.Services.
@@ -29,7 +29,7 @@
 	return find(site.Teams, id, func(t model.Team) model.TeamID { return t.ID })
 }
 
-// find looks up an id in a list that is sorted by id, as those of a site are.
+// find looks up an ID in a list sorted by ID, as the lists of a site are.
 func find[T any, K cmp.Ordered](sorted []T, id K, idOf func(T) K) (T, bool) {
 	i, found := slices.BinarySearchFunc(sorted, id, func(t T, wanted K) int { return cmp.Compare(idOf(t), wanted) })
 	if !found {
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -11,31 +11,32 @@
 	"github.com/comfreyloom/comfreyloom/internal/node"
 )
 
-// start runs every duty in a goroutine of its own and returns a channel that
-// yields the first error, or nil once all have ended after ctx did.
+// start runs each background task in its own goroutine. The returned channel
+// receives the first error, or nil once all have ended after ctx did.
 func (a *Agent) start(ctx context.Context) <-chan error {
-	duties := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
-	for _, duty := range a.duties() {
-		duties.Go(func(ctx context.Context) error { return endedBy(ctx, duty(ctx)) })
+	tasks := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
+	for _, task := range a.backgroundTasks() {
+		tasks.Go(func(ctx context.Context) error { return ignoreCancellation(ctx, task(ctx)) })
 	}
 	result := make(chan error, 1)
-	go func() { result <- duties.Wait() }()
+	go func() { result <- tasks.Wait() }()
 	return result
 }
 
-// endedBy returns nil for a duty that ended only because ctx did.
-func endedBy(ctx context.Context, err error) error {
+// ignoreCancellation returns err, but nil for a background task that ended only
+// because ctx did.
+func ignoreCancellation(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// duty runs until ctx ends; an earlier end with an error ends the process.
-type duty func(ctx context.Context) error
+// backgroundTask runs until ctx ends. If it returns an error, the process stops.
+type backgroundTask func(ctx context.Context) error
 
-func (a *Agent) duties() []duty {
-	all := []duty{
+func (a *Agent) backgroundTasks() []backgroundTask {
+	all := []backgroundTask{
 		a.client.Run,
 		a.heartbeats.Run,
 		a.spreader.Run,
@@ -47,7 +48,7 @@
 		a.servePeer(a.operatorHandler(), a.listeners.Operators),
 	}
 	if a.replica != nil {
-		all = append(all, a.replica.Run, withoutError(a.controller.Run), withoutError(a.retain))
+		all = append(all, a.replica.Run, withoutError(a.controller.Run), withoutError(a.runRetention))
 	} else {
 		all = append(all, a.follower.Run)
 	}
@@ -57,20 +58,20 @@
 	return all
 }
 
-// withoutError makes a duty of a function that never fails.
-func withoutError(run func(context.Context)) duty {
+// withoutError returns a background task that runs a function which never fails.
+func withoutError(run func(context.Context)) backgroundTask {
 	return func(ctx context.Context) error {
 		run(ctx)
 		return nil
 	}
 }
 
-// serveCallers serves until the callers' server was drained. When ctx ends
-// without a drain, because another duty failed, it closes at once: the process
-// must not go on answering with a part of it gone.
+// serveCallers serves callers until the server is drained. When ctx ends without
+// a drain because another background task failed, it closes the server at once:
+// the process must not continue to serve with a component missing.
 func (a *Agent) serveCallers(ctx context.Context) error {
-	stopped := context.AfterFunc(ctx, func() { _ = a.callers.Close() })
-	defer stopped()
+	cancelClose := context.AfterFunc(ctx, func() { _ = a.callers.Close() })
+	defer cancelClose()
 	return a.callers.Serve(a.listeners.Callers)
 }
 
@@ -78,8 +79,9 @@
 	return serveUntil(ctx, node.NewHTTPServer(ctx, a.nodeServer.Handler()), a.listeners.Nodes)
 }
 
-// servePeer serves one kind of peer until ctx ends.
-func (a *Agent) servePeer(h http.Handler, l net.Listener) duty {
+// servePeer returns a background task that serves one kind of peer until ctx
+// ends.
+func (a *Agent) servePeer(h http.Handler, l net.Listener) backgroundTask {
 	return func(ctx context.Context) error {
 		server := boundedServer(h)
 		server.BaseContext = func(net.Listener) context.Context { return ctx }
@@ -87,16 +89,17 @@
 	}
 }
 
-// serveUntil serves until ctx ends, then lets the requests in progress end.
+// serveUntil serves until ctx ends, then waits up to peerStopTimeout for the
+// requests in progress.
 func serveUntil(ctx context.Context, server *http.Server, l net.Listener) error {
-	stopped := context.AfterFunc(ctx, func() {
-		bounded, cancel := context.WithTimeout(context.Background(), peerStopTimeout)
+	cancelShutdown := context.AfterFunc(ctx, func() {
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), peerStopTimeout)
 		defer cancel()
-		if server.Shutdown(bounded) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			_ = server.Close()
 		}
 	})
-	defer stopped()
+	defer cancelShutdown()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -12,8 +12,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/settings"
 )
 
-// Bounds of the listeners for upstreams and operators. Each kind of peer has
-// its own listener, so that a flood on one never takes another's connections.
+// Bounds of the listeners for upstreams and operators. Each kind of peer has its
+// own listener, so that a flood on one can't use the connections of another.
 const (
 	peerHeaderBytes   = 16 << 10
 	peerHeaderTimeout = 5 * time.Second
@@ -23,12 +23,12 @@
 	peerConnections   = 4096
 )
 
-// Listeners are the open sockets of one process, one for each kind of peer.
+// Listeners are the listening sockets of one process, one for each kind of peer.
 type Listeners struct {
 	Callers, Upstreams, Operators, Nodes net.Listener
 }
 
-// OpenListeners binds each IP:port; the error names the settings key.
+// OpenListeners listens on each IP:port. An error names the settings key.
 func OpenListeners(l settings.Listen) (*Listeners, error) {
 	opened := &Listeners{}
 	sockets := []struct {
@@ -59,8 +59,9 @@
 	}
 }
 
-// boundedServer serves a handler with bounds against slow and endless input.
-// Answers have no write timeout, since the audit trail is followed by long polls.
+// boundedServer returns an HTTP server with bounds against slow and endless
+// input. It sets no write timeout, since the audit trail is followed by long
+// polls.
 func boundedServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -18,7 +18,8 @@
 	})
 }
 
-// auditReader reads the files of this VM, or the state's tail without a folder.
+// auditReader returns a reader of this VM's audit files. Without a data folder it
+// reads the latest entries, which are part of the state.
 func (a *Agent) auditReader() operator.AuditReader {
 	if a.trail == nil {
 		return audit.Tail{Source: a.log}
@@ -27,7 +28,7 @@
 }
 
 func (a *Agent) sources() operator.Sources {
-	sources := operator.Sources{Nodes: a.nodeStatuses, Checks: a.checks}
+	sources := operator.Sources{Nodes: a.nodeStatuses, Checks: a.invariantViolations}
 	if a.controller == nil {
 		return sources
 	}
@@ -36,8 +37,8 @@
 	return sources
 }
 
-// waveReasons says why a wave waits, as the controller found in its last round;
-// empty at a voter that does not lead.
+// waveReasons returns why each wave waits, as of the controller's last round. It
+// is empty on a voter that isn't the leader.
 func (a *Agent) waveReasons() map[model.WaveID]string {
 	reasons := map[model.WaveID]string{}
 	for _, w := range a.controller.Status().Waves {
@@ -46,7 +47,7 @@
 	return reasons
 }
 
-// budgets returns the account of the budgets as the leader keeps it, nil at
+// budgets returns the availability budgets as of the leader's last round, nil on
 // other voters.
 func (a *Agent) budgets() []operator.BudgetStatus {
 	leader, term := a.log.Leader()
@@ -66,7 +67,7 @@
 
 func (a *Agent) nodeStatuses() []operator.NodeStatus {
 	live := map[model.NodeID]bool{}
-	for _, name := range a.live() {
+	for _, name := range a.liveNodes() {
 		live[name] = true
 	}
 	voters := map[model.NodeID]bool{}
@@ -75,7 +76,7 @@
 	}
 	var nodes []operator.NodeStatus
 	for _, p := range a.settings.Nodes {
-		status := operator.NodeStatus{Node: p.Name, Role: role(voters[p.Name]), Alive: live[p.Name], Ready: live[p.Name]}
+		status := operator.NodeStatus{Node: p.Name, Role: roleOf(voters[p.Name]), Alive: live[p.Name], Ready: live[p.Name]}
 		if p.Name == a.settings.Node.Name {
 			standing := a.heartbeats.Standing()
 			status.Zone, status.Alive, status.Ready = a.settings.Node.Zone, true, standing.Ready
@@ -86,15 +87,15 @@
 	return nodes
 }
 
-func role(voter bool) string {
+func roleOf(voter bool) string {
 	if voter {
 		return "voter"
 	}
 	return "learner"
 }
 
-// checks collects the invariants that do not hold in this process.
-func (a *Agent) checks() []state.Violation {
+// invariantViolations returns the invariants that are violated in this process.
+func (a *Agent) invariantViolations() []state.Violation {
 	all := a.machine.Violations()
 	for _, detail := range a.heartbeats.Check() {
 		all = append(all, state.Violation{Invariant: "membership", Detail: detail})
--- a/internal/agent/retention_test.go
+++ b/internal/agent/retention_test.go
@@ -10,11 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: after some days every keyed request and every job is refused.
-// Sequence: claims and jobs end, and more come, until the tables are full.
-// Cause: nothing drops what ended long ago.
-func TestForgettingKeepsTablesBounded(t *testing.T) {
-	now := model.Instant(0).Add(100 * keepLong)
+// After some days all keyed requests and jobs were refused: the tables of claims
+// and jobs were full, as nothing dropped those that had ended long ago.
+func TestRetentionKeepsTablesBounded(t *testing.T) {
+	now := model.Instant(0).Add(100 * retention)
 	claims := func(n int, age time.Duration) []*model.Claim {
 		var all []*model.Claim
 		for i := range n {
@@ -28,15 +27,15 @@
 		claims []*model.Claim
 		before model.Instant
 	}{
-		{"young claims stay", claims(10, keepLong-time.Second), 0},
-		{"old claims go", claims(10, keepLong+time.Second), now.Add(-keepLong)},
-		{"nearly full, young claims stay", claims(nearlyFull, keepShort-time.Second), 0},
-		{"nearly full, claims go sooner", claims(nearlyFull, keepShort+time.Second), now.Add(-keepShort)},
+		{"young claims stay", claims(10, retention-time.Second), 0},
+		{"old claims go", claims(10, retention+time.Second), now.Add(-retention)},
+		{"nearly full, young claims stay", claims(nearlyFull, shortRetention-time.Second), 0},
+		{"nearly full, claims go sooner", claims(nearlyFull, shortRetention+time.Second), now.Add(-shortRetention)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			commands := forgetting(now, c.claims, nil)
+			commands := forgetCommands(now, c.claims, nil)
 			if c.before == 0 {
 				is.Equal(len(commands), 0)
 				return
@@ -46,8 +45,8 @@
 		})
 	}
 	is := is.New(t)
-	ended := map[model.JobID]*model.Job{"a": {State: model.JobDone, Changed: now.Add(-keepLong - time.Second)}}
-	is.Equal(len(forgetting(now, nil, ended)), 1)
-	ended["a"] = &model.Job{State: model.JobQueued, Changed: now.Add(-keepLong - time.Second)}
-	is.Equal(len(forgetting(now, nil, ended)), 0) // a job that still waits is kept
+	ended := map[model.JobID]*model.Job{"a": {State: model.JobDone, Changed: now.Add(-retention - time.Second)}}
+	is.Equal(len(forgetCommands(now, nil, ended)), 1)
+	ended["a"] = &model.Job{State: model.JobQueued, Changed: now.Add(-retention - time.Second)}
+	is.Equal(len(forgetCommands(now, nil, ended)), 0) // a job that still waits is kept
 }
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -24,7 +24,7 @@
 	return filepath.Join(a.settings.Node.DataFolder, auditFolderName)
 }
 
-// wire joins the parts, lowest first.
+// wire creates and connects the components, those without dependencies first.
 func (a *Agent) wire(o Options) error {
 	a.wireNodes()
 	a.wireRequests()
@@ -57,8 +57,8 @@
 	}
 }
 
-// wireNodeServer comes last of what other processes call, so that no call
-// finds a part missing.
+// wireNodeServer follows wireNodes and wireRequests, so that everything that
+// other processes can call exists.
 func (a *Agent) wireNodeServer() {
 	a.nodeServer = node.NewServer(node.ServerConfig{
 		Self: a.settings.Node.Name, Site: a.settings.Node.Site, Authorizer: a.tokens.nodes,
@@ -70,7 +70,7 @@
 	}
 }
 
-// voter returns this process's part in the quorum, nil on a learner.
+// voter returns the replica as a member of the quorum, nil on a learner.
 func (a *Agent) voter() node.Voter {
 	if a.replica == nil {
 		return nil
@@ -85,10 +85,10 @@
 	return a.replica.Identity()
 }
 
-// renewalsPerSecond is what all instances of a site together should not exceed
-// when they renew their announcements: each renewal costs an HTTP exchange at
-// one entry VM and a few bytes at the others. With 420 instances an instance
-// renews every 15 s instead of every 3 s.
+// renewalsPerSecond bounds the renewals of announcements by all instances of a
+// site together: each renewal costs an HTTP exchange at one entry VM and a few
+// bytes at the others. With 420 instances an instance renews every 15 s instead
+// of every 3 s.
 const renewalsPerSecond = 28
 
 func (a *Agent) registryOptions() registry.Options {
@@ -97,31 +97,31 @@
 }
 
 func (a *Agent) wireRequests() {
-	clock := slots.Clock() // deadlines are set and compared by the same clock
+	clock := slots.Clock() // deadlines are set and compared with the same clock
 	a.dispatcher = slots.New(slots.Config{
 		Now:  clock,
-		Self: a.settings.Node.Name, Zone: a.settings.Node.Zone, Nodes: a.members(), Members: a.live, Confirmed: a.heartbeats.Ready,
+		Self: a.settings.Node.Name, Zone: a.settings.Node.Zone, Nodes: a.members(), Members: a.liveNodes, Confirmed: a.heartbeats.Ready,
 		Registry: a.registry, Services: catalog{a.log}, Peer: slots.NewPeer(a.client.Lend), Metrics: a.metrics, Log: a.logger,
 	})
 	a.transport = upstream.NewTransport(upstream.Options{EntryVMs: len(a.settings.Nodes), Metrics: a.metrics})
 	a.callers = caller.New(caller.Config{
 		Self: a.settings.Node.Name,
-		Log:  a.log, Broker: staticCount{a.dispatcher, a.heartbeats}, BrokerNow: clock, Sender: a.transport,
+		Log:  a.log, Broker: unreadyCounter{a.dispatcher, a.heartbeats}, BrokerNow: clock, Sender: a.transport,
 		Limits: caller.Limits{
 			BodyBytes:   a.settings.Limits.RequestBody,
 			Connections: int64(a.settings.Limits.CallerConnections),
-			// Behind the balancer all callers may have one address.
+			// Behind the balancer all callers may have the same address.
 			ConnectionsPerIP: int64(a.settings.Limits.CallerConnections),
 		},
 		BalancerDelay: a.settings.Limits.BalancerDelay,
 		Metrics:       a.metrics, Logger: a.logger,
 	})
-	a.callers.AddReadinessCondition(caller.ReadinessCondition{Name: "quorum", Check: a.confirmed})
+	a.callers.AddReadinessCondition(caller.ReadinessCondition{Name: "quorum", Check: a.checkQuorum})
 }
 
-// confirmed is the condition of readiness that this VM's view of the control
-// log is recent; what reaches it nevertheless is served on the last state.
-func (a *Agent) confirmed() error {
+// checkQuorum is the readiness condition that this VM's view of the control log
+// is recent. Requests that arrive when it isn't are served on the last state.
+func (a *Agent) checkQuorum() error {
 	standing := a.heartbeats.Standing()
 	if standing.Ready {
 		return nil
@@ -129,8 +129,8 @@
 	return errors.New(standing.Reason)
 }
 
-// live returns the entry VMs that are live by the view in force here.
-func (a *Agent) live() []model.NodeID {
+// liveNodes returns the entry VMs that are live in the current membership view.
+func (a *Agent) liveNodes() []model.NodeID {
 	var names []model.NodeID
 	for _, m := range a.heartbeats.View().Live {
 		names = append(names, m.Node)
@@ -151,7 +151,7 @@
 	a.platform = client
 	config := controller.Config{
 		Self: a.settings.Node.Name, Region: a.settings.Node.Region, Log: a.log, Platform: client,
-		Serving: func() map[model.TaskID]bool { return serving(a.registry) },
+		Serving: func() map[model.TaskID]bool { return announcedTasks(a.registry) },
 		Wave:    wave.Options{Features: wave.AllFeatures()},
 		Metrics: a.metrics, Logger: a.logger,
 	}
