--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -21,7 +21,7 @@
 	httpResp, sent, err := s.Sender.Send(ctx, grant.Upstream, s.upstreamRequest(q, t))
 	if err != nil {
 		grant.Release(outcomeOfError(err))
-		t.unresponsive = t.unresponsive || errors.Is(err, upstream.ErrSilent)
+		t.unresponsive = t.unresponsive || errors.Is(err, upstream.ErrUnresponsive)
 		return nil, attemptFailure(err, sent)
 	}
 	if f := busyFailure(httpResp); f != nil {
@@ -67,12 +67,12 @@
 	if q.body.length != 0 {
 		out.Body = q.body.reader
 	}
-	out.Fresh = t.unresponsive
+	out.RequireFreshConn = t.unresponsive
 	if q.idempotent && q.body.fullyBuffered() && t.attempts < s.limits.Attempts {
 		half := q.deadline.Sub(s.Now()) / 2
-		out.GiveUpAfter = half
-		out.GiveUpReused = l.abandonTime(half)
-		out.GiveUp = func() bool { return s.abandonUnresponsive(q) }
+		out.AbortAfter = half
+		out.AbortReusedAfter = l.abandonTime(half)
+		out.MayAbort = func() bool { return s.abandonUnresponsive(q) }
 	}
 	return out
 }
--- a/internal/caller/crash_test.go
+++ b/internal/caller/crash_test.go
@@ -197,8 +197,8 @@
 		random := rand.New(rand.NewPCG(uint64(caller), 7))
 		all.Go(func() {
 			for i := range steps(60) {
-				faults := []standin.Fault{standin.FaultNone, standin.FaultBusy, standin.FaultError, standin.FaultCut, standin.FaultTruncate, standin.FaultForeign}
-				cl.instances[random.IntN(3)].Fail(faults[random.IntN(len(faults))], 1)
+				faults := []standin.Fault{standin.FaultNone, standin.FaultBusy, standin.FaultError, standin.FaultCut, standin.FaultTruncate, standin.FaultWrongID}
+				cl.instances[random.IntN(3)].InjectFault(faults[random.IntN(len(faults))], 1)
 				e := cl.entries[random.IntN(3)]
 				if random.IntN(2) == 0 {
 					key := fmt.Sprintf("key-%d", random.IntN(40))
--- a/internal/caller/path_test.go
+++ b/internal/caller/path_test.go
@@ -187,23 +187,23 @@
 	is := is.New(t)
 	cl := newCluster(t, 2, 1, Limits{BufferedResponseBytes: 1000})
 	e := cl.entries[0]
-	for _, fault := range []standin.Fault{standin.FaultTruncate, standin.FaultTruncateChunks, standin.FaultUndelimited, standin.FaultForeign, standin.FaultCut, standin.FaultError} {
-		cl.instances[0].Fail(fault, 1)
-		cl.instances[1].Fail(standin.FaultNone, 0)
+	for _, fault := range []standin.Fault{standin.FaultTruncate, standin.FaultTruncateChunks, standin.FaultUndelimited, standin.FaultWrongID, standin.FaultCut, standin.FaultError} {
+		cl.instances[0].InjectFault(fault, 1)
+		cl.instances[1].InjectFault(standin.FaultNone, 0)
 		got, err := e.call("GET", "/s/drafts/visit?bytes=900", "")
 		is.NoErr(err)
 		is.Equal(got.status, 200) // idempotent: another instance responds
 		is.Equal(len(got.body), 900)
 		cl.broker.next = 0
 	}
-	cl.instances[0].Fail(standin.FaultTruncate, 1)
+	cl.instances[0].InjectFault(standin.FaultTruncate, 1)
 	got, err := e.call("POST", "/s/drafts/plan?bytes=900", "")
 	is.NoErr(err)
 	is.Equal(got.status, 502)
 	is.Equal(got.verdict, "may-have-run")
 	cl.broker.next = 0
 	for _, fault := range []standin.Fault{standin.FaultTruncate, standin.FaultTruncateChunks} {
-		cl.instances[0].Fail(fault, 1)
+		cl.instances[0].InjectFault(fault, 1)
 		cl.broker.next = 0
 		_, err = e.call("GET", "/s/drafts/plan?bytes=200000", "")
 		is.True(err != nil) // already being streamed: the caller sees the break
@@ -254,7 +254,7 @@
 	const requests = 300
 	cl := newCluster(t, 3, 1, Limits{})
 	for _, u := range cl.instances {
-		u.Fail(standin.FaultCut, -1)
+		u.InjectFault(standin.FaultCut, -1)
 	}
 	for i := range requests {
 		got, err := cl.entries[0].call("GET", "/s/drafts/visit", fmt.Sprint(i))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -133,7 +133,7 @@
 // connection, which refuses the write and is closed as well.
 func (c *conn) cancelUnanswered(err error) {
 	if err != nil && c.writeStarted && !c.current.responded.Load() {
-		c.current.cancel(ErrLost)
+		c.current.cancel(ErrConnectionLost)
 	}
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -21,12 +21,14 @@
 	// ErrStale is returned when only connections were available that had been
 	// idle for too long or were invalidated.
 	ErrStale = errors.New("upstream: connection is too old or suspect to be reused")
-	// ErrLost is returned when the connection ended before a response began.
-	ErrLost = errors.New("upstream: connection ended without a response")
-	// ErrForeign is returned when a response doesn't belong to the request.
-	ErrForeign = errors.New("upstream: response belongs to another request")
-	// ErrSilent is returned when the request was given up after a long inactivity.
-	ErrSilent = errors.New("upstream: connection is unresponsive")
+	// ErrConnectionLost is returned when the connection ended before a response began.
+	ErrConnectionLost = errors.New("upstream: connection ended without a response")
+	// ErrMismatchedResponse is returned when a response doesn't belong to the
+	// request.
+	ErrMismatchedResponse = errors.New("upstream: response belongs to another request")
+	// ErrUnresponsive is returned when the request was aborted after a long
+	// inactivity.
+	ErrUnresponsive = errors.New("upstream: connection is unresponsive")
 	// ErrBadStatus is returned when a response's status is not a final one.
 	ErrBadStatus = errors.New("upstream: response has no final status")
 	// ErrUndelimited is returned when the end of a response can't be told from a
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,9 +41,9 @@
 		DisableCompression:     true,
 		MaxConnsPerHost:        key.limit,
 		MaxIdleConnsPerHost:    key.limit,
-		IdleConnTimeout:        o.FreshFor,
+		IdleConnTimeout:        o.ReuseWithin,
 		ResponseHeaderTimeout:  0,
-		MaxResponseHeaderBytes: o.MaxAnswerHeader,
+		MaxResponseHeaderBytes: o.MaxResponseHeader,
 		WriteBufferSize:        o.BufferBytes,
 		ReadBufferSize:         o.BufferBytes,
 	}
@@ -82,7 +82,7 @@
 // isReusable reports whether a connection that was last active at the given
 // time may carry another request.
 func (p *pool) isReusable(lastActive time.Duration) bool {
-	if p.now()-lastActive > p.options.FreshFor {
+	if p.now()-lastActive > p.options.ReuseWithin {
 		return false
 	}
 	return int64(lastActive) > p.invalidatedAt.Load()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -42,18 +42,19 @@
 	Length int64
 	// SuspectAfter is how long the exchange may be inactive before the other
 	// connections to the address are no longer reused; 0 means no limit, and
-	// GiveUp is never called.
+	// MayAbort is never called.
 	SuspectAfter time.Duration
-	// Fresh requires a connection that was made, or read from, since Send began.
-	Fresh bool
-	// GiveUp is called after a longer inactivity and reports whether to end the
-	// request with ErrSilent. When it returns false, it is called again after the
-	// same time. It may be nil.
-	GiveUp func() bool
-	// GiveUpAfter is that inactivity on a new connection, GiveUpReused that on
+	// RequireFreshConn requires a connection that was made, or read from, since
+	// Send began.
+	RequireFreshConn bool
+	// MayAbort is called after a longer inactivity and reports whether to abort
+	// the request with ErrUnresponsive. When it returns false, it is called again
+	// after the same time. It may be nil.
+	MayAbort func() bool
+	// AbortAfter is that inactivity on a new connection, AbortReusedAfter that on
 	// one which was used before and may be dead.
-	GiveUpAfter  time.Duration
-	GiveUpReused time.Duration
+	AbortAfter       time.Duration
+	AbortReusedAfter time.Duration
 }
 
 // Send sends a request and returns the response once its header was read. The
@@ -64,7 +65,7 @@
 // the upstream. NotSent is final: no byte is sent after Send has returned.
 func (t *Transport) Send(ctx context.Context, u model.Upstream, r *Request) (*http.Response, SentState, error) {
 	p := t.acquirePool(u)
-	if r.Fresh {
+	if r.RequireFreshConn {
 		p.invalidate()
 	}
 	for try := 1; ; try++ {
@@ -137,10 +138,10 @@
 // whose end can't be told from a truncation.
 func checkResponse(x *exchange, r *Request, resp *http.Response) error {
 	if !x.mayHaveSent() {
-		return ErrForeign
+		return ErrMismatchedResponse
 	}
 	if echo := resp.Header.Get(RequestIDHeader); echo != "" && echo != r.ID {
-		return ErrForeign
+		return ErrMismatchedResponse
 	}
 	if resp.StatusCode < http.StatusOK || resp.StatusCode > maxStatus {
 		return ErrBadStatus
@@ -156,7 +157,7 @@
 // the other connections to the address where the cause may affect them.
 func (t *Transport) classifyError(ctx context.Context, p *pool, x *exchange, sent SentState, err error) error {
 	switch {
-	case errors.Is(err, ErrForeign):
+	case errors.Is(err, ErrMismatchedResponse):
 		t.mismatched.Inc(1)
 		p.invalidate()
 	case x.stale.Load() && sent == NotSent:
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -78,9 +78,9 @@
 	defer plain.CloseIdleConnections()
 	runTwice := func(send func(key string) error) int {
 		is.NoErr(send("first")) // leaves an idle connection
-		u.Fail(standin.FaultCut, -1)
+		u.InjectFault(standin.FaultCut, -1)
 		is.True(send("plan") != nil) // the connection was cut
-		u.Fail(standin.FaultNone, 0)
+		u.InjectFault(standin.FaultNone, 0)
 		return u.Runs("plan")
 	}
 	doubled := runTwice(func(key string) error {
@@ -222,10 +222,10 @@
 		standin.FaultTruncate:       io.ErrUnexpectedEOF,
 		standin.FaultTruncateChunks: io.ErrUnexpectedEOF,
 		standin.FaultUndelimited:    upstream.ErrUndelimited,
-		standin.FaultForeign:        upstream.ErrForeign,
-		standin.FaultCut:            upstream.ErrLost,
+		standin.FaultWrongID:        upstream.ErrMismatchedResponse,
+		standin.FaultCut:            upstream.ErrConnectionLost,
 	} {
-		u.Fail(fault, 1)
+		u.InjectFault(fault, 1)
 		_, sent, err := send(context.Background(), transport, u.Address(), request("GET", "/plan", "k"))
 		if !errors.Is(err, want) || sent != upstream.MaybeSent {
 			t.Errorf("fault %d: got %v (%d), want %v", fault, err, sent, want)
@@ -307,7 +307,7 @@
 			u := newStandin(t, standin.Options{Latency: 5 * time.Millisecond})
 			r := &relay{target: u.Address()}
 			address := serveRaw(t, r.serve)
-			transport := newTransport(t, upstream.Options{FreshFor: 30 * time.Second})
+			transport := newTransport(t, upstream.Options{ReuseWithin: 30 * time.Second})
 			var warm sync.WaitGroup
 			for range idle {
 				warm.Go(func() { _, _, _ = send(context.Background(), transport, address, request("GET", "/warm", "w")) })
@@ -316,13 +316,13 @@
 			r.freeze(side[0], side[1])
 
 			stalled := request("GET", "/slots", "silent")
-			stalled.SuspectAfter, stalled.GiveUpReused, stalled.GiveUpAfter = 20*time.Millisecond, 40*time.Millisecond, time.Minute
+			stalled.SuspectAfter, stalled.AbortReusedAfter, stalled.AbortAfter = 20*time.Millisecond, 40*time.Millisecond, time.Minute
 			calls := 0
-			stalled.GiveUp = func() bool { calls++; return calls == 2 } // at first no retry is allowed
+			stalled.MayAbort = func() bool { calls++; return calls == 2 } // at first no retry is allowed
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			_, sent, err := send(ctx, transport, address, stalled)
-			is.True(errors.Is(err, upstream.ErrSilent))
+			is.True(errors.Is(err, upstream.ErrUnresponsive))
 			is.Equal(sent, upstream.MaybeSent)
 			made := r.count()
 			for i := range idle {
@@ -342,7 +342,7 @@
 	u := newStandin(t, standin.Options{})
 	r := &relay{target: u.Address()}
 	address := serveRaw(t, r.serve)
-	transport := newTransport(t, upstream.Options{FreshFor: 20 * time.Millisecond})
+	transport := newTransport(t, upstream.Options{ReuseWithin: 20 * time.Millisecond})
 	_, _, err := send(context.Background(), transport, address, request("GET", "/warm", "w"))
 	is.NoErr(err)
 	r.freeze(true, true)
--- a/internal/upstream/standin/serve.go
+++ b/internal/upstream/standin/serve.go
@@ -32,14 +32,14 @@
 	FaultTruncateChunks
 	// FaultUndelimited responds without a length and without chunks.
 	FaultUndelimited
-	// FaultForeign responds with the ID of another request.
-	FaultForeign
-	// FaultDouble responds twice.
-	FaultDouble
+	// FaultWrongID responds with the ID of another request.
+	FaultWrongID
+	// FaultDuplicate responds twice.
+	FaultDuplicate
 )
 
-// Fail injects a fault into the next n requests; n below 0 means all.
-func (u *Upstream) Fail(f Fault, n int) {
+// InjectFault injects a fault into the next n requests; n below 0 means all.
+func (u *Upstream) InjectFault(f Fault, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.fault, u.faultsLeft = f, n
@@ -136,10 +136,10 @@
 		writeRaw(w, fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text))
 	case FaultUndelimited:
 		writeRaw(w, "HTTP/1.1 200 OK\r\n\r\n"+string(text))
-	case FaultDouble:
+	case FaultDuplicate:
 		one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		writeRaw(w, one+one)
-	case FaultForeign:
+	case FaultWrongID:
 		id = "another-" + id
 		fallthrough
 	default:
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -11,7 +11,7 @@
 
 const (
 	defaultDialTimeout       = 1 * time.Second
-	defaultMaxIdle           = 1 * time.Second
+	defaultReuseWithin       = 1 * time.Second
 	defaultKeepAlive         = 1 * time.Second
 	defaultUserTimeout       = 4 * time.Second
 	defaultMaxResponseHeader = 64 << 10
@@ -30,16 +30,16 @@
 type Options struct {
 	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// FreshFor is how long after its last activity a connection may be reused.
+	// ReuseWithin is how long after its last activity a connection may be reused.
 	// After that it is closed and a new one is made.
-	FreshFor time.Duration
+	ReuseWithin time.Duration
 	// KeepAlive is the idle time before, and the interval between, TCP
 	// keepalive probes.
 	KeepAlive time.Duration
 	// UserTimeout bounds how long sent bytes may stay unacknowledged.
 	UserTimeout time.Duration
-	// MaxAnswerHeader bounds the header of a response, in bytes.
-	MaxAnswerHeader int64
+	// MaxResponseHeader bounds the header of a response, in bytes.
+	MaxResponseHeader int64
 	// BufferBytes is the size of each connection's read and write buffer. Small
 	// buffers limit the memory of a thousand open requests; larger reads and
 	// writes bypass them.
@@ -53,10 +53,10 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.FreshFor, defaultMaxIdle)
+	setDefault(&o.ReuseWithin, defaultReuseWithin)
 	setDefault(&o.KeepAlive, defaultKeepAlive)
 	setDefault(&o.UserTimeout, defaultUserTimeout)
-	setDefault(&o.MaxAnswerHeader, defaultMaxResponseHeader)
+	setDefault(&o.MaxResponseHeader, defaultMaxResponseHeader)
 	setDefault(&o.BufferBytes, defaultBufferBytes)
 	setDefault(&o.EntryVMs, 1)
 	if o.Metrics == nil {
--- a/internal/upstream/watch.go
+++ b/internal/upstream/watch.go
@@ -9,7 +9,7 @@
 // connection silently, such as a firewall that loses its state, mostly breaks
 // others too. So after SuspectAfter the other connections to the address are no
 // longer reused, which costs one round trip for a new one. After a longer
-// inactivity the request itself may be given up, if the caller path can send it
+// inactivity the request itself may be aborted, if the caller path can send it
 // again.
 type stallDetector struct {
 	pool     *pool
@@ -62,8 +62,8 @@
 		w.scheduleNext(inactive)
 		return
 	}
-	if w.request.GiveUp() {
-		w.exchange.cancel(ErrSilent)
+	if w.request.MayAbort() {
+		w.exchange.cancel(ErrUnresponsive)
 		return
 	}
 	w.timer.Reset(w.limit())
@@ -71,7 +71,7 @@
 
 // scheduleNext sets the timer for the next step, if there is one.
 func (w *stallDetector) scheduleNext(inactive time.Duration) {
-	if w.request.GiveUp != nil {
+	if w.request.MayAbort != nil {
 		w.timer.Reset(max(w.limit()-inactive, 0))
 	}
 }
@@ -82,9 +82,9 @@
 	case !w.suspected:
 		return w.request.SuspectAfter
 	case w.exchange.reused.Load():
-		return w.request.GiveUpReused
+		return w.request.AbortReusedAfter
 	default:
-		return w.request.GiveUpAfter
+		return w.request.AbortAfter
 	}
 }
 
