--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -21,7 +21,7 @@
 	ix      *fleet.Index
 	ledger  *budget.Ledger
 	wave    wave.Decision
-	spared  []health.Spared
+	spared  []health.RejectedQuarantine
 	actions []state.Action
 	stopped map[model.TaskID]bool
 	// unevenServices are the services of which an instance has to move to even
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,10 +19,10 @@
 	Budgets budget.Report   `json:"budgets"`
 	Waves   []wave.Progress `json:"waves,omitempty"`
 	// Spares describes how the number of shared spares is computed.
-	Spares     string          `json:"spares,omitempty"`
-	Pools      []PoolStatus    `json:"pools"`
-	Spared     []health.Spared `json:"spared,omitempty"`
-	Violations []Violation     `json:"broken,omitempty"`
+	Spares     string                      `json:"spares,omitempty"`
+	Pools      []PoolStatus                `json:"pools"`
+	Spared     []health.RejectedQuarantine `json:"spared,omitempty"`
+	Violations []Violation                 `json:"broken,omitempty"`
 }
 
 // PoolStatus describes a pool's demand.
--- a/internal/health/decide.go
+++ b/internal/health/decide.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// defaultDistinct is how many distinct workers a job must fail on to be
+	// defaultMinDistinct is how many distinct workers a job must fail on to be
 	// held, and how many distinct jobs must fail on a worker to quarantine it.
-	defaultDistinct = 3
+	defaultMinDistinct = 3
 	// minFailureShare is the share of a worker's outcomes that must be failures
 	// attributed to it; below that, failures are considered chance.
 	minFailureShare = 0.3
@@ -41,21 +41,21 @@
 
 // Options bound the decisions. Zero fields take their defaults.
 type Options struct {
-	// Distinct is the number of distinct jobs that must fail on a worker to
+	// MinDistinct is the number of distinct jobs that must fail on a worker to
 	// quarantine it, and of distinct workers on which a job must fail to be
 	// held. Default 3.
-	Distinct int
+	MinDistinct int
 	// CapShare and PoolCapShare bound the quarantined share of all workers and
 	// of a pool's workers. One worker is always allowed. Defaults 0.1 and 0.25.
 	CapShare, PoolCapShare float64
 }
 
-// No is the reason why a suspect worker is not put into quarantine.
-type No uint8
+// RejectReason is the reason why a suspect worker is not put into quarantine.
+type RejectReason uint8
 
 const (
-	// Quarantined: nothing prevents the quarantine.
-	Quarantined No = iota
+	// NotRejected: nothing prevents the quarantine.
+	NotRejected RejectReason = iota
 	// SiteCap: the site has as many workers in quarantine as allowed.
 	SiteCap
 	// PoolCap: the pool has as many workers in quarantine as allowed.
@@ -68,26 +68,27 @@
 	"its pool has its share of workers in quarantine", "a service would miss its availability budget"}
 
 // String returns the text used in status.
-func (n No) String() string {
-	if int(n) >= len(rejectReasonTexts) {
+func (r RejectReason) String() string {
+	if int(r) >= len(rejectReasonTexts) {
 		return "invalid"
 	}
-	return rejectReasonTexts[n]
+	return rejectReasonTexts[r]
 }
 
-// Spared is a suspect worker that is not put into quarantine, and why.
-type Spared struct {
+// RejectedQuarantine is a suspect worker that is not put into quarantine, and
+// why. Reason is why it is suspect.
+type RejectedQuarantine struct {
 	Worker model.WorkerID
 	VM     model.VMID
-	No     No
+	Reject RejectReason `json:"No"`
 	Reason string
 }
 
 // Decide holds the jobs that fail on good workers, puts workers on which good
 // jobs fail into quarantine, and releases those that work again. The actions are
 // planned in ix.
-func Decide(ix *fleet.Index, h *History, o Options) ([]state.Action, []Spared) {
-	o.Distinct = cmp.Or(o.Distinct, defaultDistinct)
+func Decide(ix *fleet.Index, h *History, o Options) ([]state.Action, []RejectedQuarantine) {
+	o.MinDistinct = cmp.Or(o.MinDistinct, defaultMinDistinct)
 	o.CapShare = cmp.Or(o.CapShare, defaultCapShare)
 	o.PoolCapShare = cmp.Or(o.PoolCapShare, defaultPoolCapShare)
 	d := &decider{ix: ix, history: h, options: o, stats: newStatistics(ix, h), released: make(map[model.WorkerID]bool)}
@@ -103,7 +104,7 @@
 	options  Options
 	stats    *statistics
 	actions  []state.Action
-	rejected []Spared
+	rejected []RejectedQuarantine
 	// released are the workers released from quarantine in this round.
 	released map[model.WorkerID]bool
 }
@@ -182,14 +183,14 @@
 // Without the caps a fault that all workers share, or many false reports of
 // failures, would remove workers from the pools faster than any real failure.
 func (d *decider) quarantineSuspects() {
-	for _, w := range d.stats.suspects(float64(d.options.Distinct)) {
+	for _, w := range d.stats.suspects(float64(d.options.MinDistinct)) {
 		v := d.ix.Worker(w.id)
 		if v == nil || v.Owner == nil || v.Quarantine != nil || d.released[w.id] {
 			continue
 		}
 		reason := fmt.Sprintf("%d distinct jobs failed on the worker that run well elsewhere (weight %.2f); %d succeeded on it", len(w.failed), w.evidence, len(w.succeeded))
-		if reject := d.rejectReason(v); reject != Quarantined {
-			d.rejected = append(d.rejected, Spared{w.id, v.ID, reject, reason})
+		if reject := d.rejectReason(v); reject != NotRejected {
+			d.rejected = append(d.rejected, RejectedQuarantine{w.id, v.ID, reject, reason})
 			continue
 		}
 		d.add(state.Action{Reason: reason, SetQuarantine: &state.SetQuarantine{Quarantine: model.Quarantine{
@@ -198,21 +199,21 @@
 	}
 }
 
-func (d *decider) rejectReason(v *fleet.VM) No {
-	if d.countQuarantined(d.ix.VMs) >= Cap(len(d.ix.VMs), d.options.CapShare) {
+func (d *decider) rejectReason(v *fleet.VM) RejectReason {
+	if d.countQuarantined(d.ix.VMs) >= MaxQuarantined(len(d.ix.VMs), d.options.CapShare) {
 		return SiteCap
 	}
-	if p := d.ix.Pool(v.Pool()); p != nil && d.countQuarantined(p.VMs) >= Cap(len(p.VMs), d.options.PoolCapShare) {
+	if p := d.ix.Pool(v.Pool()); p != nil && d.countQuarantined(p.VMs) >= MaxQuarantined(len(p.VMs), d.options.PoolCapShare) {
 		return PoolCap
 	}
 	if d.wouldBreakBudget(v) {
 		return BudgetShort
 	}
-	return Quarantined
+	return NotRejected
 }
 
-// Cap returns how many of n workers may be in quarantine, at least one.
-func Cap(n int, share float64) int { return max(1, int(float64(n)*share)) }
+// MaxQuarantined returns how many of n workers may be in quarantine, at least one.
+func MaxQuarantined(n int, share float64) int { return max(1, int(float64(n)*share)) }
 
 func (d *decider) countQuarantined(vms []*fleet.VM) int {
 	n := 0
@@ -282,7 +283,7 @@
 func (d *decider) requiredFailures(j *model.Job) int {
 	p := d.ix.Pool(j.Spec.Pool)
 	if p == nil {
-		return d.options.Distinct
+		return d.options.MinDistinct
 	}
-	return max(minFailures, min(d.options.Distinct, len(p.VMs)))
+	return max(minFailures, min(d.options.MinDistinct, len(p.VMs)))
 }
--- a/internal/health/decide_test.go
+++ b/internal/health/decide_test.go
@@ -78,9 +78,9 @@
 	}
 	queued(s, 9, 1, 2, 3)
 	queued(s, 5, 0) // failed on the bad worker and waits
-	actions, spared := health.Decide(fleet.NewIndex(s), h, health.Options{})
+	actions, rejected := health.Decide(fleet.NewIndex(s), h, health.Options{})
 	is.Equal(formatActions(actions), "quarantine w0, held j9")
-	is.Equal(len(spared), 0)
+	is.Equal(len(rejected), 0)
 }
 
 // All jobs were held because of a fault that was not theirs: shared storage
@@ -111,10 +111,10 @@
 		}
 	}
 	ix := fleet.NewIndex(s)
-	actions, spared := health.Decide(ix, h, health.Options{})
+	actions, rejected := health.Decide(ix, h, health.Options{})
 	is.Equal(formatActions(actions), "quarantine w0, quarantine w1") // a tenth of 20 VMs
-	is.Equal(len(spared), 6)
-	is.Equal(spared[0].No, health.SiteCap)
+	is.Equal(len(rejected), 6)
+	is.Equal(rejected[0].Reject, health.SiteCap)
 }
 
 // A repaired worker stayed in quarantine, or a broken one was released at once:
