--- a/cmd/comfreyloom/member.go
+++ b/cmd/comfreyloom/member.go
@@ -32,7 +32,7 @@
 		return exitUsage
 	}
 	counters := telemetry.NewRegistry()
-	lines := telemetry.NewBounded(c.out, counters)
+	lines := telemetry.NewBoundedHandler(c.out, counters)
 	logger := &log.Logger{Handler: lines, Level: level}
 	stdlog.SetOutput(telemetry.NewStandardWriter(logger, counters))
 	stdlog.SetFlags(0)
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -20,11 +20,11 @@
 	lostReportInterval = time.Second
 )
 
-// Bounded is a log handler that never blocks its callers: lines go through a
+// BoundedHandler is a log handler that never blocks its callers: lines go through a
 // bounded ring to a single writer. Lines that don't fit are dropped, counted as
 // "log.lost_lines" and reported by a log line. With a blocking handler, a reader
 // of the log that stops reading would stop every request.
-type Bounded struct {
+type BoundedHandler struct {
 	lines    *ring.Ring[*log.Entry]
 	lost     metrics.Counter
 	reported int64
@@ -35,13 +35,13 @@
 // arriving: as many as a pipe accepts atomically.
 const flushBytes = 4 << 10
 
-// NewBounded returns a handler that writes JSON lines to out.
-func NewBounded(out io.Writer, r metrics.Registry) *Bounded {
-	return &Bounded{lines: ring.New[*log.Entry](maxQueuedLines), lost: metrics.GetOrRegisterCounter("log.lost_lines", r), out: bufio.NewWriterSize(out, flushBytes)}
+// NewBoundedHandler returns a handler that writes JSON lines to out.
+func NewBoundedHandler(out io.Writer, r metrics.Registry) *BoundedHandler {
+	return &BoundedHandler{lines: ring.New[*log.Entry](maxQueuedLines), lost: metrics.GetOrRegisterCounter("log.lost_lines", r), out: bufio.NewWriterSize(out, flushBytes)}
 }
 
 // HandleLog implements log.Handler.
-func (b *Bounded) HandleLog(e *log.Entry) error {
+func (b *BoundedHandler) HandleLog(e *log.Entry) error {
 	if b.lines.TryPut(e) != nil {
 		b.lost.Inc(1)
 	}
@@ -49,7 +49,7 @@
 }
 
 // Run writes lines until ctx ends, then those that are still queued.
-func (b *Bounded) Run(ctx context.Context) error {
+func (b *BoundedHandler) Run(ctx context.Context) error {
 	ticker := time.NewTicker(lostReportInterval)
 	defer ticker.Stop()
 	for {
@@ -87,7 +87,7 @@
 
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-func (b *Bounded) write(e *log.Entry) {
+func (b *BoundedHandler) write(e *log.Entry) {
 	for name, value := range e.Fields {
 		if err, ok := value.(error); ok {
 			e.Fields[name] = err.Error()
@@ -104,7 +104,7 @@
 	_, _ = b.out.Write(append(text, '\n')) // errors are ignored as in Run
 }
 
-func (b *Bounded) reportLost() {
+func (b *BoundedHandler) reportLost() {
 	lost := b.lost.Count()
 	if lost == b.reported {
 		return
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -26,7 +26,7 @@
 	is := is.New(t)
 	registry := NewRegistry()
 	stuck := stuckWriter{release: make(chan struct{})}
-	b := NewBounded(stuck, registry)
+	b := NewBoundedHandler(stuck, registry)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -46,7 +46,7 @@
 func TestLinesAreWholeAndErrorsAreText(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	b := NewBounded(&out, NewRegistry())
+	b := NewBoundedHandler(&out, NewRegistry())
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
 	logger.WithError(errors.New("no route")).Warn("a call failed")
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
