--- a/internal/membership/check.go
+++ b/internal/membership/check.go
@@ -7,18 +7,18 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Check returns the invariants that are or were broken, in words; empty
+// Check returns the violations of invariants, current and past. It is empty
 // unless the program or the settings have a fault.
 func (c *Core) Check(now model.Instant) []string {
-	broken := slices.Clone(c.broken)
-	if c.ever && c.at > now {
-		broken = append(broken, fmt.Sprintf("confirmed at %d, which is after now (%d)", c.at, now))
+	violations := slices.Clone(c.violations)
+	if c.hasConfirmation && c.confirmedAt > now {
+		violations = append(violations, fmt.Sprintf("confirmed at %d, which is after now (%d)", c.confirmedAt, now))
 	}
-	if c.ready(now) && c.local.Applied < c.index {
-		broken = append(broken, fmt.Sprintf("ready with applied index %d below the confirmed %d", c.local.Applied, c.index))
+	if c.ready(now) && c.local.Applied < c.confirmedIndex {
+		violations = append(violations, fmt.Sprintf("ready with applied index %d below the confirmed %d", c.local.Applied, c.confirmedIndex))
 	}
-	if !slices.Equal(c.view.Live, sorted(c.view.Live)) {
-		broken = append(broken, "the view is not sorted or names a process twice")
+	if !slices.Equal(c.view.Live, sortedByName(c.view.Live)) {
+		violations = append(violations, "the view is not sorted or names a process twice")
 	}
-	return broken
+	return violations
 }
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -7,100 +7,104 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// confirmation is the last word of a quorum that this process caught up with.
+// confirmation is the latest confirmation whose index this process has applied,
+// and the later ones that are pending.
 type confirmation struct {
-	// began is when this process first looked at its clock; 0 before.
-	began model.Instant
-	// ever says that there was one; index was committed at the instant at.
-	ever  bool
-	index uint64
-	at    model.Instant
-	// pending are later ones, not caught up with yet, oldest first.
-	pending []mark
+	// startedAt is the time of the first Update; 0 before.
+	startedAt model.Instant
+	// confirmedIndex was committed as of confirmedAt, if hasConfirmation.
+	hasConfirmation bool
+	confirmedIndex  uint64
+	confirmedAt     model.Instant
+	// pendingConfirmations are later ones whose index is not yet applied here,
+	// oldest first.
+	pendingConfirmations []commitPoint
 }
 
-// mark says that a quorum confirmed an index at an instant.
-type mark struct {
+// commitPoint is an index that a quorum confirmed as committed at an instant.
+type commitPoint struct {
 	index uint64
 	at    model.Instant
 }
 
-// confirm notes that a quorum confirmed an index at an instant. When too many
-// wait, the new one is dropped: the oldest is caught up with first.
+// recordConfirmation records that a quorum confirmed an index at an instant. If
+// too many are pending, the new one is dropped, because the oldest is reached
+// first.
 //
-// A confirmation from before this process began does not count: its predecessor
-// may have served on what was committed since, which this process, back with an
-// empty disk, has not caught up with. One notices by a VM that is ready with an
-// older revision than before its restart, for ConfirmLimit at most. A
-// confirmation given later covers all that the predecessor had applied.
-func (c *confirmation) confirm(index uint64, at model.Instant) {
-	if at < c.began {
+// A confirmation from before the start of this process is ignored: its
+// predecessor may have served a later index, which this process has not applied
+// if it restarted with an empty disk. The VM would then be ready with an older
+// revision than before its restart, for at most ConfirmLimit. A confirmation
+// from after the start covers everything that the predecessor had applied.
+func (c *confirmation) recordConfirmation(index uint64, at model.Instant) {
+	if at < c.startedAt {
 		return
 	}
-	last := c.at
-	if n := len(c.pending); n > 0 {
-		last = c.pending[n-1].at
+	last := c.confirmedAt
+	if n := len(c.pendingConfirmations); n > 0 {
+		last = c.pendingConfirmations[n-1].at
 	}
-	if (c.ever || len(c.pending) > 0) && at <= last {
+	if (c.hasConfirmation || len(c.pendingConfirmations) > 0) && at <= last {
 		return
 	}
-	if len(c.pending) < maxPending {
-		c.pending = append(c.pending, mark{index, at})
+	if len(c.pendingConfirmations) < maxPendingConfirmations {
+		c.pendingConfirmations = append(c.pendingConfirmations, commitPoint{index, at})
 	}
 }
 
-// settle moves the confirmations that were caught up with out of pending. One
-// which is not must not count: a restarted process would serve on an old state.
-func (c *confirmation) settle(applied uint64, skipCatchUp bool) {
-	for len(c.pending) > 0 && (c.pending[0].index <= applied || skipCatchUp) {
-		c.ever = true
-		c.index, c.at = max(c.index, c.pending[0].index), c.pending[0].at
-		c.pending = c.pending[1:]
+// completePending completes the pending confirmations whose index is applied.
+// The others must not count: a restarted process would serve an old state.
+func (c *confirmation) completePending(applied uint64, skipCatchUp bool) {
+	for len(c.pendingConfirmations) > 0 && (c.pendingConfirmations[0].index <= applied || skipCatchUp) {
+		c.hasConfirmation = true
+		c.confirmedIndex, c.confirmedAt = max(c.confirmedIndex, c.pendingConfirmations[0].index), c.pendingConfirmations[0].at
+		c.pendingConfirmations = c.pendingConfirmations[1:]
 	}
 }
 
 // ready reports whether this process may take requests.
 func (c *Core) ready(now model.Instant) bool {
-	return c.ever && now.Sub(c.at) <= ConfirmLimit && !c.local.Leaving
+	return c.hasConfirmation && now.Sub(c.confirmedAt) <= ConfirmLimit && !c.local.Leaving
 }
 
-// Standing says how this process stands, for the balancer and for operators.
+// Standing returns the status of this process for the balancer and operators.
 func (c *Core) Standing(now model.Instant) Standing {
 	s := Standing{Ready: c.ready(now)}
-	if c.ever {
-		s.Age = now.Sub(c.at)
+	if c.hasConfirmation {
+		s.Age = now.Sub(c.confirmedAt)
 	}
-	if len(c.pending) > 0 {
-		s.Behind = now.Sub(c.pending[0].at)
+	if len(c.pendingConfirmations) > 0 {
+		s.Behind = now.Sub(c.pendingConfirmations[0].at)
 	}
-	turn := c.interval*time.Duration(len(c.members)) + c.interval
+	cycle := c.interval*time.Duration(len(c.members)) + c.interval
 	for _, name := range c.members {
 		p := c.peers[name]
 		if p == nil {
 			continue
 		}
-		if p.heardAt != 0 && now.Sub(p.heardAt) <= turn {
+		if p.lastContact != 0 && now.Sub(p.lastContact) <= cycle {
 			s.Heard++
 		} else {
 			s.Unheard = append(s.Unheard, name)
 		}
 	}
 	if !s.Ready {
-		s.Reason = c.reason(s)
+		s.Reason = c.unreadyReason(s)
 	}
 	return s
 }
 
-// reason tells "this process is cut off" from "the site has no leader".
-func (c *Core) reason(s Standing) string {
+// unreadyReason describes why this process is not ready. It distinguishes a
+// process that is cut off from a site without a leader.
+func (c *Core) unreadyReason(s Standing) string {
 	switch {
 	case c.local.Leaving:
 		return "stopping"
 	case s.Heard == 0 && len(s.Unheard) > 0:
 		return "cut off: hears no other process"
-	case len(c.pending) > 0:
-		return fmt.Sprintf("catching up: applied index %d, committed are %d", c.local.Applied, c.pending[0].index)
-	case !c.ever:
+	case len(c.pendingConfirmations) > 0:
+		return fmt.Sprintf("catching up: applied index %d, committed are %d", c.local.Applied, c.pendingConfirmations[0].index)
+	case !c.hasConfirmation:
 		return fmt.Sprintf("not yet confirmed by a quorum; hears %d of %d processes", s.Heard, s.Heard+len(s.Unheard))
 	default:
 		return fmt.Sprintf("no quorum confirmed the state for %v; hears %d of %d processes",
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -9,64 +9,68 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Core is the membership of one process. It is not safe for concurrent use.
+// Core is the membership state machine of one process. It is not safe for
+// concurrent use.
 type Core struct {
 	config   Config
 	interval time.Duration
 	members  []model.NodeID
 	peers    map[model.NodeID]*peer
 
-	incarnation uint64
-	raises      int
-	sequence    uint64
-	local       Local
-	// leader is who leads by the largest term heard.
+	incarnation         uint64
+	incarnationAdvances int
+	sequence            uint64
+	local               Local
+	// leader is the leader of term, the largest term received.
 	leader model.NodeID
 	term   uint64
 	view   View
-	// leadTerm and leadSince say when this process began to lead.
+	// leadTerm is the term in which this process leads. leadSince is when it
+	// began to lead, or when it was last unconfirmed as leader.
 	leadTerm  uint64
 	leadSince model.Instant
-	// doubts are what this process asks about (leader) or was asked to probe.
-	doubts []model.NodeID
-	asked  map[model.NodeID]model.Instant
+	// suspects are the processes without recent contact, at the leader only.
+	suspects []model.NodeID
+	// probeRequests holds when the leader last asked to probe a process.
+	probeRequests map[model.NodeID]model.Instant
 
 	confirmation
-	// urgent asks for a round at once, spread for one that reaches everybody.
-	urgent, spread bool
-	round          int
-	// slow counts rounds without a confirmation.
-	slow   int
-	broken []string
+	// immediateRound requests a round without waiting, broadcast one that
+	// includes all processes.
+	immediateRound, broadcast bool
+	roundCount                int
+	// unconfirmedRounds counts consecutive rounds without a confirmation.
+	unconfirmedRounds int
+	violations        []string
 }
 
-// peer is what is known about another process.
+// peer is the state of another process.
 type peer struct {
 	incarnation uint64
 	sequence    uint64
 	applied     uint64
 	ready       bool
 	leaving     bool
-	// heardAt is when its last message came, goodAt when it or a witness last
-	// said that it is ready; 0 is never.
-	heardAt, goodAt model.Instant
-	// view is the order of its view as it last said.
+	// lastContact is when its last message was received directly; lastReady is
+	// when it was last received as ready, directly or by a witness. 0 is never.
+	lastContact, lastReady model.Instant
+	// view is the view of its last message; only Term and Version are used.
 	view View
 }
 
-// New returns the core of a process that has heard nobody yet. The
+// New returns the core of a process that has received no message yet. The
 // incarnation must grow with each start of the process.
 func New(c Config, incarnation uint64) *Core {
 	members := slices.Clone(c.Members)
 	slices.Sort(members)
 	members = slices.Compact(members)
 	core := &Core{
-		config:      c,
-		interval:    c.Interval,
-		members:     members,
-		peers:       make(map[model.NodeID]*peer, len(members)),
-		incarnation: incarnation,
-		asked:       map[model.NodeID]model.Instant{},
+		config:        c,
+		interval:      c.Interval,
+		members:       members,
+		peers:         make(map[model.NodeID]*peer, len(members)),
+		incarnation:   incarnation,
+		probeRequests: map[model.NodeID]model.Instant{},
 	}
 	if core.interval == 0 {
 		core.interval = max(DefaultInterval, time.Duration(len(members))*intervalPerMember)
@@ -79,39 +83,39 @@
 	return core
 }
 
-// Interval is the time between two regular beats.
+// Interval returns the time between two regular beats.
 func (c *Core) Interval() time.Duration { return c.interval }
 
-// Incarnation is that of this process. It grows when others know a larger one
-// of the same name, so it is to be read anew for each use.
+// Incarnation returns the incarnation of this process. It grows when others
+// know a larger one of the same name, so it must be read anew for each use.
 func (c *Core) Incarnation() uint64 { return c.incarnation }
 
 // Urgent reports whether a round should be run without waiting: the view
-// changed here, a probe was asked for, or this process is leaving.
-func (c *Core) Urgent() bool { return c.urgent }
+// changed here, a probe was requested, or this process is leaving.
+func (c *Core) Urgent() bool { return c.immediateRound }
 
-// View returns the members in force here.
+// View returns the current view of this process.
 func (c *Core) View() View { return c.view }
 
-// Leader returns the leader by the largest term heard.
+// Leader returns the largest term received and its leader.
 func (c *Core) Leader() (model.NodeID, uint64) { return c.leader, c.term }
 
-// Update takes in what this process's own log says.
+// Update applies the state of this process's own control log.
 func (c *Core) Update(now model.Instant, l Local) {
-	if c.began == 0 {
-		c.began = now
+	if c.startedAt == 0 {
+		c.startedAt = now
 	}
-	c.urgent = c.urgent || l.Leaving != c.local.Leaving
+	c.immediateRound = c.immediateRound || l.Leaving != c.local.Leaving
 	c.local = l
 	c.learnLeader(l.Leader, l.Term)
 	if l.Leads && l.Confirmed {
-		c.confirm(l.Commit, now)
+		c.recordConfirmation(l.Commit, now)
 	}
-	c.settle(l.Applied, c.config.Rules.SkipCatchUp)
-	c.review(now)
+	c.completePending(l.Applied, c.config.Rules.SkipCatchUp)
+	c.updateView(now)
 }
 
-// Beat returns the message for a process.
+// Beat returns the next Beat for a process.
 func (c *Core) Beat(now model.Instant, to model.NodeID) Beat {
 	c.sequence++
 	b := Beat{
@@ -126,72 +130,73 @@
 		View:           View{Term: c.view.Term, Version: c.view.Version},
 		WitnessReports: c.witnessReports(now),
 	}
-	if c.ever {
-		b.Confirmed, b.Commit, b.Age = true, c.index, now.Sub(c.at)
+	if c.hasConfirmation {
+		b.Confirmed, b.Commit, b.Age = true, c.confirmedIndex, now.Sub(c.confirmedAt)
 	}
 	if c.local.Leads {
-		b.Doubts = slices.Clone(c.doubts)
+		b.Doubts = slices.Clone(c.suspects)
 	}
 	if p := c.peers[to]; p != nil {
 		b.Known = p.incarnation
-		if p.heardAt != 0 && c.view.Newer(p.view) {
+		if p.lastContact != 0 && c.view.Newer(p.view) {
 			b.View.Live = c.view.Live
 		}
 	}
 	return b
 }
 
-// Receive takes a request and returns the answer. A stranger's, one that the
-// settings do not name, is answered but leaves nothing behind.
+// Receive handles a request and returns the reply. A request of a process that
+// the settings don't name gets a reply, but nothing in it is recorded.
 func (c *Core) Receive(now model.Instant, b Beat) Beat {
-	c.hear(now, b)
+	c.handle(now, b)
 	return c.Beat(now, b.From)
 }
 
-// Answered takes the answer to a request that was sent at the instant.
+// Answered handles the reply to a request that was sent at the given instant.
 func (c *Core) Answered(now, sent model.Instant, b Beat) {
-	c.hear(now, b)
-	// Only an answer confirms: a request may have been on its way for long,
-	// so its age can't be told.
+	c.handle(now, b)
+	// Only a reply confirms: a request may have been in flight for long, so
+	// the age of its confirmation is unknown.
 	if b.Confirmed && b.Age >= 0 {
 		at := sent.Add(-b.Age)
 		if c.config.Rules.SkipAge {
 			at = now
 		}
-		c.confirm(b.Commit, at)
+		c.recordConfirmation(b.Commit, at)
 	}
-	c.settle(c.local.Applied, c.config.Rules.SkipCatchUp)
+	c.completePending(c.local.Applied, c.config.Rules.SkipCatchUp)
 }
 
-// hear takes in what any message says.
-func (c *Core) hear(now model.Instant, b Beat) {
+// handle applies a message, request or reply.
+func (c *Core) handle(now model.Instant, b Beat) {
 	p := c.peers[b.From]
 	if p == nil {
 		return
 	}
-	if !c.order(p, b) {
+	if !c.recordIfLatest(p, b) {
 		return
 	}
-	p.heardAt = now
+	p.lastContact = now
 	p.ready, p.leaving = b.Ready, b.Leaving
 	if b.Ready {
-		p.goodAt = now
+		p.lastReady = now
 	}
 	p.view = b.View
-	c.raise(b.Known)
+	c.advanceIncarnation(b.Known)
 	c.learnLeader(b.Leader, b.Term)
-	c.adopt(b.View)
-	c.takeDoubts(now, b)
-	c.takeWitnessReports(now, b)
-	c.review(now)
+	c.adoptView(b.View)
+	c.recordProbeRequests(now, b)
+	c.applyWitnessReports(now, b)
+	c.updateView(now)
 }
 
-// order reports whether a message is the latest of its sender, and records
-// its place. A process that was restarted must not be kept live, or held for
-// behind, by what its predecessor sent; nor by its own message that came late.
-func (c *Core) order(p *peer, b Beat) bool {
+// recordIfLatest reports whether a message is the latest of its sender, and
+// records its sequence and applied index. Messages of an earlier incarnation
+// and delayed messages must not keep a restarted process live or make it appear
+// behind.
+func (c *Core) recordIfLatest(p *peer, b Beat) bool {
 	if b.Incarnation < p.incarnation {
-		c.guard(c.config.Rules.SkipIncarnation, "incarnation of %s went back", b.From)
+		c.reportIf(c.config.Rules.SkipIncarnation, "incarnation of %s went back", b.From)
 		return c.config.Rules.SkipIncarnation
 	}
 	if b.Incarnation > p.incarnation {
@@ -204,16 +209,17 @@
 	return true
 }
 
-// raise moves this process past an incarnation that others know of its name.
-// Its clock may have gone back since the last start; without this it would be
-// taken for its own predecessor and never become a member. Two processes of
-// one name, a mistake in the settings, would raise each other without end.
-func (c *Core) raise(known uint64) {
+// advanceIncarnation sets an incarnation above the one that another process
+// knows for this name. The clock may have gone back since the last start; the
+// others would then ignore this process as an earlier incarnation, and it would
+// never become a member. Two processes that share a name, a mistake in the
+// settings, would advance each other without end; that is reported.
+func (c *Core) advanceIncarnation(known uint64) {
 	if known <= c.incarnation {
 		return
 	}
-	c.raises++
-	c.guard(c.raises == maxRaises, "another process seems to use the name %s", c.config.Self)
+	c.incarnationAdvances++
+	c.reportIf(c.incarnationAdvances == maxIncarnationAdvances, "another process seems to use the name %s", c.config.Self)
 	c.incarnation = known + 1
 	c.sequence = 0
 }
@@ -225,30 +231,30 @@
 	c.leader, c.term = leader, term
 }
 
-// adopt takes a later view. An earlier one would bring back members that were
-// taken out, at some processes and not at others.
-func (c *Core) adopt(v View) {
+// adoptView adopts a newer view. An older one would restore removed members, at
+// some processes and not at others.
+func (c *Core) adoptView(v View) {
 	if v.Live == nil || len(v.Live) > maxMembers {
 		return
 	}
 	if !v.Newer(c.view) {
-		older := c.view.Newer(v)
-		c.guard(older && c.config.Rules.SkipViewOrder, "view went back from %d.%d to %d.%d", c.view.Term, c.view.Version, v.Term, v.Version)
+		isOlder := c.view.Newer(v)
+		c.reportIf(isOlder && c.config.Rules.SkipViewOrder, "view went back from %d.%d to %d.%d", c.view.Term, c.view.Version, v.Term, v.Version)
 		if !c.config.Rules.SkipViewOrder {
 			return
 		}
 	}
-	c.view = View{Term: v.Term, Version: v.Version, Live: sorted(v.Live)}
+	c.view = View{Term: v.Term, Version: v.Version, Live: sortedByName(v.Live)}
 }
 
-func sorted(members []Member) []Member {
+func sortedByName(members []Member) []Member {
 	s := slices.Clone(members)
 	slices.SortFunc(s, func(a, b Member) int { return cmp.Compare(a.Node, b.Node) })
 	return slices.CompactFunc(s, func(a, b Member) bool { return a.Node == b.Node })
 }
 
 // InForce returns the processes that are not known to have applied the index,
-// sorted. At the leader it is at most one interval old.
+// sorted by name. At the leader the result is at most one interval old.
 func (c *Core) InForce(index uint64) (behind []model.NodeID) {
 	for _, name := range c.members {
 		applied := c.local.Applied
@@ -262,15 +268,15 @@
 	return behind
 }
 
-// guard records a broken invariant when broken is true.
-func (c *Core) guard(broken bool, format string, args ...any) {
-	if broken {
-		c.breaks(format, args...)
+// reportIf records the violation of an invariant if violated is true.
+func (c *Core) reportIf(violated bool, format string, args ...any) {
+	if violated {
+		c.reportViolation(format, args...)
 	}
 }
 
-func (c *Core) breaks(format string, args ...any) {
-	if len(c.broken) < maxBroken {
-		c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *Core) reportViolation(format string, args ...any) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,25 +1,25 @@
-// Package membership keeps what the processes of a site know about one
-// another: which are live, whether this one may call itself ready, and which
-// have applied an index. It is pure: time and messages are arguments.
+// Package membership tracks the processes of a site: which are live, whether
+// this process is ready, and which processes have applied an index of the
+// control log. It performs no I/O: time and messages are arguments.
 //
-// Every process sends a Beat each interval to the leader of the control log
-// and to one other process, chosen in turn, and gets a Beat back. Three things
-// follow from them:
+// At each interval a process sends a heartbeat (a Beat) to the leader of the
+// control log and to one other process, chosen round-robin, and gets a Beat as
+// reply. Beats serve three purposes:
 //
-// Confirmation. A confirmed leader says "as of now, this index is committed".
-// Every process passes that on with its age, so that one which can't reach the
-// leader is still confirmed through others. A process is ready while the last
-// confirmation which it has caught up with is at most ConfirmLimit old; after
-// a restart it has none.
+// Confirmation. A confirmed leader states that an index is committed as of
+// now. Every process forwards the latest confirmation with its age, so that a
+// process which can't reach the leader is still confirmed through others. A
+// process is ready while the latest confirmation whose index it has applied is
+// at most ConfirmLimit old; after a restart it has none.
 //
-// Members. Only a confirmed leader changes the view of live members, and all
+// Members. Only a confirmed leader changes the view of live members. All
 // others adopt the view with the larger (term, version), so that they agree
-// one beat later. A process is taken out when it is leaving, or when for
-// DownAfter neither the leader nor a witness heard it say that it is ready.
-// That tells apart who is down (nobody hears it), who is cut off from the
-// leader only (a witness hears it: it stays), and who hears nobody (it says
-// itself that it is not ready).
+// one beat later. A process is removed when it is leaving, or when neither the
+// leader nor a witness received a ready Beat from it for DownAfter. This
+// distinguishes a process that is down (nobody receives its beats) from one
+// that is cut off from the leader only (a witness receives them, so it stays)
+// and from one that receives nothing (it reports itself as not ready).
 //
-// Progress. Beats carry the applied index, so that any process can name those
+// Progress. Beats carry the applied index, so that any process can list those
 // which have not yet applied a change.
 package membership
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,31 +14,31 @@
 
 var actions = rapid.SliceOfN(rapid.Map(rapid.Uint32(), func(seed uint32) action { return action(seed) }), 20, 100)
 
-func runWorld(list []action, rules Rules) error {
-	w := newWorld(rules)
+func runSimulation(list []action, rules Rules) error {
+	sim := newSimulation(rules)
 	for _, a := range list {
-		if err := w.play(a); err != nil {
+		if err := sim.perform(a); err != nil {
 			return err
 		}
 	}
-	return w.settle()
+	return sim.checkRecovery()
 }
 
-// Symptom: a VM answers from an old state, or two VMs disagree about the
-// members. Sequence: any mix of one-way cuts, crashes, freezes, lost, late and
-// doubled beats, elections and commits. Cause: each rule of Rules guards
-// against one of them; see TestEveryRuleIsNeeded.
+// No VM may serve an old state, and no two VMs may disagree about the members,
+// under any mix of one-way partitions, crashes, freezes, lost, delayed and
+// duplicated beats, elections and commits. Each rule of Rules prevents one such
+// failure; see TestEveryRuleIsNeeded.
 func TestMembershipUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := runWorld(actions.Draw(t, "actions"), Rules{}); err != nil {
+		if err := runSimulation(actions.Draw(t, "actions"), Rules{}); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// Symptom: the randomised run passes although a safety rule is missing.
-// Sequence: each rule is switched off alone and the run is repeated over
-// fixed seeds. Cause: a check that can't fail proves nothing.
+// The randomised run must detect the absence of each safety rule: a check that
+// can't fail proves nothing. Each rule is disabled alone and the run is repeated
+// over fixed seeds.
 func TestEveryRuleIsNeeded(t *testing.T) {
 	rules := map[string]Rules{
 		"catch up":    {SkipCatchUp: true},
@@ -50,98 +50,97 @@
 	for name, faulty := range rules {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 400 {
-				if err := runWorld(actions.Example(seed), faulty); err != nil {
+				if err := runSimulation(actions.Example(seed), faulty); err != nil {
 					t.Logf("found by seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Fatal("no run noticed that the rule is off")
+			t.Fatal("no run detected that the rule is disabled")
 		})
 	}
 }
 
-// TestLongRun plays as many actions as COMFREYLOOM_STEPS says.
+// TestLongRun runs at least COMFREYLOOM_STEPS actions.
 func TestLongRun(t *testing.T) {
 	steps, _ := strconv.Atoi(os.Getenv("COMFREYLOOM_STEPS"))
-	played := 0
-	for seed := 0; played < steps; seed++ {
+	performed := 0
+	for seed := 0; performed < steps; seed++ {
 		list := actions.Example(seed)
-		played += len(list)
-		if err := runWorld(list, Rules{}); err != nil {
+		performed += len(list)
+		if err := runSimulation(list, Rules{}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	t.Logf("%d steps", played)
+	t.Logf("%d steps", performed)
 }
 
-// Symptom: a VM that serves well loses its slots, or one that is cut off keeps
-// them. Sequence: one VM loses single directions of its links while all else
-// is calm. Cause: "the leader does not hear it" is taken for "it is down".
-func TestWhoIsCutOff(t *testing.T) {
+// A healthy VM must not lose its slots, and one that is cut off must not keep
+// them. Both happen if a process that is only cut off from the leader is taken
+// for down. One VM loses single directions of its links, without other faults.
+func TestLivenessUnderPartitions(t *testing.T) {
 	const leader, node = 0, 5
 	cases := []struct {
 		name  string
-		cut   func(w *world)
+		cut   func(sim *simulation)
 		rules Rules
 		stays bool
 	}{
-		{"leader does not hear it", func(w *world) { w.cut[node][leader] = true }, Rules{}, true},
-		{"leader and it do not hear each other", func(w *world) { w.cut[node][leader], w.cut[leader][node] = true, true }, Rules{}, true},
-		{"the same without witnesses", func(w *world) { w.cut[node][leader], w.cut[leader][node] = true, true }, Rules{SkipWitness: true}, false},
-		{"nobody hears it", func(w *world) {
-			for i := range worldNodes {
-				w.cut[node][i] = true
+		{"leader receives nothing from it", func(sim *simulation) { sim.cut[node][leader] = true }, Rules{}, true},
+		{"cut off from the leader in both directions", func(sim *simulation) { sim.cut[node][leader], sim.cut[leader][node] = true, true }, Rules{}, true},
+		{"cut off from the leader, without witnesses", func(sim *simulation) { sim.cut[node][leader], sim.cut[leader][node] = true, true }, Rules{SkipWitness: true}, false},
+		{"nobody receives anything from it", func(sim *simulation) {
+			for i := range simNodes {
+				sim.cut[node][i] = true
 			}
 		}, Rules{}, false},
-		{"it hears nobody", func(w *world) {
-			for i := range worldNodes {
-				w.cut[i][node] = true
+		{"it receives nothing", func(sim *simulation) {
+			for i := range simNodes {
+				sim.cut[i][node] = true
 			}
 		}, Rules{}, false},
-		{"its process ended", func(w *world) { w.nodes[node].up = false }, Rules{}, false},
+		{"its process ended", func(sim *simulation) { sim.nodes[node].up = false }, Rules{}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(c.rules)
-			w.calm = true
-			is.NoErr(w.run(3 * time.Second))
-			is.Equal(len(w.nodes[leader].core.View().Live), worldNodes)
-			c.cut(w)
-			is.NoErr(w.run(2*ConfirmLimit + w.nodes[leader].core.DownAfter()))
-			for i, n := range w.nodes {
+			sim := newSimulation(c.rules)
+			sim.faultFree = true
+			is.NoErr(sim.run(3 * time.Second))
+			is.Equal(len(sim.nodes[leader].core.View().Live), simNodes)
+			c.cut(sim)
+			is.NoErr(sim.run(2*ConfirmLimit + sim.nodes[leader].core.DownAfter()))
+			for i, n := range sim.nodes {
 				if i != node {
-					is.Equal(n.core.View().Has(w.nodes[node].name), c.stays) // everybody agrees
-					is.True(n.core.Standing(w.now).Ready)
+					is.Equal(n.core.View().Has(sim.nodes[node].name), c.stays) // all agree
+					is.True(n.core.Standing(sim.now).Ready)
 				}
 			}
 			if c.rules == (Rules{}) {
-				is.Equal(w.nodes[node].core.Standing(w.now).Ready, c.stays)
+				is.Equal(sim.nodes[node].core.Standing(sim.now).Ready, c.stays)
 			}
-			is.NoErr(w.settle())
+			is.NoErr(sim.checkRecovery())
 		})
 	}
 }
 
-// Symptom: a VM is ready with revision 3 after it was seen with 4. Sequence: it
-// serves revision 4, loses its disk and comes back within a second; a peer passes
-// on what a quorum confirmed before that, revision 3, and the VM has caught up
-// with so much. Cause: what was confirmed before a process began says nothing of
-// what its predecessor served.
-func TestAWordFromBeforeTheStartDoesNotConfirm(t *testing.T) {
+// A VM must not become ready with an older revision than its predecessor served.
+// It serves revision 4, loses its disk and restarts within a second. A peer then
+// forwards a confirmation of revision 3 from before the restart, which the VM has
+// applied. Such a confirmation doesn't cover what the predecessor served.
+func TestConfirmationFromBeforeStartIsIgnored(t *testing.T) {
 	is := is.New(t)
-	const began model.Instant = 1_000_000
+	const startedAt model.Instant = 1_000_000
 	members := []model.NodeID{"a", "b", "c"}
 	c := New(Config{Self: "a", Members: members, Voters: members}, 7)
-	c.Update(began, Local{Applied: 3})
-	hear := func(at model.Instant, sequence, commit uint64, age time.Duration) {
+	c.Update(startedAt, Local{Applied: 3})
+	receive := func(at model.Instant, sequence, commit uint64, age time.Duration) {
 		c.Answered(at, at, Beat{From: "b", Incarnation: 1, Sequence: sequence, Confirmed: true, Commit: commit, Age: age})
 	}
-	at := began.Add(100 * time.Millisecond)
-	hear(at, 1, 3, 400*time.Millisecond)
+	at := startedAt.Add(100 * time.Millisecond)
+	receive(at, 1, 3, 400*time.Millisecond)
 	is.True(!c.Standing(at).Ready)
-	hear(at, 2, 4, 10*time.Millisecond)
-	is.True(!c.Standing(at).Ready) // not caught up with
+	receive(at, 2, 4, 10*time.Millisecond)
+	is.True(!c.Standing(at).Ready) // index 4 is not applied
 	c.Update(at, Local{Applied: 4})
 	is.True(c.Standing(at).Ready)
 }
--- a/internal/membership/review.go
+++ b/internal/membership/review.go
@@ -7,39 +7,42 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-func (c *Core) doubtAfter() time.Duration { return c.interval * doubtQuarters / 4 }
+// suspectTimeout returns how long the leader may be without contact to a process
+// before it suspects it.
+func (c *Core) suspectTimeout() time.Duration { return c.interval * suspectQuarters / 4 }
 
-// DownAfter is how long a member may go without a sign of readiness.
+// DownAfter returns how long a member stays in the view without a ready Beat.
 func (c *Core) DownAfter() time.Duration { return c.interval * downQuarters / 4 }
 
-// review lets a confirmed leader bring the view up to date. A leader that is
-// not confirmed may be the one that is cut off, so what it does not hear says
+// updateView updates the view if this process is a confirmed leader. A leader
+// that is not confirmed may itself be cut off, so a lack of messages proves
 // nothing about the others.
-func (c *Core) review(now model.Instant) {
+func (c *Core) updateView(now model.Instant) {
 	if !c.local.Leads {
 		c.leadTerm = 0
-		c.doubts = nil
+		c.suspects = nil
 		return
 	}
 	if !c.local.Confirmed && !c.config.Rules.SkipLease {
-		// What was not heard while cut off must not count afterwards.
+		// The time while cut off must not count as time without contact.
 		c.leadSince = now
-		c.doubts = nil
+		c.suspects = nil
 		return
 	}
 	if c.leadTerm != c.local.Term {
 		c.leadTerm, c.leadSince = c.local.Term, now
 	}
-	c.doubts = c.unheard(now)
-	c.publish(c.liveMembers(now))
+	c.suspects = c.unresponsive(now)
+	c.publishView(c.liveMembers(now))
 }
 
-// unheard lists the processes that the leader has not heard for a while.
-func (c *Core) unheard(now model.Instant) []model.NodeID {
+// unresponsive returns the processes from which the leader received no message
+// within suspectTimeout, counted at the earliest from when it began to lead.
+func (c *Core) unresponsive(now model.Instant) []model.NodeID {
 	var names []model.NodeID
 	for _, name := range c.members {
 		p := c.peers[name]
-		if p != nil && now.Sub(max(p.heardAt, c.leadSince)) > c.doubtAfter() {
+		if p != nil && now.Sub(max(p.lastContact, c.leadSince)) > c.suspectTimeout() {
 			names = append(names, name)
 		}
 	}
@@ -60,20 +63,21 @@
 	return live
 }
 
-// isLive decides about one process. One that was live gets DownAfter; one
-// that was not must have said itself, just now, that it is ready.
+// isLive reports whether a process belongs to the view. A current member stays
+// for DownAfter since it was last ready; others need a ready Beat within
+// suspectTimeout.
 func (c *Core) isLive(now model.Instant, name model.NodeID, p *peer) bool {
 	if p.leaving {
 		return false
 	}
 	if c.view.Has(name) {
-		return now.Sub(max(p.goodAt, c.leadSince)) <= c.DownAfter()
+		return now.Sub(max(p.lastReady, c.leadSince)) <= c.DownAfter()
 	}
-	return p.goodAt != 0 && now.Sub(p.goodAt) <= c.doubtAfter()
+	return p.lastReady != 0 && now.Sub(p.lastReady) <= c.suspectTimeout()
 }
 
-// publish makes a new view if the members changed.
-func (c *Core) publish(live []Member) {
+// publishView creates a new view if the members changed.
+func (c *Core) publishView(live []Member) {
 	if slices.Equal(live, c.view.Live) {
 		return
 	}
@@ -81,15 +85,15 @@
 	if next.Term <= c.view.Term {
 		next.Term, next.Version = c.view.Term, c.view.Version+1
 	}
-	c.guard(c.local.Term < c.view.Term, "leader of term %d changed a view of term %d", c.local.Term, c.view.Term)
-	c.guard(!c.local.Confirmed, "view %d.%d was made by a leader that is not confirmed", next.Term, next.Version)
+	c.reportIf(c.local.Term < c.view.Term, "leader of term %d changed a view of term %d", c.local.Term, c.view.Term)
+	c.reportIf(!c.local.Confirmed, "view %d.%d was made by a leader that is not confirmed", next.Term, next.Version)
 	c.view = next
-	c.spread, c.urgent = true, true
+	c.broadcast, c.immediateRound = true, true
 }
 
-// takeDoubts notes that the leader asks for a probe of processes whose
-// witness this one is.
-func (c *Core) takeDoubts(now model.Instant, b Beat) {
+// recordProbeRequests records the suspects of the leader for which this process
+// is a witness.
+func (c *Core) recordProbeRequests(now model.Instant, b Beat) {
 	if b.From != c.leader {
 		return
 	}
@@ -97,20 +101,21 @@
 		if c.peers[name] == nil || !c.isWitness(name) {
 			continue
 		}
-		if _, asked := c.asked[name]; !asked {
-			c.urgent = true
+		if _, requested := c.probeRequests[name]; !requested {
+			c.immediateRound = true
 		}
-		c.asked[name] = now
+		c.probeRequests[name] = now
 	}
 }
 
-// isWitness reports whether this process is one of the next members after the
-// one in question, by name. A fixed few bound the probes of a process which
-// the leader can't hear for hours.
+// isWitness reports whether this process is one of the first witnessCount
+// members after the suspect in the order of names, without the leader. Their
+// fixed number bounds the probes of a process that the leader can't reach for
+// hours.
 func (c *Core) isWitness(name model.NodeID) bool {
 	at, _ := slices.BinarySearch(c.members, name)
 	found := 0
-	for i := 1; i < len(c.members) && found < witnesses; i++ {
+	for i := 1; i < len(c.members) && found < witnessCount; i++ {
 		next := c.members[(at+i)%len(c.members)]
 		if next == c.leader {
 			continue
@@ -123,35 +128,37 @@
 	return false
 }
 
-// witnessReports answers the leader's doubts with what was heard directly.
+// witnessReports returns the last direct contact with each process that the
+// leader asked to probe.
 func (c *Core) witnessReports(now model.Instant) []WitnessReport {
 	var list []WitnessReport
 	for _, name := range c.members {
-		at, asked := c.asked[name]
-		if !asked {
+		at, requested := c.probeRequests[name]
+		if !requested {
 			continue
 		}
 		if now.Sub(at) > c.DownAfter() {
-			delete(c.asked, name)
+			delete(c.probeRequests, name)
 			continue
 		}
-		if p := c.peers[name]; p.heardAt != 0 && now.Sub(p.heardAt) <= c.DownAfter() {
-			list = append(list, WitnessReport{Node: name, Incarnation: p.incarnation, Age: now.Sub(p.heardAt), Ready: p.ready})
+		if p := c.peers[name]; p.lastContact != 0 && now.Sub(p.lastContact) <= c.DownAfter() {
+			list = append(list, WitnessReport{Node: name, Incarnation: p.incarnation, Age: now.Sub(p.lastContact), Ready: p.ready})
 		}
 	}
 	return list
 }
 
-// takeWitnessReports counts what a witness heard as a sign of readiness.
-func (c *Core) takeWitnessReports(now model.Instant, b Beat) {
-	for _, h := range b.WitnessReports {
-		p := c.peers[h.Node]
-		if p == nil || !h.Ready || h.Age < 0 || h.Incarnation < p.incarnation || c.config.Rules.SkipWitness {
+// applyWitnessReports counts a ready Beat that a witness received as a sign of
+// readiness of its sender.
+func (c *Core) applyWitnessReports(now model.Instant, b Beat) {
+	for _, report := range b.WitnessReports {
+		p := c.peers[report.Node]
+		if p == nil || !report.Ready || report.Age < 0 || report.Incarnation < p.incarnation || c.config.Rules.SkipWitness {
 			continue
 		}
-		if h.Incarnation > p.incarnation {
-			*p = peer{incarnation: h.Incarnation}
+		if report.Incarnation > p.incarnation {
+			*p = peer{incarnation: report.Incarnation}
 		}
-		p.goodAt = max(p.goodAt, now.Add(-h.Age))
+		p.lastReady = max(p.lastReady, now.Add(-report.Age))
 	}
 }
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -9,70 +9,76 @@
 const (
 	// DefaultInterval is the time between two beats of a small site.
 	DefaultInterval = time.Second
-	// intervalPerMember stretches the interval of a large site, so that the
-	// leader's share of the traffic stays bounded.
+	// intervalPerMember lengthens the interval of a large site, so that the
+	// traffic of the leader stays bounded.
 	intervalPerMember = 70 * time.Millisecond
-	// fastInterval is the first interval while unconfirmed; it doubles up to
-	// the regular one.
-	fastInterval = 100 * time.Millisecond
-	// ConfirmLimit is how old the last confirmation of a ready process may be.
+	// initialInterval is the first interval while unconfirmed; it doubles up
+	// to the regular one.
+	initialInterval = 100 * time.Millisecond
+	// ConfirmLimit is the largest age of the last confirmation of a ready
+	// process.
 	ConfirmLimit = 3 * time.Second
-	// doubtQuarters is after how many quarters of an interval without a word
-	// the leader asks witnesses.
-	doubtQuarters = 9
-	// downQuarters is after how many quarters of an interval without a sign
-	// of readiness a member is taken out.
+	// suspectQuarters is the time without contact, in quarters of an interval,
+	// after which the leader suspects a process and asks witnesses.
+	suspectQuarters = 9
+	// downQuarters is the time without a ready Beat, in quarters of an
+	// interval, after which a member is removed from the view.
 	downQuarters = 18
-	// witnesses is how many processes probe one that the leader does not hear.
-	witnesses = 3
-	// maxPending bounds the confirmations that wait to be caught up with.
-	maxPending = 4
-	// maxMembers bounds the members of a view that is adopted.
+	// witnessCount is the number of processes that probe a suspect of the
+	// leader.
+	witnessCount = 3
+	// maxPendingConfirmations bounds the confirmations whose index is not yet
+	// applied here.
+	maxPendingConfirmations = 4
+	// maxMembers bounds the members of an adopted view.
 	maxMembers = 64
-	// maxRaises is how often others may know a larger incarnation of this name.
-	maxRaises = 16
-	// maxBroken bounds the broken invariants that are remembered.
-	maxBroken = 32
+	// maxIncarnationAdvances is how often this process may have to advance its
+	// incarnation before that is reported as a violation.
+	maxIncarnationAdvances = 16
+	// maxViolations bounds the stored violations of invariants.
+	maxViolations = 32
 )
 
-// Config sets up a Core.
+// Config configures a Core.
 type Config struct {
 	Self model.NodeID
-	// Members are all processes of the site by the settings, Self included.
+	// Members are all processes of the site according to the settings,
+	// including Self.
 	Members []model.NodeID
 	// Voters are those of Members that vote in the control log.
 	Voters []model.NodeID
-	// Interval is the time between two beats; 0 chooses by the site's size.
+	// Interval is the time between two beats; 0 derives it from the number of
+	// members.
 	Interval time.Duration
-	// Rules is the zero value in every real process.
+	// Rules is the zero value outside of tests.
 	Rules Rules
 }
 
-// Rules switches single safety rules off. It exists so that tests can show
-// that the randomised runs notice each rule's absence.
+// Rules disables single safety rules, so that tests can show that the
+// randomised runs detect the absence of each rule.
 type Rules struct {
-	// SkipCatchUp confirms a process that has not applied what was committed.
+	// SkipCatchUp confirms a process that has not applied the committed index.
 	SkipCatchUp bool
-	// SkipAge counts a confirmation from when it arrives.
+	// SkipAge dates a confirmation to its arrival.
 	SkipAge bool
-	// SkipViewOrder adopts any view that comes.
+	// SkipViewOrder adopts any received view, also an older one.
 	SkipViewOrder bool
 	// SkipLease lets an unconfirmed leader change the view.
 	SkipLease bool
-	// SkipWitness takes a member out that others hear.
+	// SkipWitness ignores the reports of witnesses.
 	SkipWitness bool
-	// SkipIncarnation takes the word of an earlier process of the same name.
+	// SkipIncarnation accepts beats of an earlier incarnation.
 	SkipIncarnation bool
 }
 
-// Member is a process that serves.
+// Member is a live process.
 type Member struct {
 	Node        model.NodeID
 	Incarnation uint64
 }
 
-// View is the set of live members as a confirmed leader determined it. Views
-// are ordered by (Term, Version).
+// View is the set of live members, determined by a confirmed leader. Views are
+// ordered by (Term, Version).
 type View struct {
 	Term    uint64
 	Version uint64
@@ -80,7 +86,7 @@
 	Live []Member
 }
 
-// Newer reports whether v comes after o.
+// Newer reports whether v is newer than o.
 func (v View) Newer(o View) bool {
 	if v.Term != o.Term {
 		return v.Term > o.Term
@@ -88,7 +94,7 @@
 	return v.Version > o.Version
 }
 
-// Has reports whether a process is live.
+// Has reports whether a process is a live member.
 func (v View) Has(node model.NodeID) bool {
 	for _, m := range v.Live {
 		if m.Node == node {
@@ -98,7 +104,8 @@
 	return false
 }
 
-// WitnessReport says when a process was last heard directly.
+// WitnessReport is the time since a witness last received a Beat directly from
+// a process.
 type WitnessReport struct {
 	Node        model.NodeID
 	Incarnation uint64
@@ -106,13 +113,13 @@
 	Ready       bool
 }
 
-// Beat is what one process tells another, as a request or as its answer.
+// Beat is the heartbeat message, used as request and as reply.
 type Beat struct {
 	From        model.NodeID
 	Incarnation uint64
 	// Sequence grows with every beat of an incarnation.
 	Sequence uint64
-	// Known is the incarnation under which the sender knows the receiver.
+	// Known is the largest incarnation of the receiver that the sender has seen.
 	Known   uint64
 	Applied uint64
 	Ready   bool
@@ -120,43 +127,46 @@
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
-	// Commit was committed as a quorum confirmed Age ago, if Confirmed.
+	// Commit is the committed index that a quorum confirmed Age ago. It is
+	// valid only if Confirmed is set.
 	Commit    uint64
 	Confirmed bool
 	Age       time.Duration
-	// View is the sender's; Live is set only when the receiver's is older.
-	View           View
+	// View is the sender's view; Live is set only when the receiver's view is
+	// older.
+	View View
+	// Doubts are the suspects of the leader, which witnesses should probe.
 	Doubts         []model.NodeID
 	WitnessReports []WitnessReport
 }
 
-// Local is what this process knows from its own part in the control log.
+// Local is the state of this process's own part in the control log.
 type Local struct {
 	Applied uint64
-	// Leader and Term are as a voter sees them; a learner leaves them empty.
+	// Leader and Term are those of the local voter; a learner leaves them empty.
 	Leader model.NodeID
 	Term   uint64
 	Commit uint64
-	// Leads says that this process is the leader, Confirmed that a quorum
-	// answered it within its lease.
+	// Leads is set when this process is the leader, Confirmed when a quorum
+	// also replied to it within its lease.
 	Leads     bool
 	Confirmed bool
-	// Leaving says that this process is on its way to a graceful stop.
+	// Leaving is set when this process is stopping gracefully.
 	Leaving bool
 }
 
-// Standing says how this process stands towards the others.
+// Standing is the status of this process within the site.
 type Standing struct {
 	Ready bool
-	// Reason says in words why it is not ready; empty when it is.
+	// Reason describes why the process is not ready; empty when it is ready.
 	Reason string
-	// Age is how old the last confirmation is; 0 when there was none.
+	// Age is the age of the last confirmation; 0 when there was none.
 	Age time.Duration
-	// Behind is for how long this process has known of an index that it has
-	// not applied; 0 when it is caught up.
+	// Behind is the time since a quorum confirmed an index that this process
+	// has not applied; 0 when there is no such index.
 	Behind time.Duration
-	// Heard and Unheard divide the other processes by whether they were heard
-	// directly within the last turn of beats.
+	// Heard counts the other processes from which a Beat was received directly
+	// within the last cycle of beats; Unheard lists all others.
 	Heard   int
 	Unheard []model.NodeID
 }
--- a/internal/membership/world_test.go
+++ b/internal/membership/world_test.go
@@ -10,330 +10,333 @@
 )
 
 const (
-	worldNodes  = 7
-	worldVoters = 3
-	worldLease  = 700 * time.Millisecond
-	worldTick   = 50 * time.Millisecond
+	simNodes  = 7
+	simVoters = 3
+	simLease  = 700 * time.Millisecond
+	simTick   = 50 * time.Millisecond
 )
 
-// action is one event of a run, a fault, a commit, an election or time, with
-// all its choices drawn from the seed.
+// action is one event of a run: a fault, a commit, an election or the passing
+// of time. It is the seed of all random choices of the event.
 type action uint32
 
 // worldNode is one process of the simulated site.
-type worldNode struct {
+type simNode struct {
 	core   *Core
 	name   model.NodeID
 	up     bool
 	frozen bool
-	// stalled nodes exchange beats but get no entries.
+	// stalled nodes exchange beats but receive no log entries.
 	stalled bool
 	leads   bool
 	term    uint64
 	applied uint64
-	// served is the highest index at which it, or a predecessor, was ready.
-	served uint64
-	due    model.Instant
-	last   View
+	// served is the highest applied index at which this process or a
+	// predecessor was ready.
+	served    uint64
+	nextRound model.Instant
+	lastView  View
 }
 
-type flight struct {
+type message struct {
 	at      model.Instant
 	to      int
-	deliver func(n *worldNode)
+	deliver func(n *simNode)
 }
 
-// world is a site with faulty links and a control log that follows the rules
-// of package quorum: one confirmed leader at a time, under a lease.
-type world struct {
-	rules   Rules
-	now     model.Instant
-	nodes   []*worldNode
-	cut     [worldNodes][worldNodes]bool
-	flights []flight
-	random  *rand.Rand
+// simulation is a site with faulty links and a control log that follows the
+// rules of package quorum: one confirmed leader at a time, under a lease.
+type simulation struct {
+	rules    Rules
+	now      model.Instant
+	nodes    []*simNode
+	cut      [simNodes][simNodes]bool
+	inFlight []message
+	random   *rand.Rand
 
 	leader     int
 	term       uint64
 	leaseUntil model.Instant
 	commit     uint64
-	// history says when each index was committed.
-	history []mark
-	views   map[[2]uint64][]Member
-	calm    bool
+	// history records when each index was committed.
+	history     []commitPoint
+	viewMembers map[[2]uint64][]Member
+	faultFree   bool
 }
 
-func newWorld(rules Rules) *world {
-	w := &world{rules: rules, now: 1_000_000, leader: -1, views: map[[2]uint64][]Member{}}
-	for i := range worldNodes {
-		w.nodes = append(w.nodes, &worldNode{name: model.NodeID(fmt.Sprintf("n%d", i))})
-		w.restart(i, 0)
+func newSimulation(rules Rules) *simulation {
+	sim := &simulation{rules: rules, now: 1_000_000, leader: -1, viewMembers: map[[2]uint64][]Member{}}
+	for i := range simNodes {
+		sim.nodes = append(sim.nodes, &simNode{name: model.NodeID(fmt.Sprintf("n%d", i))})
+		sim.restart(i, 0)
 	}
-	w.random = rand.New(rand.NewPCG(0, 1))
-	w.elect(0)
-	return w
+	sim.random = rand.New(rand.NewPCG(0, 1))
+	sim.elect(0)
+	return sim
 }
 
-func (w *world) restart(i int, incarnation uint64) {
-	n := w.nodes[i]
+func (sim *simulation) restart(i int, incarnation uint64) {
+	n := sim.nodes[i]
 	if incarnation == 0 {
-		incarnation = uint64(w.now)
+		incarnation = uint64(sim.now)
 	}
 	var members []model.NodeID
-	for _, other := range w.nodes {
+	for _, other := range sim.nodes {
 		members = append(members, other.name)
 	}
-	for j := len(members); j < worldNodes; j++ {
+	for j := len(members); j < simNodes; j++ {
 		members = append(members, model.NodeID(fmt.Sprintf("n%d", j)))
 	}
-	n.core = New(Config{Self: n.name, Members: members, Voters: members[:worldVoters], Rules: w.rules}, incarnation)
-	n.up, n.frozen, n.leads, n.last, n.due = true, false, false, View{}, w.now
-	if i >= worldVoters {
+	n.core = New(Config{Self: n.name, Members: members, Voters: members[:simVoters], Rules: sim.rules}, incarnation)
+	n.up, n.frozen, n.leads, n.lastView, n.nextRound = true, false, false, View{}, sim.now
+	if i >= simVoters {
 		n.applied = 0
 	}
-	if w.leader == i {
-		w.leader = -1
+	if sim.leader == i {
+		sim.leader = -1
 	}
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool { return f.to == i })
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(m message) bool { return m.to == i })
 }
 
-func (w *world) twoWay(a, b int) bool {
-	return w.nodes[a].up && w.nodes[b].up && !w.nodes[a].frozen && !w.nodes[b].frozen && !w.cut[a][b] && !w.cut[b][a]
+func (sim *simulation) twoWay(a, b int) bool {
+	return sim.nodes[a].up && sim.nodes[b].up && !sim.nodes[a].frozen && !sim.nodes[b].frozen && !sim.cut[a][b] && !sim.cut[b][a]
 }
 
-func (w *world) hasQuorum(i int) bool {
+func (sim *simulation) hasQuorum(i int) bool {
 	reached := 0
-	for v := range worldVoters {
-		if v == i || w.twoWay(i, v) {
+	for v := range simVoters {
+		if v == i || sim.twoWay(i, v) {
 			reached++
 		}
 	}
-	return reached > worldVoters/2 && w.nodes[i].up && !w.nodes[i].frozen
+	return reached > simVoters/2 && sim.nodes[i].up && !sim.nodes[i].frozen
 }
 
-func (w *world) confirmed() bool { return w.leader >= 0 && w.now < w.leaseUntil }
+func (sim *simulation) confirmed() bool { return sim.leader >= 0 && sim.now < sim.leaseUntil }
 
-func (w *world) elect(i int) {
-	if i >= worldVoters || w.confirmed() || !w.hasQuorum(i) {
+func (sim *simulation) elect(i int) {
+	if i >= simVoters || sim.confirmed() || !sim.hasQuorum(i) {
 		return
 	}
-	w.term++
-	w.leader, w.leaseUntil = i, w.now.Add(worldLease)
-	w.nodes[i].leads, w.nodes[i].term, w.nodes[i].applied = true, w.term, w.commit
+	sim.term++
+	sim.leader, sim.leaseUntil = i, sim.now.Add(simLease)
+	sim.nodes[i].leads, sim.nodes[i].term, sim.nodes[i].applied = true, sim.term, sim.commit
 }
 
-// play does one action and then checks the promises.
-func (w *world) play(a action) error {
-	w.random = rand.New(rand.NewPCG(uint64(a), 1))
-	kind, i, j := w.random.IntN(24), w.random.IntN(worldNodes), w.random.IntN(worldNodes)
-	n := w.nodes[i]
+// perform performs one action and then checks the invariants.
+func (sim *simulation) perform(a action) error {
+	sim.random = rand.New(rand.NewPCG(uint64(a), 1))
+	kind, i, j := sim.random.IntN(24), sim.random.IntN(simNodes), sim.random.IntN(simNodes)
+	n := sim.nodes[i]
 	switch kind {
 	case 0, 1:
-		w.cut[i][j] = i != j
+		sim.cut[i][j] = i != j
 	case 2:
-		w.split(1 << i)
+		sim.split(1 << i)
 	case 3:
-		w.split(w.random.IntN(1 << worldNodes))
+		sim.split(sim.random.IntN(1 << simNodes))
 	case 4, 5:
-		w.cut = [worldNodes][worldNodes]bool{}
+		sim.cut = [simNodes][simNodes]bool{}
 	case 6:
 		n.up = false
 	case 7:
 		// The clock of a restarted VM may have gone back.
-		w.restart(i, uint64(w.now)-uint64(w.random.IntN(10_000)))
+		sim.restart(i, uint64(sim.now)-uint64(sim.random.IntN(10_000)))
 	case 8:
 		n.frozen = !n.frozen
 	case 9:
 		n.stalled = !n.stalled
 	case 10, 11, 12:
-		w.elect(i)
+		sim.elect(i)
 	case 13, 14, 15:
-		if w.confirmed() && w.hasQuorum(w.leader) {
-			w.commit++
-			w.nodes[w.leader].applied = w.commit
-			w.history = append(w.history, mark{w.commit, w.now})
+		if sim.confirmed() && sim.hasQuorum(sim.leader) {
+			sim.commit++
+			sim.nodes[sim.leader].applied = sim.commit
+			sim.history = append(sim.history, commitPoint{sim.commit, sim.now})
 		}
 	default:
-		return w.run(time.Duration(w.random.IntN(4000)) * time.Millisecond)
+		return sim.run(time.Duration(sim.random.IntN(4000)) * time.Millisecond)
 	}
-	return w.check()
+	return sim.check()
 }
 
-// split cuts the nodes in the bit set off from the others, in both directions.
-func (w *world) split(set int) {
-	for i := range worldNodes {
-		for j := range worldNodes {
-			w.cut[i][j] = set>>i&1 != set>>j&1
+// split separates the nodes in the bit set from the others, in both directions.
+func (sim *simulation) split(set int) {
+	for i := range simNodes {
+		for j := range simNodes {
+			sim.cut[i][j] = set>>i&1 != set>>j&1
 		}
 	}
 }
 
-func (w *world) run(d time.Duration) error {
-	for end := w.now.Add(d); w.now < end; {
-		w.now = w.now.Add(worldTick)
-		w.tick()
-		if err := w.check(); err != nil {
+func (sim *simulation) run(d time.Duration) error {
+	for end := sim.now.Add(d); sim.now < end; {
+		sim.now = sim.now.Add(simTick)
+		sim.tick()
+		if err := sim.check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) tick() {
-	if w.leader >= 0 && w.hasQuorum(w.leader) && w.confirmed() {
-		w.leaseUntil = w.now.Add(worldLease)
+func (sim *simulation) tick() {
+	if sim.leader >= 0 && sim.hasQuorum(sim.leader) && sim.confirmed() {
+		sim.leaseUntil = sim.now.Add(simLease)
 	}
-	for i, n := range w.nodes {
-		if n.leads && n.term < w.term && w.leader >= 0 && w.twoWay(i, w.leader) {
+	for i, n := range sim.nodes {
+		if n.leads && n.term < sim.term && sim.leader >= 0 && sim.twoWay(i, sim.leader) {
 			n.leads = false
 		}
-		for v := range worldVoters {
-			if !n.stalled && w.twoWay(i, v) && w.random.IntN(3) > 0 {
-				n.applied = max(n.applied, w.nodes[v].applied)
+		for v := range simVoters {
+			if !n.stalled && sim.twoWay(i, v) && sim.random.IntN(3) > 0 {
+				n.applied = max(n.applied, sim.nodes[v].applied)
 			}
 		}
 	}
-	w.deliver()
-	for i, n := range w.nodes {
-		if n.up && !n.frozen && (n.due <= w.now || n.core.Urgent()) {
-			w.round(i, n)
+	sim.deliver()
+	for i, n := range sim.nodes {
+		if n.up && !n.frozen && (n.nextRound <= sim.now || n.core.Urgent()) {
+			sim.round(i, n)
 		}
 	}
 }
 
-func (w *world) update(n *worldNode) {
+func (sim *simulation) updateLocal(n *simNode) {
 	l := Local{Applied: n.applied}
 	if n.leads {
 		l.Leader, l.Term, l.Leads, l.Commit = n.name, n.term, true, n.applied
-		l.Confirmed = n.term == w.term && w.confirmed()
+		l.Confirmed = n.term == sim.term && sim.confirmed()
 	}
-	n.core.Update(w.now, l)
+	n.core.Update(sim.now, l)
 }
 
-func (w *world) round(i int, n *worldNode) {
-	w.update(n)
-	r := n.core.Round(w.now)
-	n.due = w.now.Add(r.Next)
-	sent, core := w.now, n.core
+func (sim *simulation) round(i int, n *simNode) {
+	sim.updateLocal(n)
+	r := n.core.Round(sim.now)
+	n.nextRound = sim.now.Add(r.Next)
+	sent, core := sim.now, n.core
 	for _, target := range r.Targets {
-		beat := n.core.Beat(w.now, target)
-		j := slices.IndexFunc(w.nodes, func(o *worldNode) bool { return o.name == target })
-		w.send(i, j, func(to *worldNode) {
-			w.update(to)
-			answer := to.core.Receive(w.now, beat)
-			w.send(j, i, func(back *worldNode) {
+		beat := n.core.Beat(sim.now, target)
+		j := slices.IndexFunc(sim.nodes, func(o *simNode) bool { return o.name == target })
+		sim.send(i, j, func(to *simNode) {
+			sim.updateLocal(to)
+			reply := to.core.Receive(sim.now, beat)
+			sim.send(j, i, func(back *simNode) {
 				if back.core == core {
-					w.update(back)
-					back.core.Answered(w.now, sent, answer)
+					sim.updateLocal(back)
+					back.core.Answered(sim.now, sent, reply)
 				}
 			})
 		})
 	}
 }
 
-// send loses, delays, reorders and doubles messages unless the world is calm.
-func (w *world) send(from, to int, deliver func(*worldNode)) {
-	if w.cut[from][to] {
+// send loses, delays, reorders and duplicates messages unless the simulation is
+// free of faults.
+func (sim *simulation) send(from, to int, deliver func(*simNode)) {
+	if sim.cut[from][to] {
 		return
 	}
 	copies, delay := 1, 0
-	if !w.calm {
-		switch w.random.IntN(10) {
+	if !sim.faultFree {
+		switch sim.random.IntN(10) {
 		case 0:
 			copies = 0
 		case 1:
 			copies = 2
 		case 2:
-			delay = w.random.IntN(8000)
+			delay = sim.random.IntN(8000)
 		}
 	}
 	for range copies {
-		w.flights = append(w.flights, flight{w.now.Add(time.Duration(delay) * time.Millisecond), to, deliver})
+		sim.inFlight = append(sim.inFlight, message{sim.now.Add(time.Duration(delay) * time.Millisecond), to, deliver})
 	}
 }
 
-func (w *world) deliver() {
-	waiting := w.flights
-	w.flights = nil
-	for _, f := range waiting {
-		n := w.nodes[f.to]
+func (sim *simulation) deliver() {
+	messages := sim.inFlight
+	sim.inFlight = nil
+	for _, m := range messages {
+		n := sim.nodes[m.to]
 		switch {
 		case !n.up:
-		case n.frozen || f.at > w.now:
-			w.flights = append(w.flights, f)
+		case n.frozen || m.at > sim.now:
+			sim.inFlight = append(sim.inFlight, m)
 		default:
-			f.deliver(n)
+			m.deliver(n)
 		}
 	}
 }
 
-// check compares what the processes believe with what is true.
-func (w *world) check() error {
-	promised := uint64(0)
-	for _, m := range w.history {
-		if m.at <= w.now.Add(-ConfirmLimit) {
-			promised = m.index
+// check compares the state of the processes with the state of the simulation.
+func (sim *simulation) check() error {
+	required := uint64(0)
+	for _, m := range sim.history {
+		if m.at <= sim.now.Add(-ConfirmLimit) {
+			required = m.index
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if !n.up || n.frozen {
 			continue
 		}
-		w.update(n)
-		if broken := n.core.Check(w.now); len(broken) > 0 {
-			return fmt.Errorf("%s: %s", n.name, broken[0])
+		sim.updateLocal(n)
+		if violations := n.core.Check(sim.now); len(violations) > 0 {
+			return fmt.Errorf("%s: %s", n.name, violations[0])
 		}
-		if n.core.Standing(w.now).Ready && n.applied < promised {
-			return fmt.Errorf("%s is ready at index %d; %d was committed %v ago", n.name, n.applied, promised, ConfirmLimit)
+		if n.core.Standing(sim.now).Ready && n.applied < required {
+			return fmt.Errorf("%s is ready at index %d; %d was committed %v ago", n.name, n.applied, required, ConfirmLimit)
 		}
-		if n.core.Standing(w.now).Ready {
+		if n.core.Standing(sim.now).Ready {
 			if n.applied < n.served {
-				return fmt.Errorf("%s is ready at index %d; before its restart it was at %d", n.name, n.applied, n.served)
+				return fmt.Errorf("%s is ready at index %d; its predecessor served index %d", n.name, n.applied, n.served)
 			}
 			n.served = n.applied
 		}
-		if err := w.checkView(n); err != nil {
+		if err := sim.checkView(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) checkView(n *worldNode) error {
+func (sim *simulation) checkView(n *simNode) error {
 	v := n.core.View()
-	if n.last.Newer(v) {
-		return fmt.Errorf("%s went back from view %v to %v", n.name, n.last, v)
+	if n.lastView.Newer(v) {
+		return fmt.Errorf("%s replaced view %v by the older view %v", n.name, n.lastView, v)
 	}
-	n.last = v
+	n.lastView = v
 	key := [2]uint64{v.Term, v.Version}
-	if other, seen := w.views[key]; seen && !slices.Equal(other, v.Live) {
-		return fmt.Errorf("two views %v: %v and %v", key, other, v.Live)
+	if other, seen := sim.viewMembers[key]; seen && !slices.Equal(other, v.Live) {
+		return fmt.Errorf("view %v has different members: %v and %v", key, other, v.Live)
 	}
-	w.views[key] = v.Live
+	sim.viewMembers[key] = v.Live
 	return nil
 }
 
-// settle ends all faults and expects everybody ready, agreed and up to date.
-func (w *world) settle() error {
-	w.cut, w.calm = [worldNodes][worldNodes]bool{}, true
-	for i, n := range w.nodes {
+// checkRecovery ends all faults and expects every process to be ready and up to
+// date, with the same view.
+func (sim *simulation) checkRecovery() error {
+	sim.cut, sim.faultFree = [simNodes][simNodes]bool{}, true
+	for i, n := range sim.nodes {
 		n.frozen, n.stalled = false, false
 		if !n.up {
-			w.restart(i, 0)
+			sim.restart(i, 0)
 		}
 	}
-	if err := w.run(time.Second); err != nil {
+	if err := sim.run(time.Second); err != nil {
 		return err
 	}
-	w.elect(0)
-	if err := w.run(20 * time.Second); err != nil {
+	sim.elect(0)
+	if err := sim.run(20 * time.Second); err != nil {
 		return err
 	}
-	view := w.nodes[0].core.View()
-	for _, n := range w.nodes {
-		s := n.core.Standing(w.now)
-		behind := n.core.InForce(w.commit)
-		if !s.Ready || len(behind) > 0 || len(n.core.View().Live) != worldNodes || n.core.View().Newer(view) {
+	view := sim.nodes[0].core.View()
+	for _, n := range sim.nodes {
+		s := n.core.Standing(sim.now)
+		behind := n.core.InForce(sim.commit)
+		if !s.Ready || len(behind) > 0 || len(n.core.View().Live) != simNodes || n.core.View().Newer(view) {
 			return fmt.Errorf("%s after all faults ended: %+v, behind %v, view %v", n.name, s, behind, n.core.View())
 		}
 	}
