--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,8 +1,8 @@
-// Package member wires one process of a site whose VMs find each other from a
-// few seeds: an entry VM, which answers callers and asks the leader, or a core
-// VM, which holds the control log, answers operators and workers, and when it
-// leads decides and gives orders.
+// Package member assembles one process of a site whose VMs discover each other
+// from a few seeds. An entry VM serves callers and forwards their requests to the
+// leader. A core VM holds a replica of the control log and serves operators and
+// workers; while it leads, it also makes the decisions and sends the orders.
 //
-// What arrives from outside and what leaves is given to New as handlers and
-// calls; this package knows no outside names or formats.
+// The handlers of external requests and the clients for external calls are passed
+// to New; this package depends on no external names or formats.
 package member
--- a/internal/member/log.go
+++ b/internal/member/log.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// controlLog is the control log as the leader's duties use it.
+// controlLog implements control.Log by the local replica.
 type controlLog struct {
 	replica *replica.Replica
 	wallMS  func() int64
@@ -20,9 +20,9 @@
 
 var _ control.Log = controlLog{}
 
-// Standing says who leads. This VM is confirmed only once it has committed an
-// entry of its own term: before, it may not have applied what earlier leaders
-// committed.
+// Standing returns the leader and whether this VM leads. This VM is confirmed only
+// after it has committed an entry of its own term: before, it may not have applied
+// what earlier leaders committed.
 func (l controlLog) Standing() control.Standing {
 	s := l.replica.Status()
 	return control.Standing{
@@ -31,10 +31,10 @@
 	}
 }
 
-// errRefused says that a command was committed and had no effect.
+// errRefused means that a command was committed and had no effect.
 var errRefused = errors.New("member: the command was refused")
 
-// Propose commits a command at this VM.
+// Propose commits a command through the replica of this VM.
 func (l controlLog) Propose(ctx context.Context, c *workload.Command) error {
 	c.AtMS = l.wallMS()
 	data, err := workload.Encode(c)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -25,26 +25,28 @@
 )
 
 const (
-	// siteName keeps processes of another product version or site apart; sites
-	// that find each other by seeds have no name of their own.
+	// siteName separates processes of other product versions and sites; sites
+	// whose VMs discover each other from seeds have no name of their own.
 	siteName = "seeded"
-	// tick is the unit of the control log's times: a leader that is silent for
-	// 8 to 16 of them is replaced, 0.5 to 1 s. That is the time for which nothing
-	// is decided; on days with five killed leaders it was measured against 75 and
-	// 100 ms, and 45 ms brought no more. A sync of 270 ms, thirty times that of a
-	// healthy disk, must not end a leader's time.
+	// tick is the time unit of the control log. A leader that is unresponsive for
+	// 8 to 16 ticks (0.5 to 1 s) is replaced; during that time nothing is decided.
+	// On days with five killed leaders this value was measured against 75 and
+	// 100 ms; 45 ms gave no further improvement. A sync of 270 ms, thirty times
+	// that of a healthy disk, must not cost a leader its term.
 	tick = 60 * time.Millisecond
-	// reviewTicks is the time between two reviews of the voters. A VM that took
-	// the place of another should vote before one more is lost.
+	// reviewTicks is the time between two reviews of the set of voters, in ticks.
+	// A VM that replaced another should become a voter before one more is lost.
 	reviewTicks = 10
-	// leaseShare of the longest lease is asked for. The rest is for the error
-	// of the estimate of the worker's clock.
+	// leaseShare is the requested share of the longest lease. The rest covers the
+	// error in the estimate of the worker's clock.
 	leaseShare = 0.85
 )
 
-// Outside is what a process speaks with others than the site's own processes.
+// Outside holds the handlers and clients for communication with everything but
+// the site's own processes.
 type Outside struct {
-	// Callers answers callers on an entry VM, Operators operators and workers on a core VM.
+	// Callers handles the requests of callers at an entry VM, Operators those of
+	// operators and workers at a core VM.
 	Callers   func(*Member) http.Handler
 	Operators func(*Member) http.Handler
 	Workers   workers.Client
@@ -52,12 +54,12 @@
 	Advisor   dispatch.Advisor
 }
 
-// Member is one process.
+// Member is one process of the site.
 type Member struct {
 	Settings *settings.Member
 	Logger   log.Interface
 	Metrics  metrics.Registry
-	// Client asks the leader, Greeter knows whether there is one.
+	// Client sends requests to the leader, Greeter tracks whether there is one.
 	Client  *control.Client
 	Greeter *control.Greeter
 
@@ -67,17 +69,17 @@
 	replica    *replica.Replica
 	machine    *workload.Machine
 	dispatcher *dispatch.Dispatcher
-	outside    Outside
+	external   Outside
 	sockets    sockets
 	stopping   stopFlag
 }
 
-// sockets are the open listeners; nil ones are not served.
+// sockets are the open listeners; those that are nil are not served.
 type sockets struct{ callers, readiness, operators, nodes, metrics net.Listener }
 
-// New opens sockets and data folder. Nothing runs before Run.
+// New opens the sockets and the data folder. Nothing is served before Run.
 func New(s *settings.Member, o Outside, logger log.Interface, r metrics.Registry) (*Member, error) {
-	m := &Member{Settings: s, Logger: logger, Metrics: r, outside: o}
+	m := &Member{Settings: s, Logger: logger, Metrics: r, external: o}
 	self := m.self()
 	m.directory = control.NewDirectory(m.seeds(s), steady.Now)
 	m.nodes = node.NewClient(node.ClientConfig{Self: self, Site: siteName, NamedByAddress: true, Metrics: r})
@@ -109,7 +111,7 @@
 }
 
 func (m *Member) openCore(self model.NodeID) error {
-	m.awaitRoom()
+	m.waitForDiskSpace()
 	m.machine = workload.NewMachine()
 	m.machine.SetClock(steady.Now)
 	opened, err := replica.Open(m.replicaConfig(self))
@@ -123,7 +125,7 @@
 	controlled := controlLog{replica: opened, wallMS: wallMS}
 	m.dispatcher = dispatch.New(dispatch.Config{
 		Self: string(m.Settings.Node.Name), Log: controlled, Machine: m.machine,
-		Workers: m.outside.Workers, Fleet: m.outside.Fleet, Advisor: m.outside.Advisor,
+		Workers: m.external.Workers, Fleet: m.external.Fleet, Advisor: m.external.Advisor,
 		Lease:    time.Duration(leaseShare * float64(m.Settings.Bounds.LeaseMax)),
 		LeaseMax: m.Settings.Bounds.LeaseMax, TakeOverDelay: m.Settings.Bounds.FleetTakeOver,
 		FleetRate: m.Settings.FleetRate,
@@ -137,18 +139,19 @@
 }
 
 const (
-	// roomEvery is the time between two looks at a full disk, roomWithin how
-	// long a process waits for room before it goes on and fails.
-	roomEvery  = 500 * time.Millisecond
-	roomWithin = 5 * time.Minute
+	// diskSpacePoll is the time between two checks of a full disk.
+	// diskSpaceTimeout is how long a process waits for disk space before it
+	// continues and fails.
+	diskSpacePoll    = 500 * time.Millisecond
+	diskSpaceTimeout = 5 * time.Minute
 )
 
-// awaitRoom waits while the disk is full. Without it the process would end at
-// its first write and be started again, several times a second, and each start
-// would cost the others a connection and a round of questions.
-func (m *Member) awaitRoom() {
+// waitForDiskSpace waits while the disk is full. Without it the process would end
+// at its first write and be restarted several times a second, and each start
+// would cost the other processes a connection and a round of requests.
+func (m *Member) waitForDiskSpace() {
 	disk := datafolder.Disk{}
-	for waited := time.Duration(0); waited < roomWithin; waited += roomEvery {
+	for waited := time.Duration(0); waited < diskSpaceTimeout; waited += diskSpacePoll {
 		err := datafolder.HasRoom(disk, m.Settings.Node.DataFolder)
 		if err == nil || !datafolder.IsFull(err) {
 			return
@@ -156,12 +159,13 @@
 		if waited == 0 {
 			m.Logger.WithError(err).Warn("the disk is full; waiting for room")
 		}
-		time.Sleep(roomEvery)
+		time.Sleep(diskSpacePoll)
 	}
 }
 
-// replicaConfig lets the seeds found the site together, on the first start
-// only: a seed that lost its disk must never found another one.
+// replicaConfig returns the configuration of the replica. The seeds found the
+// site together, on the first start only: a seed that lost its disk must never
+// found another site.
 func (m *Member) replicaConfig(self model.NodeID) replica.Config {
 	var founders []model.NodeID
 	if m.Settings.Node.MayFound {
@@ -171,7 +175,7 @@
 		Folder: m.Settings.Node.DataFolder, Site: siteName, Self: self, Members: founders,
 		Candidates: m.directory.Cores, StateMachine: m.machine, Transport: m.nodes, Bootstrapper: m.nodes,
 		TickInterval: tick, ReviewTicks: reviewTicks, Log: m.Logger, Metrics: m.Metrics,
-		// Only the leader answers requests and acts.
+		// Only the leader replies to requests and acts on the state.
 		CommitsWithNext: true,
 	}
 }
@@ -183,7 +187,7 @@
 	return m.replica.Identity()
 }
 
-// LeaderIP returns the IP of the leader, empty when unknown.
+// LeaderIP returns the IP address of the leader, empty when unknown.
 func (m *Member) LeaderIP() string {
 	leader, _ := m.directory.Leader.Get()
 	host, _, err := net.SplitHostPort(string(leader))
--- a/internal/member/patience.go
+++ b/internal/member/patience.go
@@ -3,26 +3,29 @@
 import "time"
 
 const (
-	// patience is how long a request is tried at one core VM after another.
-	// What is not run by then is refused at once, with a time to come back: the
-	// caller can use the rest of its deadline.
-	patience = 1200 * time.Millisecond
-	// patienceShare of the caller's deadline is used at most.
-	patienceShare = 0.35
-	// retryAfter is when a caller whose request was not run should come back.
+	// maxRequestTimeout bounds the time for which a request is sent to one core VM
+	// after another. A request that has not run by then is refused with a time to
+	// retry, so that the caller can use the rest of its deadline.
+	maxRequestTimeout = 1200 * time.Millisecond
+	// requestTimeoutShare is the largest share of the caller's deadline to use.
+	requestTimeoutShare = 0.35
+	// retryAfter is the time after which a caller should retry a request that was
+	// not run.
 	retryAfter = time.Second
-	// operatorPatience is a little less than the second after which operators
-	// and workers turn to another VM.
-	operatorPatience = 950 * time.Millisecond
+	// operatorTimeout is slightly less than the second after which operators and
+	// workers try another VM.
+	operatorTimeout = 950 * time.Millisecond
 )
 
-// Patience returns how long a caller's request may be tried.
+// Patience returns the timeout for the request of a caller with the given
+// deadline.
 func (m *Member) Patience(deadline time.Duration) time.Duration {
-	return min(patience, time.Duration(patienceShare*float64(deadline)))
+	return min(maxRequestTimeout, time.Duration(requestTimeoutShare*float64(deadline)))
 }
 
-// RetryAfter is when a caller whose request was not run should come back.
+// RetryAfter returns the time after which a caller should retry a request that
+// was not run.
 func (m *Member) RetryAfter() time.Duration { return retryAfter }
 
-// OperatorPatience is how long an order of an operator is tried.
-func (m *Member) OperatorPatience() time.Duration { return operatorPatience }
+// OperatorPatience returns the timeout for the request of an operator or worker.
+func (m *Member) OperatorPatience() time.Duration { return operatorTimeout }
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -9,15 +9,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/settings"
 )
 
-// lookEvery is how often the settings file is read: it may change without a
-// signal.
-const lookEvery = time.Second
+// settingsPoll is the time between two reads of the settings file, which may
+// change without a signal.
+const settingsPoll = time.Second
 
-// Follow reads the settings file again at every signal and whenever it has
-// changed, and takes over what may change while the process runs: the seeds.
+// Follow reads the settings file at every signal and every settingsPoll. When it
+// has changed, Follow applies the setting that may change at run time: the seeds.
 func (m *Member) Follow(ctx context.Context, path string, signal <-chan os.Signal) {
 	var last []byte
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(settingsPoll)
 	defer ticker.Stop()
 	for {
 		if text, err := os.ReadFile(path); err != nil {
--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// balancerDelay is how long a stopping entry VM still takes requests after
-	// it became unready: the balancer asks once a second and acts on the
-	// second refusal.
+	// balancerDelay is how long a stopping entry VM still accepts requests after
+	// it became unready: the balancer checks readiness once a second and acts on
+	// the second failed check.
 	balancerDelay = 2500 * time.Millisecond
-	// stopReserve is what is left of the time to stop when requests in
+	// stopReserve is the part of the time to stop that remains when requests in
 	// progress are given up.
 	stopReserve = 700 * time.Millisecond
-	// handOverTimeout bounds the transfer of leadership.
-	handOverTimeout = 1500 * time.Millisecond
-	// lingerCore is how long a core VM forwards requests after it handed
-	// leadership over, until others have heard of it.
-	lingerCore = 600 * time.Millisecond
+	// transferTimeout bounds the transfer of leadership.
+	transferTimeout = 1500 * time.Millisecond
+	// forwardingPeriod is how long a core VM forwards requests after it
+	// transferred leadership, until the others know the new leader.
+	forwardingPeriod = 600 * time.Millisecond
 
 	headerBytes   = 64 << 10
 	headerTimeout = 5 * time.Second
@@ -35,22 +35,22 @@
 	idleTimeout   = 90 * time.Second
 )
 
-// stopFlag says that the process is about to stop.
+// stopFlag is set when the process is stopping.
 type stopFlag struct{ atomic.Bool }
 
 // Run serves until ctx ends, then stops gracefully.
 func (m *Member) Run(ctx context.Context) error {
-	duties, end := context.WithCancel(context.Background())
+	taskCtx, end := context.WithCancel(context.Background())
 	defer end()
-	p := pool.New().WithContext(duties).WithCancelOnError().WithFirstError()
+	p := pool.New().WithContext(taskCtx).WithCancelOnError().WithFirstError()
 	servers := m.startServers(p)
-	m.startDuties(p)
+	m.startBackgroundTasks(p)
 	m.Logger.WithField("node", string(m.Settings.Node.Name)).WithField("role", string(m.Settings.Node.Role)).Info("started")
 	failed := make(chan error, 1)
 	go func() { failed <- p.Wait() }()
 	select {
 	case err := <-failed:
-		return oops.In("member").Wrapf(err, "a duty ended")
+		return oops.In("member").Wrapf(err, "a background task ended")
 	case <-ctx.Done():
 	}
 	m.stop(servers)
@@ -60,25 +60,26 @@
 	return nil
 }
 
-func (m *Member) startDuties(p *pool.ContextPool) {
-	duties := []func(context.Context) error{m.nodes.Run, m.Greeter.Run}
+func (m *Member) startBackgroundTasks(p *pool.ContextPool) {
+	tasks := []func(context.Context) error{m.nodes.Run, m.Greeter.Run}
 	if m.replica != nil {
-		duties = append(duties, m.replica.Run, m.dispatcher.Run)
+		tasks = append(tasks, m.replica.Run, m.dispatcher.Run)
 	}
-	for _, duty := range duties {
-		p.Go(func(ctx context.Context) error { return endedBy(ctx, duty(ctx)) })
+	for _, task := range tasks {
+		p.Go(func(ctx context.Context) error { return ignoreAfterCancel(ctx, task(ctx)) })
 	}
 }
 
-// endedBy returns nil for a duty that ended only because ctx did.
-func endedBy(ctx context.Context, err error) error {
+// ignoreAfterCancel returns nil if ctx has ended, and otherwise err. Background
+// tasks return an error also when they end only because of ctx.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// startServers serves every open socket and returns the servers of callers and
+// startServers serves every open socket. It returns the servers for callers and
 // operators, which are drained when the process stops.
 func (m *Member) startServers(p *pool.ContextPool) []*http.Server {
 	var drained []*http.Server
@@ -92,12 +93,12 @@
 		})
 	}
 	if l := m.sockets.callers; l != nil {
-		s := boundedServer(m.outside.Callers(m))
+		s := boundedServer(m.external.Callers(m))
 		drained = append(drained, s)
 		serve(l, s)
 	}
 	if l := m.sockets.operators; l != nil {
-		s := boundedServer(m.outside.Operators(m))
+		s := boundedServer(m.external.Operators(m))
 		drained = append(drained, s)
 		serve(l, s)
 	}
@@ -125,7 +126,7 @@
 	}
 }
 
-// readiness answers the balancer.
+// readiness handles the readiness check of the balancer.
 func (m *Member) readiness(w http.ResponseWriter, _ *http.Request) {
 	if m.stopping.Load() || !m.Greeter.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -138,19 +139,20 @@
 	metrics.WriteOnce(m.Metrics, w)
 }
 
-// stop drains in the order that cuts off no request: first the balancer is
-// told, then leadership is handed over, then running requests end.
+// stop stops in an order that interrupts no request: first the balancer sees the
+// process as unready, then leadership is transferred, then requests in progress
+// complete.
 func (m *Member) stop(servers []*http.Server) {
-	began := time.Now()
+	startedAt := time.Now()
 	m.stopping.Store(true)
 	if m.replica != nil {
-		m.handOver()
-		time.Sleep(lingerCore)
+		m.transferLeadership()
+		time.Sleep(forwardingPeriod)
 	} else {
 		time.Sleep(balancerDelay)
 	}
-	left := m.Settings.Bounds.StopWithin - stopReserve - time.Since(began)
-	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
+	remaining := m.Settings.Bounds.StopWithin - stopReserve - time.Since(startedAt)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
 	for _, s := range servers {
 		s.SetKeepAlivesEnabled(false)
@@ -160,8 +162,8 @@
 	}
 }
 
-func (m *Member) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+func (m *Member) transferLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	if err := m.replica.TransferLeadership(ctx); err != nil {
 		m.Logger.WithError(err).Warn("leadership was not handed over; the others elect")
