--- a/internal/membership/check.go
+++ b/internal/membership/check.go
@@ -9,7 +9,7 @@
 
 // Check returns the violations of invariants, current and past. It is empty
 // unless the program or the settings have a fault.
-func (c *Core) Check(now model.Instant) []string {
+func (c *Core) Violations(now model.Instant) []string {
 	violations := slices.Clone(c.violations)
 	if c.hasConfirmation && c.confirmedAt > now {
 		violations = append(violations, fmt.Sprintf("confirmed at %d, which is after now (%d)", c.confirmedAt, now))
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -67,14 +67,14 @@
 	return c.hasConfirmation && now.Sub(c.confirmedAt) <= ConfirmLimit && !c.local.Leaving
 }
 
-// Standing returns the status of this process for the balancer and operators.
-func (c *Core) Standing(now model.Instant) Standing {
-	s := Standing{Ready: c.ready(now)}
+// Status returns the status of this process for the balancer and operators.
+func (c *Core) Status(now model.Instant) Status {
+	s := Status{Ready: c.ready(now)}
 	if c.hasConfirmation {
-		s.Age = now.Sub(c.confirmedAt)
+		s.ConfirmationAge = now.Sub(c.confirmedAt)
 	}
 	if len(c.pendingConfirmations) > 0 {
-		s.Behind = now.Sub(c.pendingConfirmations[0].at)
+		s.BehindFor = now.Sub(c.pendingConfirmations[0].at)
 	}
 	cycle := c.interval*time.Duration(len(c.members)) + c.interval
 	for _, name := range c.members {
@@ -83,9 +83,9 @@
 			continue
 		}
 		if p.lastContact != 0 && now.Sub(p.lastContact) <= cycle {
-			s.Heard++
+			s.Responsive++
 		} else {
-			s.Unheard = append(s.Unheard, name)
+			s.Unresponsive = append(s.Unresponsive, name)
 		}
 	}
 	if !s.Ready {
@@ -96,18 +96,18 @@
 
 // unreadyReason describes why this process is not ready. It distinguishes a
 // process that is cut off from a site without a leader.
-func (c *Core) unreadyReason(s Standing) string {
+func (c *Core) unreadyReason(s Status) string {
 	switch {
 	case c.local.Leaving:
 		return "stopping"
-	case s.Heard == 0 && len(s.Unheard) > 0:
+	case s.Responsive == 0 && len(s.Unresponsive) > 0:
 		return "cut off: hears no other process"
 	case len(c.pendingConfirmations) > 0:
 		return fmt.Sprintf("catching up: applied index %d, committed are %d", c.local.Applied, c.pendingConfirmations[0].index)
 	case !c.hasConfirmation:
-		return fmt.Sprintf("not yet confirmed by a quorum; hears %d of %d processes", s.Heard, s.Heard+len(s.Unheard))
+		return fmt.Sprintf("not yet confirmed by a quorum; hears %d of %d processes", s.Responsive, s.Responsive+len(s.Unresponsive))
 	default:
 		return fmt.Sprintf("no quorum confirmed the state for %v; hears %d of %d processes",
-			s.Age.Round(time.Millisecond), s.Heard, s.Heard+len(s.Unheard))
+			s.ConfirmationAge.Round(time.Millisecond), s.Responsive, s.Responsive+len(s.Unresponsive))
 	}
 }
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -90,9 +90,9 @@
 // know a larger one of the same name, so it must be read anew for each use.
 func (c *Core) Incarnation() uint64 { return c.incarnation }
 
-// Urgent reports whether a round should be run without waiting: the view
-// changed here, a probe was requested, or this process is leaving.
-func (c *Core) Urgent() bool { return c.immediateRound }
+// NeedsImmediateRound reports whether a round should be run without waiting: the
+// view changed here, a probe was requested, or this process is leaving.
+func (c *Core) NeedsImmediateRound() bool { return c.immediateRound }
 
 // View returns the current view of this process.
 func (c *Core) View() View { return c.view }
@@ -131,13 +131,13 @@
 		WitnessReports: c.witnessReports(now),
 	}
 	if c.hasConfirmation {
-		b.Confirmed, b.Commit, b.Age = true, c.confirmedIndex, now.Sub(c.confirmedAt)
+		b.Confirmed, b.Commit, b.ConfirmationAge = true, c.confirmedIndex, now.Sub(c.confirmedAt)
 	}
 	if c.local.Leads {
-		b.Doubts = slices.Clone(c.suspects)
+		b.Suspects = slices.Clone(c.suspects)
 	}
 	if p := c.peers[to]; p != nil {
-		b.Known = p.incarnation
+		b.KnownIncarnation = p.incarnation
 		if p.lastContact != 0 && c.view.Newer(p.view) {
 			b.View.Live = c.view.Live
 		}
@@ -152,13 +152,13 @@
 	return c.Beat(now, b.From)
 }
 
-// Answered handles the reply to a request that was sent at the given instant.
-func (c *Core) Answered(now, sent model.Instant, b Beat) {
+// ReceiveReply handles the reply to a request that was sent at the given instant.
+func (c *Core) ReceiveReply(now, sent model.Instant, b Beat) {
 	c.handle(now, b)
 	// Only a reply confirms: a request may have been in flight for long, so
 	// the age of its confirmation is unknown.
-	if b.Confirmed && b.Age >= 0 {
-		at := sent.Add(-b.Age)
+	if b.Confirmed && b.ConfirmationAge >= 0 {
+		at := sent.Add(-b.ConfirmationAge)
 		if c.config.Rules.SkipAge {
 			at = now
 		}
@@ -182,7 +182,7 @@
 		p.lastReady = now
 	}
 	p.view = b.View
-	c.advanceIncarnation(b.Known)
+	c.advanceIncarnation(b.KnownIncarnation)
 	c.learnLeader(b.Leader, b.Term)
 	c.adoptView(b.View)
 	c.recordProbeRequests(now, b)
@@ -253,9 +253,9 @@
 	return slices.CompactFunc(s, func(a, b Member) bool { return a.Node == b.Node })
 }
 
-// InForce returns the processes that are not known to have applied the index,
+// Behind returns the processes that are not known to have applied the index,
 // sorted by name. At the leader the result is at most one interval old.
-func (c *Core) InForce(index uint64) (behind []model.NodeID) {
+func (c *Core) Behind(index uint64) (behind []model.NodeID) {
 	for _, name := range c.members {
 		applied := c.local.Applied
 		if p := c.peers[name]; p != nil {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -112,11 +112,11 @@
 			for i, n := range sim.nodes {
 				if i != node {
 					is.Equal(n.core.View().Has(sim.nodes[node].name), c.stays) // all agree
-					is.True(n.core.Standing(sim.now).Ready)
+					is.True(n.core.Status(sim.now).Ready)
 				}
 			}
 			if c.rules == (Rules{}) {
-				is.Equal(sim.nodes[node].core.Standing(sim.now).Ready, c.stays)
+				is.Equal(sim.nodes[node].core.Status(sim.now).Ready, c.stays)
 			}
 			is.NoErr(sim.checkRecovery())
 		})
@@ -134,13 +134,13 @@
 	c := New(Config{Self: "a", Members: members, Voters: members}, 7)
 	c.Update(startedAt, Local{Applied: 3})
 	receive := func(at model.Instant, sequence, commit uint64, age time.Duration) {
-		c.Answered(at, at, Beat{From: "b", Incarnation: 1, Sequence: sequence, Confirmed: true, Commit: commit, Age: age})
+		c.ReceiveReply(at, at, Beat{From: "b", Incarnation: 1, Sequence: sequence, Confirmed: true, Commit: commit, ConfirmationAge: age})
 	}
 	at := startedAt.Add(100 * time.Millisecond)
 	receive(at, 1, 3, 400*time.Millisecond)
-	is.True(!c.Standing(at).Ready)
+	is.True(!c.Status(at).Ready)
 	receive(at, 2, 4, 10*time.Millisecond)
-	is.True(!c.Standing(at).Ready) // index 4 is not applied
+	is.True(!c.Status(at).Ready) // index 4 is not applied
 	c.Update(at, Local{Applied: 4})
-	is.True(c.Standing(at).Ready)
+	is.True(c.Status(at).Ready)
 }
--- a/internal/membership/review.go
+++ b/internal/membership/review.go
@@ -97,7 +97,7 @@
 	if b.From != c.leader {
 		return
 	}
-	for _, name := range b.Doubts {
+	for _, name := range b.Suspects {
 		if c.peers[name] == nil || !c.isWitness(name) {
 			continue
 		}
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -119,31 +119,33 @@
 	Incarnation uint64
 	// Sequence grows with every beat of an incarnation.
 	Sequence uint64
-	// Known is the largest incarnation of the receiver that the sender has seen.
-	Known   uint64
-	Applied uint64
-	Ready   bool
-	Leaving bool
+	// KnownIncarnation is the largest incarnation of the receiver that the
+	// sender has seen.
+	KnownIncarnation uint64
+	Applied          uint64
+	Ready            bool
+	Leaving          bool
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
-	// Commit is the committed index that a quorum confirmed Age ago. It is
-	// valid only if Confirmed is set.
-	Commit    uint64
-	Confirmed bool
-	Age       time.Duration
+	// Commit is the committed index that a quorum confirmed ConfirmationAge ago.
+	// It is valid only if Confirmed is set.
+	Commit          uint64
+	Confirmed       bool
+	ConfirmationAge time.Duration
 	// View is the sender's view; Live is set only when the receiver's view is
 	// older.
 	View View
-	// Doubts are the suspects of the leader, which witnesses should probe.
-	Doubts         []model.NodeID
+	// Suspects are those of the leader, which witnesses should probe.
+	Suspects       []model.NodeID
 	WitnessReports []WitnessReport
 }
 
 // Local is the state of this process's own part in the control log.
 type Local struct {
 	Applied uint64
-	// Leader and Term are those of the local voter; a learner leaves them empty.
+	// Leader and Term are those of the local voter; in a process without one they
+	// are the last known ones.
 	Leader model.NodeID
 	Term   uint64
 	Commit uint64
@@ -155,18 +157,19 @@
 	Leaving bool
 }
 
-// Standing is the status of this process within the site.
-type Standing struct {
+// Status describes the readiness of this process and its contact to the others.
+type Status struct {
 	Ready bool
 	// Reason describes why the process is not ready; empty when it is ready.
 	Reason string
-	// Age is the age of the last confirmation; 0 when there was none.
-	Age time.Duration
-	// Behind is the time since a quorum confirmed an index that this process
+	// ConfirmationAge is the age of the last confirmation; 0 when there was none.
+	ConfirmationAge time.Duration
+	// BehindFor is the time since a quorum confirmed an index that this process
 	// has not applied; 0 when there is no such index.
-	Behind time.Duration
-	// Heard counts the other processes from which a Beat was received directly
-	// within the last cycle of beats; Unheard lists all others.
-	Heard   int
-	Unheard []model.NodeID
+	BehindFor time.Duration
+	// Responsive counts the other processes from which a Beat was received
+	// directly within the last cycle of beats; Unresponsive lists those from
+	// which none was.
+	Responsive   int
+	Unresponsive []model.NodeID
 }
--- a/internal/membership/world_test.go
+++ b/internal/membership/world_test.go
@@ -196,7 +196,7 @@
 	}
 	sim.deliver()
 	for i, n := range sim.nodes {
-		if n.up && !n.frozen && (n.nextRound <= sim.now || n.core.Urgent()) {
+		if n.up && !n.frozen && (n.nextRound <= sim.now || n.core.NeedsImmediateRound()) {
 			sim.round(i, n)
 		}
 	}
@@ -225,7 +225,7 @@
 			sim.send(j, i, func(back *simNode) {
 				if back.core == core {
 					sim.updateLocal(back)
-					back.core.Answered(sim.now, sent, reply)
+					back.core.ReceiveReply(sim.now, sent, reply)
 				}
 			})
 		})
@@ -282,13 +282,13 @@
 			continue
 		}
 		sim.updateLocal(n)
-		if violations := n.core.Check(sim.now); len(violations) > 0 {
+		if violations := n.core.Violations(sim.now); len(violations) > 0 {
 			return fmt.Errorf("%s: %s", n.name, violations[0])
 		}
-		if n.core.Standing(sim.now).Ready && n.applied < required {
+		if n.core.Status(sim.now).Ready && n.applied < required {
 			return fmt.Errorf("%s is ready at index %d; %d was committed %v ago", n.name, n.applied, required, ConfirmLimit)
 		}
-		if n.core.Standing(sim.now).Ready {
+		if n.core.Status(sim.now).Ready {
 			if n.applied < n.served {
 				return fmt.Errorf("%s is ready at index %d; its predecessor served index %d", n.name, n.applied, n.served)
 			}
@@ -334,8 +334,8 @@
 	}
 	view := sim.nodes[0].core.View()
 	for _, n := range sim.nodes {
-		s := n.core.Standing(sim.now)
-		behind := n.core.InForce(sim.commit)
+		s := n.core.Status(sim.now)
+		behind := n.core.Behind(sim.commit)
 		if !s.Ready || len(behind) > 0 || len(n.core.View().Live) != simNodes || n.core.View().Newer(view) {
 			return fmt.Errorf("%s after all faults ended: %+v, behind %v, view %v", n.name, s, behind, n.core.View())
 		}
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -198,7 +198,7 @@
 	defer h.mu.Unlock()
 	now := h.clock()
 	h.update(now)
-	h.core.Answered(now, sent, b)
+	h.core.ReceiveReply(now, sent, b)
 	h.after(now)
 }
 
@@ -221,7 +221,7 @@
 func (h *Heartbeats) after(now model.Instant) {
 	h.config.Leader.Learn(h.core.Leader())
 	h.report(now)
-	if h.core.Urgent() {
+	if h.core.NeedsImmediateRound() {
 		h.wake()
 	}
 }
--- a/internal/node/heartbeats_report.go
+++ b/internal/node/heartbeats_report.go
@@ -11,13 +11,13 @@
 
 // report logs and counts changes, under the lock.
 func (h *Heartbeats) report(now model.Instant) {
-	standing := h.core.Standing(now)
-	h.ageGauge.Update(standing.Age.Milliseconds())
+	standing := h.core.Status(now)
+	h.ageGauge.Update(standing.ConfirmationAge.Milliseconds())
 	if standing.Ready != h.wasReady {
 		h.logReady(standing)
 	}
-	lost := !standing.Ready && standing.Age > 0
-	if (lost || standing.Behind > stuckAfter) && h.config.Unconfirmed != nil {
+	lost := !standing.Ready && standing.ConfirmationAge > 0
+	if (lost || standing.BehindFor > stuckAfter) && h.config.Unconfirmed != nil {
 		h.config.Unconfirmed()
 	}
 	if view := h.core.View(); view.Newer(h.lastView) {
@@ -25,13 +25,13 @@
 		h.liveGauge.Update(int64(len(view.Live)))
 		h.config.Logger.WithFields(log.Fields{"term": view.Term, "version": view.Version, "live": names(view.Live)}).Info("members changed")
 	}
-	if broken := h.core.Check(now); int64(len(broken)) > h.brokenCount.Count() {
+	if broken := h.core.Violations(now); int64(len(broken)) > h.brokenCount.Count() {
 		h.brokenCount.Inc(int64(len(broken)) - h.brokenCount.Count())
 		h.config.Logger.WithField("broken", broken).Error("membership invariant broken")
 	}
 }
 
-func (h *Heartbeats) logReady(s membership.Standing) {
+func (h *Heartbeats) logReady(s membership.Status) {
 	h.wasReady = s.Ready
 	if s.Ready {
 		h.readyGauge.Update(1)
@@ -40,7 +40,7 @@
 	}
 	h.unready.Inc(1)
 	h.readyGauge.Update(0)
-	h.config.Logger.WithFields(log.Fields{"reason": s.Reason, "unheard": s.Unheard}).Warn("not ready")
+	h.config.Logger.WithFields(log.Fields{"reason": s.Reason, "unheard": s.Unresponsive}).Warn("not ready")
 }
 
 // names returns the sorted names of members.
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -41,7 +41,7 @@
 			_, err := learner.log.Propose(ctx, claim("a"))
 			is.NoErr(err)
 			eventually(t, "confirmed anew", s.all(func(p *process) bool {
-				return ready(p) && p.heartbeats.Standing().Age < time.Since(silenced)
+				return ready(p) && p.heartbeats.Standing().ConfirmationAge < time.Since(silenced)
 			}))
 			if probe == 0 {
 				s.network.silence()
--- a/internal/node/standing.go
+++ b/internal/node/standing.go
@@ -10,12 +10,12 @@
 )
 
 // Standing says whether this process may take requests, and why not.
-func (h *Heartbeats) Standing() membership.Standing {
+func (h *Heartbeats) Standing() membership.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	h.update(now)
-	return h.core.Standing(now)
+	return h.core.Status(now)
 }
 
 // Ready reports whether this process may take requests. A request that comes
@@ -44,7 +44,7 @@
 func (h *Heartbeats) Check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.Check(h.clock())
+	return h.core.Violations(h.clock())
 }
 
 // InForce returns the processes that are not known to have applied the index.
@@ -52,7 +52,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.update(h.clock())
-	return h.core.InForce(index)
+	return h.core.Behind(index)
 }
 
 // WaitInForce asks the processes that are behind until all have applied the
--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -27,7 +27,7 @@
 		Node:             string(b.From),
 		Incarnation:      b.Incarnation,
 		Sequence:         b.Sequence,
-		KnownIncarnation: b.Known,
+		KnownIncarnation: b.KnownIncarnation,
 		Applied:          b.Applied,
 		Ready:            b.Ready,
 		Leaving:          b.Leaving,
@@ -38,12 +38,12 @@
 		ViewVersion:      b.View.Version,
 	}
 	if b.Confirmed {
-		m.ConfirmedAgeMs = uint64(max(b.Age, 0)/time.Millisecond) + 1
+		m.ConfirmedAgeMs = uint64(max(b.ConfirmationAge, 0)/time.Millisecond) + 1
 	}
 	for _, live := range b.View.Live {
 		m.Members = append(m.Members, &nodepb.Member{Node: string(live.Node), Incarnation: live.Incarnation})
 	}
-	for _, name := range b.Doubts {
+	for _, name := range b.Suspects {
 		m.Doubts = append(m.Doubts, string(name))
 	}
 	for _, report := range b.WitnessReports {
@@ -66,27 +66,27 @@
 		return membership.Beat{}, errBadBeat
 	}
 	b := membership.Beat{
-		From:        model.NodeID(m.Node),
-		Incarnation: m.Incarnation,
-		Sequence:    m.Sequence,
-		Known:       m.KnownIncarnation,
-		Applied:     m.Applied,
-		Ready:       m.Ready,
-		Leaving:     m.Leaving,
-		Leader:      model.NodeID(m.Leader),
-		Term:        m.Term,
-		Commit:      m.Commit,
-		Confirmed:   m.ConfirmedAgeMs > 0,
-		View:        membership.View{Term: m.ViewTerm, Version: m.ViewVersion},
+		From:             model.NodeID(m.Node),
+		Incarnation:      m.Incarnation,
+		Sequence:         m.Sequence,
+		KnownIncarnation: m.KnownIncarnation,
+		Applied:          m.Applied,
+		Ready:            m.Ready,
+		Leaving:          m.Leaving,
+		Leader:           model.NodeID(m.Leader),
+		Term:             m.Term,
+		Commit:           m.Commit,
+		Confirmed:        m.ConfirmedAgeMs > 0,
+		View:             membership.View{Term: m.ViewTerm, Version: m.ViewVersion},
 	}
 	if b.Confirmed {
-		b.Age = age(m.ConfirmedAgeMs - 1)
+		b.ConfirmationAge = age(m.ConfirmedAgeMs - 1)
 	}
 	for _, live := range m.Members {
 		b.View.Live = append(b.View.Live, membership.Member{Node: model.NodeID(live.Node), Incarnation: live.Incarnation})
 	}
 	for _, name := range m.Doubts {
-		b.Doubts = append(b.Doubts, model.NodeID(name))
+		b.Suspects = append(b.Suspects, model.NodeID(name))
 	}
 	for _, report := range m.WitnessReports {
 		b.WitnessReports = append(b.WitnessReports, membership.WitnessReport{
