--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -100,7 +100,7 @@
 	for _, detail := range a.heartbeats.Check() {
 		all = append(all, state.Violation{Invariant: "membership", Detail: detail})
 	}
-	for _, detail := range a.registry.Check() {
+	for _, detail := range a.registry.Violations() {
 		all = append(all, state.Violation{Invariant: "registry", Detail: detail})
 	}
 	if a.controller != nil {
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -29,18 +29,18 @@
 
 // Announce registers or renews an instance.
 func (a announcer) Announce(u model.Upstream, now model.Instant) (registry.Lease, error) {
-	defer a.notifyIfChanged(a.Changed())
+	defer a.notifyIfChanged(a.ChangeVersion())
 	return a.Registry.Announce(u, now)
 }
 
 // Withdraw withdraws an instance's announcement.
 func (a announcer) Withdraw(s model.ServiceID, i model.InstanceID, incarnation uint64, now model.Instant) error {
-	defer a.notifyIfChanged(a.Changed())
+	defer a.notifyIfChanged(a.ChangeVersion())
 	return a.Registry.Withdraw(s, i, incarnation, now)
 }
 
 func (a announcer) notifyIfChanged(changed uint64) {
-	if a.Changed() != changed {
+	if a.ChangeVersion() != changed {
 		a.spreader.Nudge()
 	}
 }
--- a/internal/node/spreader.go
+++ b/internal/node/spreader.go
@@ -120,7 +120,7 @@
 // hold returns how long renewals are held back. At a large site a delivery
 // costs many times what the renewals in it do, and leases are long.
 func (s *Spreader) hold() time.Duration {
-	return max(s.renewal, min(s.config.Registry.RenewTime()/renewalShare, longRenewal))
+	return max(s.renewal, min(s.config.Registry.RenewInterval()/renewalShare, longRenewal))
 }
 
 // watch wakes the routes: at once for a change, together for renewals. A route
@@ -139,7 +139,7 @@
 			return
 		}
 		now := time.Now()
-		nextVersion, nextChanged := s.config.Registry.Version(), s.config.Registry.Changed()
+		nextVersion, nextChanged := s.config.Registry.Version(), s.config.Registry.ChangeVersion()
 		if nextChanged == changed && (nextVersion == version || now.Sub(told) < s.hold()) {
 			continue
 		}
@@ -187,7 +187,7 @@
 		r.notBefore = time.Now().Add(r.pause)
 		return r.pause
 	}
-	r.since, r.pause, r.pushedAt = batch.Upto, 0, time.Now()
+	r.since, r.pause, r.pushedAt = batch.UpToVersion, 0, time.Now()
 	s.pushed.Inc(1)
 	return minSpreadPause
 }
@@ -278,8 +278,8 @@
 // digest folds the registry's digest into one number; 0 stands for none.
 func (s *Spreader) digest() uint64 {
 	d := s.config.Registry.Digest()
-	buffer := make([]byte, 0, 8*len(d.Parts))
-	for _, part := range d.Parts {
+	buffer := make([]byte, 0, 8*len(d.BucketHashes))
+	for _, part := range d.BucketHashes {
 		buffer = binary.LittleEndian.AppendUint64(buffer, part)
 	}
 	return max(xxhash.Sum64(buffer), 1)
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -15,15 +15,15 @@
 	_ struct{} `cbor:",toarray"`
 	// Count is the number of live records.
 	Count int
-	// Parts holds, for each bucket, the XOR of its content hashes.
-	Parts [Buckets]uint64
+	// BucketHashes holds, for each bucket, the XOR of its content hashes.
+	BucketHashes [Buckets]uint64
 }
 
 // Digest returns the digest of the live records.
 func (r *Registry) Digest() Digest {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return Digest{Count: r.live, Parts: r.buckets}
+	return Digest{Count: r.live, BucketHashes: r.buckets}
 }
 
 // Difference returns the records of all buckets that differ from a peer's
@@ -34,14 +34,14 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var batch Batch
-	if peer.Parts == r.buckets {
+	if peer.BucketHashes == r.buckets {
 		return batch
 	}
 	for _, e := range r.entries {
 		if len(batch.Records) >= limit {
 			break
 		}
-		if peer.Parts[e.bucket] != r.buckets[e.bucket] {
+		if peer.BucketHashes[e.bucket] != r.buckets[e.bucket] {
 			batch.Records = append(batch.Records, newRecord(e, now))
 		}
 	}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -83,9 +83,9 @@
 
 // Stats holds counts of a registry.
 type Stats struct {
-	// Live counts the live records, Gone the tombstones.
-	Live int
-	Gone int
+	// Live counts the live records, Tombstones those kept for their order.
+	Live       int
+	Tombstones int
 	// Lapsed counts the leases that expired without a renewal since the start.
 	Lapsed uint64
 }
@@ -94,12 +94,12 @@
 func (r *Registry) Stats() Stats {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return Stats{Live: r.live, Gone: r.tombstones.Len(), Lapsed: r.lapsed}
+	return Stats{Live: r.live, Tombstones: r.tombstones.Len(), Lapsed: r.lapsed}
 }
 
-// Check returns the current violations of invariants; empty unless the program
+// Violations returns the current violations of invariants; empty unless the program
 // has a bug.
-func (r *Registry) Check() []string {
+func (r *Registry) Violations() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var violations []string
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -39,7 +39,7 @@
 	_, err = r.Announce(announced("a", 2, 1), 50)
 	is.NoErr(err)
 	is.Equal(len(r.Serving("drafts")), 1)
-	is.Equal(r.Check(), nil)
+	is.Equal(r.Violations(), nil)
 }
 
 // An unresponsive instance must not stay listed because copies of its last
@@ -72,11 +72,11 @@
 	is.Equal(b.Merge(first, 0).Records, 1)
 	_, err = a.Announce(announced("a", 1, 2), 3000)
 	is.NoErr(err)
-	second := a.Deltas(first.Upto, 100, 3000)
+	second := a.Deltas(first.UpToVersion, 100, 3000)
 	is.Equal(len(second.Records), 0)
 	is.Equal(b.Merge(second, 3000).Renewals, 1)
 	is.Equal(a.Digest(), b.Digest())
-	is.True(a.Deltas(second.Upto, 100, 3000).Empty())
+	is.True(a.Deltas(second.UpToVersion, 100, 3000).Empty())
 }
 
 // Behind a balancer an instance renews at another entry VM each time. Its first
@@ -96,7 +96,7 @@
 	renewal := b.Deltas(0, 10, 1000)
 	is.Equal(len(renewal.Records), 0)
 	is.Equal(len(renewal.Renewals), 1)
-	is.Equal(b.Changed(), uint64(0)) // no immediate push needed
+	is.Equal(b.ChangeVersion(), uint64(0)) // no immediate push needed
 	before, _ := a.Get(u.Service, u.Instance)
 	is.Equal(a.Merge(renewal, 1000).Renewals, 1)
 	after, _ := a.Get(u.Service, u.Instance)
@@ -104,5 +104,5 @@
 	u.Sequence, u.Leaving = 3, true
 	_, err = b.Announce(u, 2000)
 	is.NoErr(err)
-	is.Equal(len(b.Deltas(renewal.Upto, 10, 2000).Records), 1) // a change is sent as a record
+	is.Equal(len(b.Deltas(renewal.UpToVersion, 10, 2000).Records), 1) // a change is sent as a record
 }
--- a/internal/registry/spread.go
+++ b/internal/registry/spread.go
@@ -6,16 +6,16 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Merged counts the effects of a batch.
-type Merged struct {
+// MergeResult counts the effects of a batch.
+type MergeResult struct {
 	// Records and Renewals are those that took effect.
 	Records  int
 	Renewals int
 	// Ignored are those already known, older than what is known, or with
 	// unknown content.
 	Ignored int
-	// Refused are those that were invalid or exceeded a bound of the registry.
-	Refused int
+	// Rejected are those that were invalid or exceeded a bound of the registry.
+	Rejected int
 }
 
 // publish assigns the next version to an entry that was announced here. If its
@@ -49,25 +49,24 @@
 	return r.version
 }
 
-// Changed returns the version of the last announcement at this VM that was not
+// ChangeVersion returns the version of the last announcement at this VM that was not
 // just a renewal.
-func (r *Registry) Changed() uint64 {
+func (r *Registry) ChangeVersion() uint64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.changeVersion
 }
 
-// RenewTime returns the current renewal interval, the time between two
-// announcements of an instance.
-func (r *Registry) RenewTime() time.Duration {
+// RenewInterval returns the current time between two announcements of an instance.
+func (r *Registry) RenewInterval() time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.renewInterval()
 }
 
 // Deltas returns the entries announced at this VM after the version since, oldest
-// first and at most limit. The peer acknowledges Upto, from which the next call
-// continues, so a lost batch is sent again.
+// first and at most limit. The peer acknowledges UpToVersion, from which the next
+// call continues, so a lost batch is sent again.
 func (r *Registry) Deltas(since uint64, limit int, now model.Instant) Batch {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -80,10 +79,10 @@
 	} else {
 		first = first.Next()
 	}
-	batch := Batch{Upto: since}
+	batch := Batch{UpToVersion: since}
 	for at := first; at != nil && limit > 0; at = at.Next() {
 		e := at.Value.(*entry)
-		batch.Upto = e.announceVersion
+		batch.UpToVersion = e.announceVersion
 		if e.changeVersion > since || !e.live {
 			batch.Records = append(batch.Records, newRecord(e, now))
 		} else {
@@ -97,10 +96,10 @@
 }
 
 // Merge applies a batch from a peer.
-func (r *Registry) Merge(b Batch, now model.Instant) Merged {
+func (r *Registry) Merge(b Batch, now model.Instant) MergeResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var m Merged
+	var m MergeResult
 	for _, record := range b.Records {
 		r.mergeRecord(record, now, &m)
 	}
@@ -114,10 +113,10 @@
 	return m
 }
 
-func (r *Registry) mergeRecord(record Record, now model.Instant, m *Merged) {
+func (r *Registry) mergeRecord(record Record, now model.Instant, m *MergeResult) {
 	u := record.upstream()
 	if isInvalid(u, record.Withdrawn) {
-		m.Refused++
+		m.Rejected++
 		return
 	}
 	u.Expires = now.Add(subtractDrift(record.RemainingMS))
@@ -127,7 +126,7 @@
 	e := r.entries[instanceKey{u.Service, u.Instance}]
 	alive := u.Expires > now
 	if alive && (e == nil || !e.live) && r.isFull(u.Service) {
-		m.Refused++
+		m.Rejected++
 		return
 	}
 	if e == nil {
--- a/internal/registry/spread_test.go
+++ b/internal/registry/spread_test.go
@@ -126,7 +126,7 @@
 	b := sim.registries[from].Deltas(sim.acked[from][to], rapid.IntRange(1, 3).Draw(t, "limit"), sim.at(from))
 	if rapid.Bool().Draw(t, "arrives") {
 		sim.inFlight = append(sim.inFlight, message{to, b})
-		sim.acked[from][to] = b.Upto
+		sim.acked[from][to] = b.UpToVersion
 	}
 }
 
@@ -160,7 +160,7 @@
 // Check verifies the invariants after each step.
 func (sim *simulation) Check(t *rapid.T) {
 	for vm, r := range sim.registries {
-		if violations := r.Check(); len(violations) > 0 {
+		if violations := r.Violations(); len(violations) > 0 {
 			t.Fatal(violations)
 		}
 		for _, u := range r.Serving("drafts") {
@@ -266,7 +266,7 @@
 				_, _ = r.Announce(announced(fmt.Sprint("region/worker-", n%size), 1_764_700_000_000, sequence), 1000)
 				if n%10 == 9 {
 					batch := r.Deltas(since, 10, 1000)
-					since = batch.Upto
+					since = batch.UpToVersion
 					data, _ := batch.Encode()
 					bytes += len(data)
 					decoded, _ := DecodeBatch(data)
@@ -313,7 +313,7 @@
 		if d, err := DecodeDigest(data); err == nil {
 			r.Difference(d, 10, 0)
 		}
-		if violations := r.Check(); violations != nil {
+		if violations := r.Violations(); violations != nil {
 			t.Fatal(violations)
 		}
 	})
