--- a/cmd/comfreyloom/member.go
+++ b/cmd/comfreyloom/member.go
@@ -51,7 +51,7 @@
 	}()
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
-	go m.Follow(ctx, path, changed)
+	go m.WatchSettings(ctx, path, changed)
 	err = m.Run(ctx)
 	if err != nil {
 		logger.WithError(err).Error("ended")
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -42,9 +42,9 @@
 	leaseShare = 0.85
 )
 
-// Outside holds the handlers and clients for communication with everything but
-// the site's own processes.
-type Outside struct {
+// Dependencies holds the handlers and clients for communication with everything
+// but the site's own processes.
+type Dependencies struct {
 	// Callers handles the requests of callers at an entry VM, Operators those of
 	// operators and workers at a core VM.
 	Callers   func(*Member) http.Handler
@@ -63,23 +63,23 @@
 	Client  *control.Client
 	Greeter *control.Greeter
 
-	directory  *control.Directory
-	nodes      *node.Client
-	nodeServer *node.Server
-	replica    *replica.Replica
-	machine    *workload.Machine
-	dispatcher *dispatch.Dispatcher
-	external   Outside
-	sockets    sockets
-	stopping   stopFlag
+	directory    *control.Directory
+	nodes        *node.Client
+	nodeServer   *node.Server
+	replica      *replica.Replica
+	machine      *workload.Machine
+	dispatcher   *dispatch.Dispatcher
+	dependencies Dependencies
+	sockets      sockets
+	stopping     stopFlag
 }
 
 // sockets are the open listeners; those that are nil are not served.
 type sockets struct{ callers, readiness, operators, nodes, metrics net.Listener }
 
 // New opens the sockets and the data folder. Nothing is served before Run.
-func New(s *settings.Member, o Outside, logger log.Interface, r metrics.Registry) (*Member, error) {
-	m := &Member{Settings: s, Logger: logger, Metrics: r, external: o}
+func New(s *settings.Member, d Dependencies, logger log.Interface, r metrics.Registry) (*Member, error) {
+	m := &Member{Settings: s, Logger: logger, Metrics: r, dependencies: d}
 	self := m.self()
 	m.directory = control.NewDirectory(m.seeds(s), steady.Now)
 	m.nodes = node.NewClient(node.ClientConfig{Self: self, Site: siteName, NamedByAddress: true, Metrics: r})
@@ -125,7 +125,7 @@
 	controlled := controlLog{replica: opened, wallMS: wallMS}
 	m.dispatcher = dispatch.New(dispatch.Config{
 		Self: string(m.Settings.Node.Name), Log: controlled, Machine: m.machine,
-		Workers: m.external.Workers, Fleet: m.external.Fleet, Advisor: m.external.Advisor,
+		Workers: m.dependencies.Workers, Fleet: m.dependencies.Fleet, Advisor: m.dependencies.Advisor,
 		Lease:    time.Duration(leaseShare * float64(m.Settings.Bounds.LeaseMax)),
 		LeaseMax: m.Settings.Bounds.LeaseMax, TakeOverDelay: m.Settings.Bounds.FleetTakeOver,
 		FleetRate: m.Settings.FleetRate,
--- a/internal/member/patience.go
+++ b/internal/member/patience.go
@@ -17,9 +17,9 @@
 	operatorTimeout = 950 * time.Millisecond
 )
 
-// Patience returns the timeout for the request of a caller with the given
+// RequestTimeout returns the timeout for the request of a caller with the given
 // deadline.
-func (m *Member) Patience(deadline time.Duration) time.Duration {
+func (m *Member) RequestTimeout(deadline time.Duration) time.Duration {
 	return min(maxRequestTimeout, time.Duration(requestTimeoutShare*float64(deadline)))
 }
 
@@ -27,5 +27,5 @@
 // was not run.
 func (m *Member) RetryAfter() time.Duration { return retryAfter }
 
-// OperatorPatience returns the timeout for the request of an operator or worker.
-func (m *Member) OperatorPatience() time.Duration { return operatorTimeout }
+// OperatorTimeout returns the timeout for the request of an operator or worker.
+func (m *Member) OperatorTimeout() time.Duration { return operatorTimeout }
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -13,9 +13,10 @@
 // change without a signal.
 const settingsPoll = time.Second
 
-// Follow reads the settings file at every signal and every settingsPoll. When it
-// has changed, Follow applies the setting that may change at run time: the seeds.
-func (m *Member) Follow(ctx context.Context, path string, signal <-chan os.Signal) {
+// WatchSettings reads the settings file at every signal and every settingsPoll.
+// When it has changed, the seeds are applied; no other setting may change at run
+// time.
+func (m *Member) WatchSettings(ctx context.Context, path string, signal <-chan os.Signal) {
 	var last []byte
 	ticker := time.NewTicker(settingsPoll)
 	defer ticker.Stop()
--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -93,12 +93,12 @@
 		})
 	}
 	if l := m.sockets.callers; l != nil {
-		s := boundedServer(m.external.Callers(m))
+		s := boundedServer(m.dependencies.Callers(m))
 		drained = append(drained, s)
 		serve(l, s)
 	}
 	if l := m.sockets.operators; l != nil {
-		s := boundedServer(m.external.Operators(m))
+		s := boundedServer(m.dependencies.Operators(m))
 		drained = append(drained, s)
 		serve(l, s)
 	}
