--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -77,8 +77,8 @@
 
 // Batch is one message of deltas, or the reply to a digest.
 type Batch struct {
-	// UpToVersion is the sender's version that the peer has after applying the batch;
-	// the peer's reply acknowledges it. It is 0 in the reply to a digest.
+	// UpToVersion is the sender's version that the peer has after applying the
+	// batch; the peer's reply acknowledges it. It is 0 in the reply to a digest.
 	UpToVersion uint64    `cbor:"1,keyasint,omitempty"`
 	Records     []Record  `cbor:"2,keyasint,omitempty"`
 	Renewals    []Renewal `cbor:"3,keyasint,omitempty"`
