--- a/internal/membership/world_test.go
+++ b/internal/membership/world_test.go
@@ -316,7 +316,7 @@
 }
 
 // checkRecovery ends all faults and expects every process to be ready and up to
-// date, with the same view.
+// date, with all processes live in its view and no view newer than the first's.
 func (sim *simulation) checkRecovery() error {
 	sim.cut, sim.faultFree = [simNodes][simNodes]bool{}, true
 	for i, n := range sim.nodes {
