--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -16,32 +16,34 @@
 )
 
 const (
-	// attemptTimeout bounds one try at one process: well above what a commit
-	// takes, and below the time in which a silent leader is replaced, so that
-	// whoever waited for the old one asks the new one at once.
+	// attemptTimeout bounds one attempt at one process. It is well above the
+	// duration of a commit, and below the time in which an unresponsive leader
+	// is replaced, so that a request that waited for the old leader goes to the
+	// new one at once.
 	attemptTimeout = 350 * time.Millisecond
-	// retryPause is the pause after the first try that failed; it doubles up
-	// to maxRetryPause, so that an election is not flooded with questions.
+	// retryPause is the pause after the first failed attempt. It doubles up to
+	// maxRetryPause, so that the core VMs are not flooded with requests during
+	// an election.
 	retryPause    = 5 * time.Millisecond
 	maxRetryPause = 80 * time.Millisecond
 )
 
-// ErrNotRun says that a request had and will have no effect.
+// ErrNotRun reports that a request had and will have no effect.
 var ErrNotRun = errors.New("control: the request was not run")
 
-// ErrUnknown says that a request may or may not have an effect.
+// ErrUnknown reports that a request may or may not take effect.
 var ErrUnknown = errors.New("control: the request may have run")
 
-// Here answers a request in this process, on a core VM.
+// Here handles requests of this process itself; only core VMs have one.
 type Here interface {
 	Ask(ctx context.Context, r *controlpb.Request) (*controlpb.Reply, error)
 	Hello(ctx context.Context, r *controlpb.HelloRequest) (*controlpb.HelloReply, error)
 }
 
-// Client asks the leader. It is safe for concurrent use.
+// Client sends requests to the leader. It is safe for concurrent use.
 type Client struct {
 	self      model.NodeID
-	here      Here
+	local     Here
 	nodes     *node.Client
 	directory *Directory
 	retries   metrics.Counter
@@ -53,28 +55,28 @@
 
 // stub is the generated client over one connection.
 type stub struct {
-	caller node.Caller
-	calls  controlpb.Control
+	conn   node.Caller
+	client controlpb.Control
 }
 
-// NewClient returns a client. Here is nil on an entry VM.
-func NewClient(self model.NodeID, here Here, nodes *node.Client, d *Directory, r metrics.Registry) *Client {
+// NewClient returns a client. The local handler is nil on an entry VM.
+func NewClient(self model.NodeID, local Here, nodes *node.Client, d *Directory, r metrics.Registry) *Client {
 	return &Client{
-		self: self, here: here, nodes: nodes, directory: d, stubs: map[model.NodeID]stub{},
+		self: self, local: local, nodes: nodes, directory: d, stubs: map[model.NodeID]stub{},
 		retries: metrics.GetOrRegisterCounter("control.retries", r),
 		unknown: metrics.GetOrRegisterCounter("control.unknown", r),
 	}
 }
 
-// Ask brings a request to the leader and returns its answer. It tries one core
-// VM after another until ctx ends; then the error is ErrNotRun if no try can
+// Ask sends a request to the leader and returns its reply. It tries one core VM
+// after another until ctx ends. The error is then ErrNotRun if no attempt can
 // have had an effect, and ErrUnknown otherwise.
 func (c *Client) Ask(ctx context.Context, r *controlpb.Request) (*controlpb.Reply, error) {
 	failure := ErrNotRun
-	asked, turn := model.NodeID(""), 0
+	target, turn := model.NodeID(""), 0
 	for pause := retryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
-		asked, turn = c.next(asked, turn)
-		reply, err := c.try(ctx, asked, r)
+		target, turn = c.nextTarget(target, turn)
+		reply, err := c.attempt(ctx, target, r)
 		if err == nil && reply.Outcome == controlpb.Outcome_OUTCOME_DONE {
 			return reply, nil
 		}
@@ -82,7 +84,7 @@
 			failure = ErrUnknown
 		}
 		c.retries.Inc(1)
-		if err != nil || c.mustWait(asked, model.NodeID(reply.Leader)) {
+		if err != nil || c.shouldPause(target, model.NodeID(reply.Leader)) {
 			steady.Pause(ctx, pause)
 		}
 	}
@@ -92,15 +94,16 @@
 	return nil, failure
 }
 
-// mustWait says whether asking on at once is of no use.
-func (c *Client) mustWait(asked, leader model.NodeID) bool {
-	return leader == "" || leader == asked || c.directory.IsSilent(leader)
+// shouldPause reports whether there is no other leader to try at once: the
+// target named none, named itself, or named one that is unresponsive.
+func (c *Client) shouldPause(target, leader model.NodeID) bool {
+	return leader == "" || leader == target || c.directory.IsSilent(leader)
 }
 
-// next chooses whom to ask: the leader as last heard, else one core VM after
-// the other. A leader that was asked last is passed over once.
-func (c *Client) next(asked model.NodeID, turn int) (model.NodeID, int) {
-	if leader, _ := c.directory.Leader.Get(); leader != "" && leader != asked && !c.directory.IsSilent(leader) {
+// nextTarget returns the process for the next attempt: the last known leader,
+// else the core VMs in turn. A leader that was the last target is skipped once.
+func (c *Client) nextTarget(last model.NodeID, turn int) (model.NodeID, int) {
+	if leader, _ := c.directory.Leader.Get(); leader != "" && leader != last && !c.directory.IsSilent(leader) {
 		return leader, turn
 	}
 	cores := slices.DeleteFunc(c.directory.Cores(), c.directory.IsSilent)
@@ -113,14 +116,15 @@
 	return cores[turn%len(cores)], turn + 1
 }
 
-func (c *Client) try(ctx context.Context, to model.NodeID, r *controlpb.Request) (*controlpb.Reply, error) {
+// attempt sends a request to one process, once.
+func (c *Client) attempt(ctx context.Context, to model.NodeID, r *controlpb.Request) (*controlpb.Reply, error) {
 	outer := ctx
 	ctx, cancel := context.WithTimeout(outer, attemptTimeout)
 	defer cancel()
-	if to == c.self && c.here != nil {
-		reply, err := c.here.Ask(ctx, r)
+	if to == c.self && c.local != nil {
+		reply, err := c.local.Ask(ctx, r)
 		if err == nil {
-			c.hear(to, reply.Leader, reply.Term)
+			c.updateLeader(to, reply.Leader, reply.Term)
 		}
 		return reply, err
 	}
@@ -128,38 +132,39 @@
 	if err != nil {
 		return &controlpb.Reply{Outcome: controlpb.Outcome_OUTCOME_NOT_RUN}, nil
 	}
-	reply, err := s.calls.Ask(ctx, r)
+	reply, err := s.client.Ask(ctx, r)
 	if err != nil {
-		if outer.Err() == nil { // a caller that left says nothing about the leader
+		if outer.Err() == nil { // a request that was given up here is no sign that the target failed
 			c.directory.Leader.Doubt(to)
 			c.directory.DidNotAnswer(to)
-			s.caller.Failed(err)
+			s.conn.Failed(err)
 		}
 		return nil, err
 	}
-	c.hear(to, reply.Leader, reply.Term)
+	c.updateLeader(to, reply.Leader, reply.Term)
 	return reply, nil
 }
 
-// hear takes in who leads as a process that was asked says.
-func (c *Client) hear(asked model.NodeID, leader string, term uint64) {
-	if model.NodeID(leader) != asked {
-		c.directory.Leader.Doubt(asked)
+// updateLeader records the leader that a reply of the target names.
+func (c *Client) updateLeader(target model.NodeID, leader string, term uint64) {
+	if model.NodeID(leader) != target {
+		c.directory.Leader.Doubt(target)
 	}
 	c.directory.Leader.Learn(model.NodeID(leader), term)
 }
 
+// stub returns the generated client over the current connection to a process.
 func (c *Client) stub(to model.NodeID) (stub, error) {
-	caller, err := c.nodes.Caller(to)
+	conn, err := c.nodes.Caller(to)
 	if err != nil {
 		return stub{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s, ok := c.stubs[to]; ok && s.caller == caller {
+	if s, ok := c.stubs[to]; ok && s.conn == conn {
 		return s, nil
 	}
-	s := stub{caller: caller, calls: controlpb.NewControlProtobufClient(caller.URL(), caller)}
+	s := stub{conn: conn, client: controlpb.NewControlProtobufClient(conn.URL(), conn)}
 	c.stubs[to] = s
 	return s, nil
 }
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -9,29 +9,30 @@
 	"github.com/comfreyloom/comfreyloom/internal/node"
 )
 
-// forgetCore is how long a core VM is remembered that nobody has heard of: a
-// VM that was cut off for a minute is still asked, one that was removed for
-// good is not asked for ever.
-const forgetCore = 2 * time.Minute
+// forgetCoreAfter is how long a core VM is remembered after the last contact. A
+// VM that was cut off for a minute is still tried; one that was removed for good
+// is dropped in the end.
+const forgetCoreAfter = 2 * time.Minute
 
-// Directory is what one process knows of the core VMs. It starts from the
-// seeds, which may name VMs that are down or gone. It is safe for concurrent use.
+// Directory holds the core VMs known to one process. It starts from the seeds,
+// which may name VMs that are down or removed. It is safe for concurrent use.
 type Directory struct {
 	now    func() time.Duration
 	Leader node.LeaderHint
 
 	mu    sync.Mutex
 	seeds []model.NodeID
-	heard map[model.NodeID]time.Duration
-	// silent holds until when a core VM that did not answer is not asked.
-	silent map[model.NodeID]time.Duration
+	// lastContact holds when each core VM was last in contact or first named.
+	lastContact map[model.NodeID]time.Duration
+	// unresponsiveUntil holds until when a core VM that did not reply is skipped.
+	unresponsiveUntil map[model.NodeID]time.Duration
 }
 
-// NewDirectory returns a directory that knows the seeds. The clock is the time
-// since some instant.
+// NewDirectory returns a directory of the seeds. The clock returns the time
+// since a fixed instant.
 func NewDirectory(seeds []model.NodeID, now func() time.Duration) *Directory {
-	return &Directory{now: now, seeds: slices.Clone(seeds), heard: map[model.NodeID]time.Duration{},
-		silent: map[model.NodeID]time.Duration{}}
+	return &Directory{now: now, seeds: slices.Clone(seeds), lastContact: map[model.NodeID]time.Duration{},
+		unresponsiveUntil: map[model.NodeID]time.Duration{}}
 }
 
 // SetSeeds replaces the seeds after the settings changed.
@@ -41,52 +42,53 @@
 	d.seeds = slices.Clone(seeds)
 }
 
-// Heard notes that a core VM is there.
+// Heard records that a core VM was in contact.
 func (d *Directory) Heard(core model.NodeID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard[core] = d.now()
+	d.lastContact[core] = d.now()
 }
 
-// Learn notes core VMs that another process named. It does not make a known
-// one younger: two processes would otherwise keep a dead one alive.
+// Learn adds core VMs that another process named. It does not renew the last
+// contact of a known one: two processes could otherwise keep a dead VM in each
+// other's directory for ever.
 func (d *Directory) Learn(cores []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range cores {
-		if _, known := d.heard[model.NodeID(name)]; !known && name != "" {
-			d.heard[model.NodeID(name)] = d.now()
+		if _, known := d.lastContact[model.NodeID(name)]; !known && name != "" {
+			d.lastContact[model.NodeID(name)] = d.now()
 		}
 	}
 }
 
-// silentFor is how long a core VM that did not answer is left alone. Others go
-// on naming it as the leader until they elect another; each request that goes
-// there waits for nothing, and its outcome is unknown.
-const silentFor = 250 * time.Millisecond
+// unresponsiveFor is how long a core VM that did not reply is skipped. The
+// others name it as the leader until they elect another; each request sent to
+// it would wait for nothing and end with an unknown outcome.
+const unresponsiveFor = 250 * time.Millisecond
 
-// DidNotAnswer notes that a core VM gave no answer in time.
+// DidNotAnswer records that a core VM gave no reply in time.
 func (d *Directory) DidNotAnswer(core model.NodeID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent[core] = d.now() + silentFor
+	d.unresponsiveUntil[core] = d.now() + unresponsiveFor
 }
 
-// IsSilent says whether a core VM did not answer lately.
+// IsSilent reports whether a core VM lately gave no reply.
 func (d *Directory) IsSilent(core model.NodeID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.now() < d.silent[core]
+	return d.now() < d.unresponsiveUntil[core]
 }
 
-// Cores returns the seeds and all other core VMs that are remembered, sorted.
+// Cores returns the seeds and all other remembered core VMs, sorted.
 func (d *Directory) Cores() []model.NodeID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := slices.Clone(d.seeds)
-	for core, at := range d.heard {
-		if d.now()-at > forgetCore {
-			delete(d.heard, core)
+	for core, at := range d.lastContact {
+		if d.now()-at > forgetCoreAfter {
+			delete(d.lastContact, core)
 			continue
 		}
 		all = append(all, core)
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,8 +1,9 @@
-// Package control is how requests of callers, operators and workers reach the
+// Package control carries requests of callers, operators and workers to the
 // leader, from whichever VM they arrive at.
 //
-// Directory knows the core VMs, beginning with the seeds of the settings, and
-// who leads. Client asks the leader and tries again elsewhere; all requests
-// are idempotent, so that a lost answer has no second effect. Server answers
-// on a core VM: the leader by its Desk, the others by naming the leader.
+// Directory holds the known core VMs, beginning with the seeds of the settings,
+// and the leader. Client sends requests to the leader and retries at other core
+// VMs; all requests are idempotent, so that a lost reply has no second effect.
+// Server handles the calls on a core VM: the leader processes a request, the
+// others name the leader.
 package control
--- a/internal/control/encode.go
+++ b/internal/control/encode.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// EncodeReport returns the bytes of a report for a call between VMs.
+// EncodeReport encodes a report for a call between VMs.
 func EncodeReport(r *Report) ([]byte, error) { return cbor.Marshal(r) }
 
 // DecodeReport is the inverse of EncodeReport.
@@ -16,7 +16,7 @@
 	return r, err
 }
 
-// EncodeWave returns the bytes of a wave for a call between VMs.
+// EncodeWave encodes a wave for a call between VMs.
 func EncodeWave(w *workload.Wave) ([]byte, error) { return cbor.Marshal(w) }
 
 // DecodeWave is the inverse of EncodeWave.
--- a/internal/control/desk.go
+++ b/internal/control/handlers.go
@@ -7,23 +7,23 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Report is what a worker says of itself.
+// Report is a worker's report about itself.
 type Report struct {
 	_      struct{} `cbor:",toarray"`
 	Worker workload.Worker
-	// Sequence grows with each report of one incarnation.
+	// Sequence increases with each report of one incarnation.
 	Sequence uint64
-	// ClockMS is the worker's steady clock.
+	// ClockMS is the worker's monotonic clock.
 	ClockMS int64
-	// RemainingMS is how long a draining worker stays at least.
+	// RemainingMS is the least time for which a draining worker stays.
 	RemainingMS int64
-	// ColdMS is how much longer the worker is slow after its start.
+	// ColdMS is for how much longer the worker is slow after its start.
 	ColdMS int64
 }
 
-// submit accepts a job. The answer comes once it is durable at a quorum.
-func (s *Server) submit(ctx context.Context, ask *controlpb.SubmitJob, reply *controlpb.Reply) error {
-	name := ask.GetJob()
+// submit accepts a job. It returns once the job is durable at a quorum.
+func (s *Server) submit(ctx context.Context, request *controlpb.SubmitJob, reply *controlpb.Reply) error {
+	name := request.GetJob()
 	var queue workload.QueueID
 	s.machine.Read(func(t *workload.Tables) {
 		if job := t.Jobs[workload.JobID(name.GetId())]; job != nil {
@@ -35,7 +35,7 @@
 	if reply.Finding != controlpb.Finding_FINDING_OK || queue.Prefix == "" {
 		return nil
 	}
-	spec, err := workload.DecodeSpec(ask.GetSpec())
+	spec, err := workload.DecodeSpec(request.GetSpec())
 	if err != nil {
 		reply.Finding = controlpb.Finding_FINDING_INVALID
 		return nil
@@ -44,8 +44,8 @@
 	return s.log.Propose(ctx, &workload.Command{Submit: []workload.Submit{accepted}})
 }
 
-// route finds the queue that a path leads to; what follows the prefix must be
-// the job's ID.
+// route returns the queue for a host and path. The part of the path behind the
+// queue's prefix must be the job's ID.
 func route(t *workload.Tables, host, path, id string) (workload.QueueID, controlpb.Finding) {
 	if t.Config == nil {
 		return workload.QueueID{}, controlpb.Finding_FINDING_NO_CONFIG
@@ -57,9 +57,10 @@
 	return q.ID, controlpb.Finding_FINDING_OK
 }
 
-// known returns a job that was accepted under a host and path. It does not ask
-// the configuration: jobs of a queue that was removed are still answered for.
-func known(t *workload.Tables, name *controlpb.JobName) *workload.Job {
+// findJob returns the job that was accepted under a host and path, or nil. It
+// does not look at the configuration, so that jobs of a removed queue are still
+// found.
+func findJob(t *workload.Tables, name *controlpb.JobName) *workload.Job {
 	job := t.Jobs[workload.JobID(name.GetId())]
 	if job == nil || job.Queue.Host != name.GetHost() || job.Queue.Prefix+string(job.ID) != name.GetPath() {
 		return nil
@@ -67,39 +68,44 @@
 	return job
 }
 
+// cancel cancels a job unless it has ended. The call may be repeated.
 func (s *Server) cancel(ctx context.Context, name *controlpb.JobName, reply *controlpb.Reply) error {
-	live := false
+	cancellable := false
 	s.machine.Read(func(t *workload.Tables) {
-		if job := known(t, name); job != nil {
-			reply.Finding, live = controlpb.Finding_FINDING_OK, job.MayCancel()
+		if job := findJob(t, name); job != nil {
+			reply.Finding, cancellable = controlpb.Finding_FINDING_OK, job.MayCancel()
 			return
 		}
-		reply.Finding = missing(t)
+		reply.Finding = notFoundFinding(t)
 	})
-	if !live {
+	if !cancellable {
 		return nil
 	}
 	return s.log.Propose(ctx, &workload.Command{Cancel: []workload.JobID{workload.JobID(name.GetId())}})
 }
 
+// state reads the state of a job.
 func (s *Server) state(name *controlpb.JobName, reply *controlpb.Reply) error {
 	s.machine.Read(func(t *workload.Tables) {
-		if job := known(t, name); job != nil {
+		if job := findJob(t, name); job != nil {
 			reply.Finding, reply.State = controlpb.Finding_FINDING_OK, uint32(job.State)
 			return
 		}
-		reply.Finding = missing(t)
+		reply.Finding = notFoundFinding(t)
 	})
 	return nil
 }
 
-func missing(t *workload.Tables) controlpb.Finding {
+// notFoundFinding returns why a job was not found: there is no configuration
+// yet, or no such job.
+func notFoundFinding(t *workload.Tables) controlpb.Finding {
 	if t.Config == nil {
 		return controlpb.Finding_FINDING_NO_CONFIG
 	}
 	return controlpb.Finding_FINDING_NOT_FOUND
 }
 
+// pending counts the pending jobs of a queue.
 func (s *Server) pending(name *controlpb.QueueName, reply *controlpb.Reply) error {
 	s.machine.Read(func(t *workload.Tables) {
 		var queue workload.QueueID
@@ -111,7 +117,8 @@
 	return nil
 }
 
-// putConfig puts a configuration in force unless a version as high is.
+// putConfig puts a configuration in force unless its version is not higher than
+// the one in force.
 func (s *Server) putConfig(ctx context.Context, data []byte, reply *controlpb.Reply) error {
 	config, err := workload.DecodeConfig(data)
 	if err != nil {
@@ -148,6 +155,7 @@
 	return s.reporter.Report(ctx, r)
 }
 
+// startWave stores a wave unless one with its ID exists.
 func (s *Server) startWave(ctx context.Context, data []byte, reply *controlpb.Reply) error {
 	wave, err := DecodeWave(data)
 	if err != nil {
--- a/internal/control/hello.go
+++ b/internal/control/hello.go
@@ -12,55 +12,57 @@
 )
 
 const (
-	// helloEvery is the time between two greetings of the leader; a caller's
-	// bounds and a new core VM are known everywhere within a few of them.
-	helloEvery = 500 * time.Millisecond
-	// helloTimeout bounds one greeting.
+	// helloInterval is the time between two Hello calls to the leader. New
+	// limits of callers' requests and a new core VM are known everywhere within
+	// a few intervals.
+	helloInterval = 500 * time.Millisecond
+	// helloTimeout bounds one Hello call.
 	helloTimeout = 600 * time.Millisecond
-	// searchPause is the pause between two core VMs while the leader is unknown.
-	searchPause = 50 * time.Millisecond
-	// confirmedFor is how long a process counts as in touch with the leader
-	// after it answered: two greetings may be lost.
-	confirmedFor = 1600 * time.Millisecond
+	// leaderSearchPause is the pause between two core VMs while the leader is
+	// unknown.
+	leaderSearchPause = 50 * time.Millisecond
+	// confirmationLifetime is how long a process counts as connected to the
+	// leader after a reply; two Hello calls may be lost.
+	confirmationLifetime = 1600 * time.Millisecond
 )
 
-// Greeter keeps a process in touch with the leader: it tells the leader that
-// the process is there, and learns who leads, which core VMs there are and the
-// bounds of callers' requests.
+// Greeter keeps a process connected to the leader by periodic Hello calls. They
+// announce the process to the leader and return who leads, the core VMs and the
+// limits of callers' requests.
 type Greeter struct {
 	client *Client
 	core   bool
 
-	mu        sync.Mutex
-	confirmed time.Duration
-	version   uint64
-	limits    workload.Limits
+	mu            sync.Mutex
+	confirmedAt   time.Duration
+	configVersion uint64
+	limits        workload.Limits
 }
 
-// NewGreeter returns the greeter of a process.
+// NewGreeter returns the Greeter of a process; core is set on a core VM.
 func NewGreeter(c *Client, core bool) *Greeter {
-	return &Greeter{client: c, core: core, confirmed: -confirmedFor}
+	return &Greeter{client: c, core: core, confirmedAt: -confirmationLifetime}
 }
 
-// Run greets until ctx ends.
+// Run sends Hello calls until ctx ends.
 func (g *Greeter) Run(ctx context.Context) error {
 	turn := 0
 	for ctx.Err() == nil {
-		var asked model.NodeID
-		asked, turn = g.client.next("", turn)
-		pause := searchPause
-		if g.greet(ctx, asked) {
-			pause = helloEvery
+		var target model.NodeID
+		target, turn = g.client.nextTarget("", turn)
+		pause := leaderSearchPause
+		if g.sendHello(ctx, target) {
+			pause = helloInterval
 		}
 		steady.Pause(ctx, pause)
 	}
 	return ctx.Err()
 }
 
-// greet asks one process; it reports whether that is the confirmed leader.
-func (g *Greeter) greet(ctx context.Context, to model.NodeID) bool {
+// sendHello calls one process and reports whether it is the confirmed leader.
+func (g *Greeter) sendHello(ctx context.Context, to model.NodeID) bool {
 	if to == "" || to == g.client.self {
-		return g.greetHere(ctx, to)
+		return g.helloLocally(ctx, to)
 	}
 	s, err := g.client.stub(to)
 	if err != nil {
@@ -68,61 +70,63 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	reply, err := s.calls.Hello(ctx, &controlpb.HelloRequest{Node: string(g.client.self), Core: g.core})
+	reply, err := s.client.Hello(ctx, &controlpb.HelloRequest{Node: string(g.client.self), Core: g.core})
 	if err != nil {
 		g.client.directory.Leader.Doubt(to)
 		g.client.directory.DidNotAnswer(to)
-		s.caller.Failed(err)
+		s.conn.Failed(err)
 		return false
 	}
-	g.client.hear(to, reply.Leader, reply.Term)
+	g.client.updateLeader(to, reply.Leader, reply.Term)
 	g.client.directory.Learn(reply.Cores)
 	if reply.Confirmed {
-		g.confirm(reply)
+		g.recordConfirmation(reply)
 	}
 	return reply.Confirmed
 }
 
-// greetHere asks this process, which may lead.
-func (g *Greeter) greetHere(ctx context.Context, to model.NodeID) bool {
-	if to == "" || g.client.here == nil {
+// helloLocally calls this process itself, which may lead.
+func (g *Greeter) helloLocally(ctx context.Context, to model.NodeID) bool {
+	if to == "" || g.client.local == nil {
 		return false
 	}
-	reply, err := g.client.here.Hello(ctx, &controlpb.HelloRequest{})
+	reply, err := g.client.local.Hello(ctx, &controlpb.HelloRequest{})
 	if err != nil {
 		return false
 	}
-	g.client.hear(to, reply.Leader, reply.Term)
+	g.client.updateLeader(to, reply.Leader, reply.Term)
 	if reply.Confirmed {
-		g.confirm(reply)
+		g.recordConfirmation(reply)
 	}
 	return reply.Confirmed
 }
 
-func (g *Greeter) confirm(reply *controlpb.HelloReply) {
+// recordConfirmation stores a reply of the confirmed leader. Limits of an older
+// configuration than the known one are ignored.
+func (g *Greeter) recordConfirmation(reply *controlpb.HelloReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.confirmed = g.client.directory.now()
-	if reply.ConfigVersion < g.version {
+	g.confirmedAt = g.client.directory.now()
+	if reply.ConfigVersion < g.configVersion {
 		return
 	}
-	g.version = reply.ConfigVersion
+	g.configVersion = reply.ConfigVersion
 	g.limits = workload.Limits{
 		HeaderBytes: reply.HeaderBytes, BodyBytes: reply.BodyBytes,
 		HeaderTimeoutMS: reply.HeaderTimeoutMs, IdleTimeoutMS: reply.IdleTimeoutMs,
 	}
 }
 
-// Ready says whether the leader answered lately and has a configuration.
+// Ready reports whether the leader replied lately and has a configuration.
 func (g *Greeter) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.version > 0 && g.client.directory.now()-g.confirmed < confirmedFor
+	return g.configVersion > 0 && g.client.directory.now()-g.confirmedAt < confirmationLifetime
 }
 
-// Limits returns the bounds of callers' requests, and false while none are known.
+// Limits returns the limits of callers' requests, and false while none are known.
 func (g *Greeter) Limits() (workload.Limits, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits, g.version > 0
+	return g.limits, g.configVersion > 0
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -10,35 +10,36 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Standing is how this core VM stands in the control log.
+// Standing is the leadership of the control log as this core VM sees it.
 type Standing struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
-	// Leads says that this VM is the leader of its term by its own account.
+	// Leads is set when this VM takes itself for the leader of its term.
 	Leads bool
-	// Confirmed says that this VM leads, a quorum confirms it by now, and it
-	// has applied everything that earlier leaders committed.
+	// Confirmed is set when this VM leads, a quorum currently confirms it, and
+	// it has applied everything that earlier leaders committed.
 	Confirmed bool
 }
 
 // Log is the control log on this core VM.
 type Log interface {
+	// Standing returns the current leadership.
 	Standing() Standing
 	// Propose commits a command. Errors wrap state.ErrNotProposed or
 	// state.ErrOutcomeUnknown.
 	Propose(ctx context.Context, c *workload.Command) error
 }
 
-// Reporter takes the reports of workers on the leader.
+// Reporter receives the reports of workers on the leader.
 type Reporter interface {
-	// Report returns once the leader acts on the report.
+	// Report returns once the leader uses the report for its decisions.
 	Report(ctx context.Context, r Report) error
-	// Leave returns once the leader knows that the incarnation is over.
+	// Leave returns once the leader has recorded that the incarnation ended.
 	Leave(ctx context.Context, id workload.WorkerID) error
 }
 
-// Server answers on a core VM.
+// Server handles the control calls on a core VM.
 type Server struct {
 	log       Log
 	machine   *workload.Machine
@@ -53,17 +54,18 @@
 
 var _ controlpb.Control = (*Server)(nil)
 
-// Hello notes a core VM and tells what a process should know.
+// Hello records a core VM and returns the leader, the core VMs and the limits
+// of callers' requests.
 func (s *Server) Hello(_ context.Context, r *controlpb.HelloRequest) (*controlpb.HelloReply, error) {
 	if r.Core && r.Node != "" {
 		s.directory.Heard(model.NodeID(r.Node))
 	}
-	standing := s.log.Standing()
-	reply := &controlpb.HelloReply{Leader: string(standing.Leader), Term: standing.Term, Confirmed: standing.Confirmed}
+	status := s.log.Standing()
+	reply := &controlpb.HelloReply{Leader: string(status.Leader), Term: status.Term, Confirmed: status.Confirmed}
 	for _, core := range s.directory.Cores() {
 		reply.Cores = append(reply.Cores, string(core))
 	}
-	if standing.Confirmed {
+	if status.Confirmed {
 		s.machine.Read(func(t *workload.Tables) { fillLimits(reply, t.Config) })
 	}
 	return reply, nil
@@ -78,15 +80,15 @@
 	reply.HeaderTimeoutMs, reply.IdleTimeoutMs = c.Limits.HeaderTimeoutMS, c.Limits.IdleTimeoutMS
 }
 
-// Ask answers a request if this VM leads, and names the leader otherwise.
+// Ask handles a request if this VM leads, and names the leader otherwise.
 func (s *Server) Ask(ctx context.Context, r *controlpb.Request) (*controlpb.Reply, error) {
-	standing := s.log.Standing()
-	reply := &controlpb.Reply{Leader: string(standing.Leader), Term: standing.Term}
-	if !standing.Confirmed {
+	status := s.log.Standing()
+	reply := &controlpb.Reply{Leader: string(status.Leader), Term: status.Term}
+	if !status.Confirmed {
 		reply.Outcome = controlpb.Outcome_OUTCOME_NOT_RUN
 		return reply, nil
 	}
-	if err := s.answer(ctx, r, reply); err != nil {
+	if err := s.handle(ctx, r, reply); err != nil {
 		reply.Outcome = outcomeOf(err)
 		return reply, nil
 	}
@@ -94,6 +96,8 @@
 	return reply, nil
 }
 
+// outcomeOf maps the error of a request: only one that proves that nothing was
+// proposed means that the request was not run.
 func outcomeOf(err error) controlpb.Outcome {
 	if errors.Is(err, state.ErrNotProposed) {
 		return controlpb.Outcome_OUTCOME_NOT_RUN
@@ -101,29 +105,29 @@
 	return controlpb.Outcome_OUTCOME_UNKNOWN
 }
 
-func (s *Server) answer(ctx context.Context, r *controlpb.Request, reply *controlpb.Reply) error {
-	switch ask := r.Ask.(type) {
+func (s *Server) handle(ctx context.Context, r *controlpb.Request, reply *controlpb.Reply) error {
+	switch request := r.Ask.(type) {
 	case *controlpb.Request_Submit:
-		return s.submit(ctx, ask.Submit, reply)
+		return s.submit(ctx, request.Submit, reply)
 	case *controlpb.Request_Cancel:
-		return s.cancel(ctx, ask.Cancel, reply)
+		return s.cancel(ctx, request.Cancel, reply)
 	case *controlpb.Request_State:
-		return s.state(ask.State, reply)
+		return s.state(request.State, reply)
 	case *controlpb.Request_Pending:
-		return s.pending(ask.Pending, reply)
+		return s.pending(request.Pending, reply)
 	case *controlpb.Request_PutConfig:
-		return s.putConfig(ctx, ask.PutConfig, reply)
+		return s.putConfig(ctx, request.PutConfig, reply)
 	case *controlpb.Request_GetConfig:
 		return s.getConfig(reply)
 	case *controlpb.Request_Report:
-		return s.report(ctx, ask.Report, reply)
+		return s.report(ctx, request.Report, reply)
 	case *controlpb.Request_Leave:
 		reply.Finding = controlpb.Finding_FINDING_OK
-		return s.reporter.Leave(ctx, workload.WorkerID(ask.Leave.GetId()))
+		return s.reporter.Leave(ctx, workload.WorkerID(request.Leave.GetId()))
 	case *controlpb.Request_StartWave:
-		return s.startWave(ctx, ask.StartWave, reply)
+		return s.startWave(ctx, request.StartWave, reply)
 	case *controlpb.Request_Wave:
-		return s.wave(ask.Wave.GetId(), reply)
+		return s.wave(request.Wave.GetId(), reply)
 	default:
 		reply.Finding = controlpb.Finding_FINDING_INVALID
 		return nil
