--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -8,25 +8,25 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// answerSlot passes messages for a peer into the reply of a call from that
-// peer, which saves the call that would carry them otherwise.
-type answerSlot struct {
+// replySlot passes messages for a peer into the reply of a call from that
+// peer, which saves the separate call that would carry them otherwise.
+type replySlot struct {
 	mu sync.Mutex
-	// waiting is the channel of the call that waits, nil when none does. It
+	// waiting is the channel of the waiting call, nil when there is none. It
 	// holds one item, so put never blocks.
 	waiting chan []quorum.Message
 }
 
-// open makes the next put go to the returned channel.
-func (s *answerSlot) open() chan []quorum.Message {
+// open returns the channel to which the next put goes.
+func (s *replySlot) open() chan []quorum.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting = make(chan []quorum.Message, 1)
 	return s.waiting
 }
 
-// put hands messages to the waiting call, if there is one.
-func (s *answerSlot) put(messages []quorum.Message) bool {
+// put hands messages to the waiting call and reports whether there is one.
+func (s *replySlot) put(messages []quorum.Message) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.waiting == nil {
@@ -37,28 +37,28 @@
 	return true
 }
 
-// wait returns what was put into the channel within the time, else nil.
-func (s *answerSlot) wait(ctx context.Context, answers chan []quorum.Message, limit time.Duration) []quorum.Message {
+// wait returns what is put into the channel before the limit, else nil.
+func (s *replySlot) wait(ctx context.Context, replies chan []quorum.Message, limit time.Duration) []quorum.Message {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case messages := <-answers:
+	case messages := <-replies:
 		return messages
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return s.close(answers)
+	return s.close(replies)
 }
 
-// close gives the channel up. What was put in the meantime is returned.
-func (s *answerSlot) close(answers chan []quorum.Message) []quorum.Message {
+// close gives the channel up and returns what was put into it in the meantime.
+func (s *replySlot) close(replies chan []quorum.Message) []quorum.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting == answers {
+	if s.waiting == replies {
 		s.waiting = nil
 	}
 	select {
-	case messages := <-answers:
+	case messages := <-replies:
 		return messages
 	default:
 		return nil
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// BenchmarkIdle reports what one process of an idle site writes and reads a
-// second (bytes at the connection, both directions, without TCP and IP
-// headers) and the processor time of all processes together. It measures for
-// COMFREYLOOM_IDLE, 5 s by default:
+// BenchmarkIdle reports the bytes that one process of an idle site writes and
+// reads a second (at the connection, both directions, without TCP and IP headers)
+// and the processor time for each process. It measures for the duration in the
+// environment variable COMFREYLOOM_IDLE, 5 s by default:
 //
 //	go test -run - -bench Idle -benchtime 1x ./internal/node
 func BenchmarkIdle(b *testing.B) {
@@ -30,6 +30,7 @@
 	}
 }
 
+// idleTime returns the duration of BenchmarkIdle.
 func idleTime() time.Duration {
 	if d, err := time.ParseDuration(os.Getenv("COMFREYLOOM_IDLE")); err == nil {
 		return d
@@ -56,11 +57,12 @@
 func (s *site) byteCounts() map[model.NodeID]int64 {
 	counts := map[model.NodeID]int64{}
 	for _, name := range s.names {
-		counts[name] = s.network.meter(name).Load()
+		counts[name] = s.network.byteCounter(name).Load()
 	}
 	return counts
 }
 
+// processorTime returns the user and system time of this test process.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -69,9 +71,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkChange reports, for one change proposed at a learner of a site of
-// seven with real voters: how long until it is applied there and until it is
-// in force at all seven, and the bytes it costs beyond idle.
+// BenchmarkChange proposes changes at a learner of a site of seven processes with
+// real voters. For each change it reports the time until the learner has applied
+// it, the time until all seven have, and the bytes sent and received by a process.
 //
 //	go test -run - -bench Change -benchtime 200x ./internal/node
 func BenchmarkChange(b *testing.B) {
@@ -112,11 +114,10 @@
 	return float64(times[(len(times)-1)*p/100].Microseconds()) / 1000
 }
 
-// BenchmarkRestart reports how long a learner takes from its start until it is
-// ready, after 500 changes; BenchmarkFailover how long a proposal of a learner
-// takes when the leader's process ended just before.
+// BenchmarkRestart reports the time from the start of a learner until it is ready,
+// after 500 changes.
 //
-//	go test -run - -bench 'Restart|Failover' -benchtime 5x ./internal/node
+//	go test -run - -bench Restart -benchtime 5x ./internal/node
 func BenchmarkRestart(b *testing.B) {
 	s := startSite(b, 3, 1, &site{folders: b.TempDir()})
 	eventually(b, "ready", s.all(ready))
@@ -135,6 +136,10 @@
 	b.ReportMetric(percentile(times, 100), "ms-to-ready-max")
 }
 
+// BenchmarkFailover reports how long a proposal of a learner takes when the
+// leader's process ended just before.
+//
+//	go test -run - -bench Failover -benchtime 5x ./internal/node
 func BenchmarkFailover(b *testing.B) {
 	s := startSite(b, 3, 2, &site{folders: b.TempDir()})
 	var times []time.Duration
@@ -153,6 +158,7 @@
 	b.ReportMetric(percentile(times, 100), "ms-failover-max")
 }
 
+// propose commits a small claim.
 func propose(b *testing.B, p *process, key string) {
 	b.Helper()
 	command := claim(key)
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -18,26 +18,26 @@
 	"github.com/sourcegraph/conc"
 )
 
-// smallCallTimeout bounds a call that neither waits nor carries much.
+// smallCallTimeout bounds a call that neither waits at the peer nor carries much.
 const smallCallTimeout = time.Second
 
-// ErrUnknownPeer says that the settings name no such process.
+// ErrUnknownPeer reports that the settings name no such process.
 var ErrUnknownPeer = errors.New("node: no such peer in the settings")
 
 // ClientConfig sets up a Client.
 type ClientConfig struct {
 	Self model.NodeID
 	Site string
-	// Token returns the bearer token to send; empty sends none.
+	// Token returns the bearer token to send; none is sent when it is empty.
 	Token func() string
 	// Addresses holds IP:port of every process of the site; Self is skipped.
 	Addresses map[model.NodeID]string
-	// NamedByAddress says that nodes are named by IP:port and found while
-	// running; Addresses is then empty.
+	// NamedByAddress is set when nodes are named by IP:port and discovered
+	// while running; Addresses is then empty.
 	NamedByAddress bool
 	Metrics        metrics.Registry
-	// Dial and ProbeAfter, the time after which a silent connection is probed,
-	// are zero in the product.
+	// Dial and ProbeAfter, the time after which an inactive connection is
+	// probed, are only set in tests.
 	Dial       DialFunc
 	ProbeAfter time.Duration
 }
@@ -46,18 +46,18 @@
 type Client struct {
 	config  ClientConfig
 	receive func([]quorum.Message)
-	// found takes new peers to Run, which starts a duty for each.
-	found *ring.Ring[*peer]
+	// newPeers passes discovered peers to Run, which starts a sender for each.
+	newPeers *ring.Ring[*peer]
 
 	mu    sync.RWMutex
 	peers map[model.NodeID]*peer
 }
 
-// maxFound bounds the peers of one process that finds them while running; a
-// site sets aside far fewer processes. Further ones are unknown peers.
-const maxFound = 256
+// maxNewPeers bounds the discovered peers that wait for Run; a site has far fewer
+// processes. Further ones are unknown peers.
+const maxNewPeers = 256
 
-// NewClient returns a client; it connects when it is first used.
+// NewClient returns a client. It connects when it is first used.
 func NewClient(c ClientConfig) *Client {
 	if c.Dial == nil {
 		c.Dial = defaultDial()
@@ -68,7 +68,7 @@
 	if c.Token == nil {
 		c.Token = func() string { return "" }
 	}
-	client := &Client{config: c, found: ring.New[*peer](maxFound), peers: make(map[model.NodeID]*peer, len(c.Addresses))}
+	client := &Client{config: c, newPeers: ring.New[*peer](maxNewPeers), peers: make(map[model.NodeID]*peer, len(c.Addresses))}
 	client.receive = func([]quorum.Message) {}
 	for name, address := range c.Addresses {
 		if name != c.Self {
@@ -78,27 +78,27 @@
 	return client
 }
 
-// Run sends what Send queued until ctx ends; one duty a peer, so that a slow
-// peer delays nobody else.
+// Run sends the queued messages until ctx ends. Each peer has its own sender, so
+// that a slow peer delays no other.
 func (c *Client) Run(ctx context.Context) error {
-	var duties conc.WaitGroup
+	var senders conc.WaitGroup
 	for _, name := range c.Peers() {
 		p := c.lookup(name)
-		duties.Go(func() { p.run(ctx) })
+		senders.Go(func() { p.run(ctx) })
 	}
 	for ctx.Err() == nil {
-		p, err := c.found.Get(ctx)
+		p, err := c.newPeers.Get(ctx)
 		if err != nil {
 			break
 		}
-		duties.Go(func() { p.run(ctx) })
+		senders.Go(func() { p.run(ctx) })
 	}
-	duties.Wait()
+	senders.Wait()
 	return ctx.Err()
 }
 
-// lookup returns a peer, nil when there is none by that name. Where nodes are
-// named by their addresses it is made when first asked for.
+// lookup returns a peer, or nil when there is none by that name. Where nodes are
+// named by their addresses, a peer is added when it is first looked up.
 func (c *Client) lookup(name model.NodeID) *peer {
 	c.mu.RLock()
 	p := c.peers[name]
@@ -106,10 +106,12 @@
 	if p != nil || !c.config.NamedByAddress || name == c.config.Self {
 		return p
 	}
-	return c.find(name)
+	return c.addPeer(name)
 }
 
-func (c *Client) find(name model.NodeID) *peer {
+// addPeer adds a peer that is named by its address. It returns nil when the name
+// is no address or too many new peers wait for Run.
+func (c *Client) addPeer(name model.NodeID) *peer {
 	if _, err := netip.ParseAddrPort(string(name)); err != nil {
 		return nil
 	}
@@ -120,24 +122,24 @@
 	}
 	p := newPeer(name, string(name), c.config)
 	p.receive = c.receive
-	if c.found.TryPut(p) != nil {
+	if c.newPeers.TryPut(p) != nil {
 		return nil
 	}
 	c.peers[name] = p
 	return p
 }
 
-// Send queues quorum messages for a peer and returns at once. Messages are
-// dropped, and counted, when the peer's queue is full: the quorum protocol
-// sends again what matters.
+// Send queues quorum messages for a peer and returns at once. When the peer's
+// queue is full, messages are dropped and counted: the quorum protocol resends
+// what matters.
 func (c *Client) Send(to model.NodeID, messages []quorum.Message) {
 	if p := c.lookup(to); p != nil && len(messages) > 0 {
 		p.send(messages)
 	}
 }
 
-// SetReceiver hands over the function that takes quorum messages which come
-// back in replies. It is called once, before Run.
+// SetReceiver sets the function that receives the quorum messages in replies. It
+// is called once, before Run.
 func (c *Client) SetReceiver(step func([]quorum.Message)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,25 +171,25 @@
 	defer cancel()
 	reply, err := p.small.node().Identify(ctx, &nodepb.IdentifyRequest{Node: string(c.config.Self)})
 	if err != nil {
-		p.failed(p.small, err)
+		p.recordFailure(p.small, err)
 		return datafolder.Identity{}, oops.In("node").With("peer", to).Wrapf(err, "identify")
 	}
 	identity, err := datafolder.DecodeIdentity(reply.Identity)
 	return identity, oops.In("node").With("peer", to).Wrapf(err, "decode identity")
 }
 
-// Lend sends a request for slots to another process and returns its answer,
-// which may take a while. Both are opaque to this package.
+// Lend sends a request for slots to another process and returns the reply, which
+// may take a while. Both are opaque to this package.
 func (c *Client) Lend(ctx context.Context, owner model.NodeID, body []byte) ([]byte, error) {
 	p, err := c.peer(owner)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := limited(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	reply, err := p.work.node().Lend(ctx, &nodepb.LendRequest{Node: string(c.config.Self), Body: body})
 	if err != nil {
-		p.failed(p.work, err)
+		p.recordFailure(p.work, err)
 		return nil, oops.In("node").With("peer", owner).Wrapf(err, "lend")
 	}
 	return reply.Body, nil
@@ -204,6 +206,7 @@
 	}
 }
 
+// peer returns a peer, or ErrUnknownPeer.
 func (c *Client) peer(name model.NodeID) (*peer, error) {
 	if p := c.lookup(name); p != nil {
 		return p, nil
--- a/internal/node/envelope.go
+++ b/internal/node/envelope.go
@@ -8,19 +8,19 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Headers that name the voters between which quorum messages go. The names
-// hold a disk identity of 36 bytes each and hardly ever change on one
-// connection, so that HTTP/2 compresses them to a byte or two; within each
-// message they would be most of the traffic of an idle site.
+// These headers name the voters that send and receive quorum messages. Each name
+// holds a disk identity of 36 bytes and hardly ever changes on one connection,
+// so that HTTP/2 compresses it to a byte or two. Within each message the names
+// would be most of the traffic of an idle site.
 const (
 	fromHeader = "Comfreyloom-Voter-From"
 	toHeader   = "Comfreyloom-Voter-To"
 )
 
-// envelope is the sender and addressee that messages of a batch share.
+// envelope holds the sender and receiver that the messages of a batch share.
 type envelope struct{ from, to quorum.ID }
 
-// envelopeOf takes those of the first message.
+// envelopeOf returns the envelope of the first message.
 func envelopeOf(messages []quorum.Message) envelope {
 	if len(messages) == 0 {
 		return envelope{}
@@ -28,23 +28,24 @@
 	return envelope{from: messages[0].From, to: messages[0].To}
 }
 
-// reverse is the envelope of what answers.
+// reverse returns the envelope of the replies.
 func (e envelope) reverse() envelope { return envelope{from: e.to, to: e.from} }
 
-// seal returns the messages without what the envelope says; others keep theirs.
-func (e envelope) seal(messages []quorum.Message) []quorum.Message {
-	sealed := make([]quorum.Message, len(messages))
-	copy(sealed, messages)
-	for i := range sealed {
-		if m := &sealed[i]; m.From == e.from && m.To == e.to {
+// strip returns the messages without the sender and receiver that the envelope
+// holds; messages with others keep theirs.
+func (e envelope) strip(messages []quorum.Message) []quorum.Message {
+	stripped := make([]quorum.Message, len(messages))
+	copy(stripped, messages)
+	for i := range stripped {
+		if m := &stripped[i]; m.From == e.from && m.To == e.to {
 			m.From, m.To = "", ""
 		}
 	}
-	return sealed
+	return stripped
 }
 
-// open is the inverse of seal, in place.
-func (e envelope) open(messages []quorum.Message) []quorum.Message {
+// restore is the inverse of strip, in place.
+func (e envelope) restore(messages []quorum.Message) []quorum.Message {
 	for i := range messages {
 		if m := &messages[i]; m.From == "" && m.To == "" {
 			m.From, m.To = e.from, e.to
@@ -53,7 +54,7 @@
 	return messages
 }
 
-// attach makes a call carry the envelope.
+// attach adds the envelope to the headers of a call.
 func (e envelope) attach(ctx context.Context) (context.Context, error) {
 	header := http.Header{}
 	header.Set(fromHeader, string(e.from))
@@ -63,8 +64,8 @@
 
 type envelopeKey struct{}
 
-// keepEnvelope passes the envelope of a request on to the method.
-func keepEnvelope(r *http.Request) *http.Request {
+// withEnvelope puts the envelope of a request into its context.
+func withEnvelope(r *http.Request) *http.Request {
 	from := r.Header.Get(fromHeader)
 	if from == "" {
 		return r
@@ -73,6 +74,7 @@
 	return r.WithContext(context.WithValue(r.Context(), envelopeKey{}, e))
 }
 
+// envelopeFrom returns the envelope of the request that is being handled.
 func envelopeFrom(ctx context.Context) envelope {
 	e, _ := ctx.Value(envelopeKey{}).(envelope)
 	return e
--- a/internal/node/fetch.go
+++ b/internal/node/fetch.go
@@ -8,21 +8,22 @@
 	"github.com/samber/oops"
 )
 
-// snapshotFetch is a snapshot of which the first part is here.
+// snapshotFetch is a snapshot that is being fetched; data is its first part.
 type snapshotFetch struct {
 	meta  quorum.SnapshotMeta
 	total uint64
 	data  []byte
 }
 
-// takeChunk adds a part of a snapshot and installs the snapshot when it is whole.
-func (f *Follower) takeChunk(c *nodepb.SnapshotChunk) error {
+// addChunk adds a part of a snapshot, and installs the snapshot once it is
+// complete.
+func (f *Follower) addChunk(c *nodepb.SnapshotChunk) error {
 	meta, err := decodeMeta(c.Meta)
 	if err != nil {
 		return errors.Join(ErrBadFeed, err)
 	}
 	if applied := f.config.Machine.Applied(); meta.Index <= applied || meta.Term < f.lastTerm {
-		return oops.Wrapf(ErrStepBack, "snapshot of index %d term %d, here are %d and %d",
+		return oops.Wrapf(ErrStepBack, "snapshot of index %d, term %d; applied here: index %d, term %d",
 			meta.Index, meta.Term, applied, f.lastTerm)
 	}
 	f.startFetch(meta, c.Total)
@@ -35,8 +36,8 @@
 	return f.install()
 }
 
-// startFetch begins anew unless the chunk belongs to the snapshot that is
-// being fetched: after a rotation another voter may offer another one.
+// startFetch starts a new fetch unless the chunk belongs to the current one:
+// after a rotation another voter may offer another snapshot.
 func (f *Follower) startFetch(meta quorum.SnapshotMeta, total uint64) {
 	if f.fetch != nil && f.fetch.meta.Index == meta.Index && f.fetch.meta.Term == meta.Term && f.fetch.total == total {
 		return
@@ -44,19 +45,20 @@
 	f.fetch = &snapshotFetch{meta: meta, total: total}
 }
 
+// add appends a chunk, which must continue the fetched part.
 func (s *snapshotFetch) add(c *nodepb.SnapshotChunk) error {
 	if c.Total > maxSnapshotBytes || c.Offset != uint64(len(s.data)) {
-		return oops.Wrapf(ErrBadFeed, "chunk at %d of %d, have %d", c.Offset, c.Total, len(s.data))
+		return oops.Wrapf(ErrBadFeed, "chunk at offset %d of %d bytes, %d bytes fetched so far", c.Offset, c.Total, len(s.data))
 	}
 	end := c.Offset + uint64(len(c.Data))
 	if end > c.Total || (len(c.Data) == 0 && end < c.Total) {
-		return oops.Wrapf(ErrBadFeed, "chunk of %d bytes at %d of %d", len(c.Data), c.Offset, c.Total)
+		return oops.Wrapf(ErrBadFeed, "chunk of %d bytes at offset %d of %d bytes", len(c.Data), c.Offset, c.Total)
 	}
 	s.data = append(s.data, c.Data...)
 	return nil
 }
 
-// install replaces the state by the fetched snapshot.
+// install replaces the state with the fetched snapshot.
 func (f *Follower) install() error {
 	fetched := f.fetch
 	f.fetch = nil
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -16,22 +16,24 @@
 )
 
 const (
-	// followWait is how long a poll without news waits at the voter.
+	// followWait is how long a poll waits at the voter for new entries.
 	followWait = 20 * time.Second
-	// followTimeout bounds a poll with its wait and its reply.
+	// followTimeout bounds a poll including its wait and its reply.
 	followTimeout = followWait + 10*time.Second
-	// rotateAfter is how long a poll may take before Rotate ends it, so that
-	// a learner which catches up is not sent from voter to voter.
+	// rotateAfter is how old a poll must be for Rotate to end it, so that a
+	// learner that is catching up does not move from voter to voter.
 	rotateAfter = 2 * time.Second
-	// maxSnapshotBytes bounds a snapshot that is fetched.
+	// maxSnapshotBytes bounds a fetched snapshot.
 	maxSnapshotBytes = 128 << 20
 )
 
 var (
-	// ErrStepBack says that a voter offered a state older than the one here,
-	// or of another history. Taking it would make accepted changes disappear.
-	ErrStepBack = errors.New("node: the feed steps back")
-	// ErrBadFeed says that a feed has gaps or does not start where asked.
+	// ErrStepBack reports that a voter offered a state that is older than the
+	// applied one or of another history. With it, accepted changes would
+	// disappear.
+	ErrStepBack = errors.New("node: the feed is older than the applied state, or of another history")
+	// ErrBadFeed reports that a feed has gaps, cannot be decoded or does not
+	// start at the requested index.
 	ErrBadFeed = errors.New("node: the feed is not valid")
 )
 
@@ -48,7 +50,7 @@
 }
 
 // Follower keeps the state of a learner up to date by long polls at one voter
-// at a time. Run is its only duty; Rotate may be called from others.
+// at a time. Rotate may be called while Run runs; the rest belongs to Run.
 type Follower struct {
 	config FollowerConfig
 	source model.NodeID
@@ -57,48 +59,49 @@
 	lastTerm uint64
 	fetch    *snapshotFetch
 
-	stepBacks, badFeeds, rotations, snapshots metrics.Counter
+	staleFeeds, invalidFeeds, rotations, snapshots metrics.Counter
 
 	mu sync.Mutex
-	// cancel ends the poll that began at polledAt; nil between polls.
+	// cancel ends the poll that began at polledAt; it is nil between polls.
 	cancel   context.CancelFunc
 	polledAt time.Time
 }
 
-// NewFollower returns a follower that has polled nobody yet.
+// NewFollower returns a follower that has not polled yet.
 func NewFollower(c FollowerConfig) *Follower {
 	if c.Logger == nil {
 		c.Logger = log.Log
 	}
 	return &Follower{
-		config:    c,
-		stepBacks: metrics.GetOrRegisterCounter("node.follow.step_back", c.Metrics),
-		badFeeds:  metrics.GetOrRegisterCounter("node.follow.bad_feed", c.Metrics),
-		rotations: metrics.GetOrRegisterCounter("node.follow.rotations", c.Metrics),
-		snapshots: metrics.GetOrRegisterCounter("node.follow.snapshots", c.Metrics),
+		config:       c,
+		staleFeeds:   metrics.GetOrRegisterCounter("node.follow.step_back", c.Metrics),
+		invalidFeeds: metrics.GetOrRegisterCounter("node.follow.bad_feed", c.Metrics),
+		rotations:    metrics.GetOrRegisterCounter("node.follow.rotations", c.Metrics),
+		snapshots:    metrics.GetOrRegisterCounter("node.follow.snapshots", c.Metrics),
 	}
 }
 
-// Run follows until ctx ends.
+// Run polls until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	wait := retryPause
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.pollOnce(ctx)
 		if err == nil {
 			wait = retryPause
 			continue
 		}
-		f.next()
+		f.nextSource()
 		steady.Pause(ctx, wait)
 		wait = min(2*wait, maxRetryPause)
 	}
 	return ctx.Err()
 }
 
-// Rotate ends the poll in progress, unless it is young, and goes on at another
-// voter. It is called when this process is no longer confirmed, or hears of
-// changes that do not come: the voter may be on the wrong side of a partition,
-// or the connection to it silent, and either way the poll just waits.
+// Rotate ends the poll in progress, unless it is recent, and continues at
+// another voter. It is called when this process is no longer confirmed, or
+// learned of commits that the feed does not deliver. The voter may then be on the
+// minority side of a partition, or the connection to it dead; in both cases the
+// poll would only wait.
 func (f *Follower) Rotate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,29 +110,29 @@
 	}
 }
 
-// step does one poll and applies what it brings.
-func (f *Follower) step(ctx context.Context) error {
-	p, err := f.config.Client.peer(f.choose())
+// pollOnce does one poll and applies the reply.
+func (f *Follower) pollOnce(ctx context.Context) error {
+	p, err := f.config.Client.peer(f.chooseSource())
 	if err != nil {
 		return err
 	}
 	reply, err := f.poll(ctx, p)
 	if err != nil {
 		f.config.Leader.Doubt(p.name)
-		p.failed(p.bulk, err)
+		p.recordFailure(p.bulk, err)
 		return err
 	}
 	f.config.Leader.Learn(model.NodeID(reply.Leader), reply.Term)
 	if err := f.apply(reply); err != nil {
-		f.refuse(p.name, err)
+		f.recordRefusal(p.name, err)
 		return err
 	}
 	return nil
 }
 
-// choose returns the voter to poll. The leader comes first: it knows of a
-// commit one message earlier than the others.
-func (f *Follower) choose() model.NodeID {
+// chooseSource returns the voter to poll. The leader is preferred: it learns of
+// a commit one message earlier than the others.
+func (f *Follower) chooseSource() model.NodeID {
 	if f.source == "" {
 		f.source, _ = f.config.Leader.Get()
 	}
@@ -139,16 +142,16 @@
 	return f.source
 }
 
-// next leaves the source for the leader, if that is another one, else for the
-// next voter in turn. What was fetched of a snapshot is dropped: parts from
-// two voters must not be joined.
-func (f *Follower) next() {
+// nextSource switches to the leader, or to the next voter in turn when the
+// leader is the current source. The fetched part of a snapshot is dropped: parts
+// from two voters must not be joined.
+func (f *Follower) nextSource() {
 	f.rotations.Inc(1)
 	f.fetch = nil
-	left := f.source
+	previous := f.source
 	f.source, _ = f.config.Leader.Get()
 	for range f.config.Voters {
-		if f.source != "" && f.source != left {
+		if f.source != "" && f.source != previous {
 			return
 		}
 		f.turn++
@@ -156,6 +159,8 @@
 	}
 }
 
+// poll asks a voter for the entries behind the applied index, or for the next
+// chunk of the snapshot that is being fetched.
 func (f *Follower) poll(ctx context.Context, p *peer) (*nodepb.FollowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
@@ -178,20 +183,22 @@
 	f.cancel, f.polledAt = cancel, time.Now()
 }
 
-// refuse counts a feed that was not taken, and says so once a source.
-func (f *Follower) refuse(source model.NodeID, err error) {
-	counter := f.badFeeds
+// recordRefusal counts and logs a refused feed. The source changes after it, so
+// this is one line a source.
+func (f *Follower) recordRefusal(source model.NodeID, err error) {
+	counter := f.invalidFeeds
 	if errors.Is(err, ErrStepBack) {
-		counter = f.stepBacks
+		counter = f.staleFeeds
 	}
 	counter.Inc(1)
 	f.fetch = nil
-	f.config.Logger.WithError(err).WithField("voter", source).Warn("feed refused")
+	f.config.Logger.WithError(err).WithField("voter", source).Warn("feed of the control log refused")
 }
 
+// apply applies the reply of a poll.
 func (f *Follower) apply(reply *nodepb.FollowReply) error {
 	if reply.Snapshot != nil {
-		return f.takeChunk(reply.Snapshot)
+		return f.addChunk(reply.Snapshot)
 	}
 	f.fetch = nil
 	entries, err := decodeEntries(reply.Entries)
@@ -201,19 +208,19 @@
 	return f.applyEntries(entries)
 }
 
-// applyEntries applies a feed after it was checked as a whole, so that a bad
-// feed leaves no part behind.
+// applyEntries checks a feed as a whole before it applies any part, so that no
+// part of an invalid feed is applied.
 func (f *Follower) applyEntries(entries []quorum.Entry) error {
 	index, term := f.config.Machine.Applied(), f.lastTerm
 	for i := range entries {
 		e := &entries[i]
 		if e.Index != index+1 {
-			return oops.Wrapf(ErrBadFeed, "entry %d after %d", e.Index, index)
+			return oops.Wrapf(ErrBadFeed, "entry %d follows entry %d", e.Index, index)
 		}
-		// Terms of committed entries never fall. A lower one comes from
-		// another history, such as a site founded anew.
+		// Terms of committed entries never decrease. A lower one comes from
+		// another history, such as that of a site founded anew.
 		if e.Term < term {
-			return oops.Wrapf(ErrStepBack, "entry %d has term %d after %d", e.Index, e.Term, term)
+			return oops.Wrapf(ErrStepBack, "entry %d has term %d, the one before has term %d", e.Index, e.Term, term)
 		}
 		index, term = e.Index, e.Term
 	}
@@ -224,8 +231,8 @@
 	return nil
 }
 
-// commandOf returns what the state machine applies: nothing for an entry that
-// is the quorum's own, which still takes an index.
+// commandOf returns the command that the state machine applies. It is nil for an
+// entry of the quorum protocol itself, which takes an index too.
 func commandOf(e *quorum.Entry) []byte {
 	if e.Kind != quorum.EntryCommand {
 		return nil
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -18,13 +18,14 @@
 
 var methods = []string{"Exchange", "Propose", "ReadIndex", "Follow", "Heartbeat", "Announce", "Lend", "Identify"}
 
-// FuzzServer sends any body to any method: the answer is a reply or a refusal,
-// never a panic (which twirp turns into status 500), and no invariant breaks.
+// FuzzServer sends arbitrary bodies to every method. The server replies or rejects
+// the call, never panics (twirp turns a panic into status 500), and no invariant of
+// the membership is violated.
 func FuzzServer(f *testing.F) {
 	s := newSite(f, 1, 0, 0)
 	p := s.processes["n1"]
-	refuse := proposeHook(func(func() (state.Result, error)) (state.Result, error) { return state.Result{}, state.ErrNotProposed })
-	p.voter.hook.Store(&refuse) // what commands do is the state machine's own test
+	reject := proposeHook(func(func() (state.Result, error)) (state.Result, error) { return state.Result{}, state.ErrNotProposed })
+	p.voter.hook.Store(&reject) // the effects of commands are tested in package state
 	handler := p.server.Handler()
 	for i, m := range seeds(f) {
 		f.Add(uint8(i), m)
@@ -36,17 +37,18 @@
 		r := httptest.NewRequest(http.MethodPost, nodepb.NodePathPrefix+name, bytes.NewReader(body)).WithContext(ctx)
 		credentials{testSite, func() string { return s.token }}.sign(r.Header)
 		r.Header.Set("Content-Type", "application/protobuf")
-		answer := httptest.NewRecorder()
-		handler.ServeHTTP(answer, r)
-		if answer.Code == http.StatusInternalServerError {
-			t.Fatalf("%s: %s", name, answer.Body)
+		response := httptest.NewRecorder()
+		handler.ServeHTTP(response, r)
+		if response.Code == http.StatusInternalServerError {
+			t.Fatalf("%s: %s", name, response.Body)
 		}
-		if broken := p.heartbeats.Check(); len(broken) > 0 {
-			t.Fatal(broken)
+		if violations := p.heartbeats.Check(); len(violations) > 0 {
+			t.Fatal(violations)
 		}
 	})
 }
 
+// seeds returns one valid body for each of the first methods.
 func seeds(f *testing.F) (bodies [][]byte) {
 	command, err := state.Encode(claim("a"))
 	if err != nil {
@@ -73,8 +75,8 @@
 	return bodies
 }
 
-// FuzzFollowReply gives a learner any reply: its index never steps back and
-// grows only by entries without a gap.
+// FuzzFollowReply passes arbitrary replies to a learner. Its applied index never
+// decreases, and doesn't change when a reply is refused.
 func FuzzFollowReply(f *testing.F) {
 	for _, kind := range []quorum.EntryKind{quorum.EntryNoop, quorum.EntryCommand} {
 		data, err := encode([]quorum.Entry{{Index: 1, Term: 1, Kind: kind, Data: []byte("x")}})
@@ -98,12 +100,13 @@
 		before := machine.Applied()
 		err := follower.apply(reply)
 		if after := machine.Applied(); after < before || (err != nil && after != before) {
-			t.Fatalf("applied index went from %d to %d with %v", before, after, err)
+			t.Fatalf("the applied index changed from %d to %d with error %v", before, after, err)
 		}
 	})
 }
 
-// FuzzBeatReply gives a process any answer to its beat.
+// FuzzBeatReply passes arbitrary replies to a beat to a process. No invariant of
+// the membership is violated.
 func FuzzBeatReply(f *testing.F) {
 	body, err := proto.Marshal(&nodepb.Beat{Node: "n2", Incarnation: 3, Sequence: 1, Doubts: []string{"n1"}, WitnessReports: []*nodepb.WitnessReport{{Node: "n2"}}})
 	if err != nil {
@@ -121,9 +124,9 @@
 		}
 		h := NewHeartbeats(HeartbeatsConfig{Self: "n1", Members: []model.NodeID{"n1", "n2"}, Machine: state.NewMachine(state.Options{}),
 			Client: NewClient(ClientConfig{Self: "n1"}), Leader: &LeaderHint{}, Metrics: metrics.NewRegistry()})
-		h.answered(h.clock(), beat)
-		if broken := h.Check(); len(broken) > 0 {
-			t.Fatal(broken)
+		h.handleReply(h.clock(), beat)
+		if violations := h.Check(); len(violations) > 0 {
+			t.Fatal(violations)
 		}
 	})
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -15,27 +15,28 @@
 
 const (
 	// maxServerConnections bounds the open connections of all peers: three
-	// links of each of 18 processes, more than twice over for reconnects.
+	// links to each of 18 processes, and more than as many again for reconnects.
 	maxServerConnections = 128
 	// maxStreams bounds the calls in progress on one connection.
 	maxStreams = 256
 	// maxHeaderBytes bounds the headers of a call.
 	maxHeaderBytes = 8 << 10
-	// callReadTimeout bounds how long a call's body may take to arrive.
+	// callReadTimeout bounds the time until a call's body has arrived.
 	callReadTimeout = 10 * time.Second
-	// callWriteTimeout bounds a call with its long poll and its reply.
+	// callWriteTimeout bounds a call including its long poll and its reply.
 	callWriteTimeout = maxFollowWait + 15*time.Second
-	// serverIdleTimeout closes a connection without calls.
+	// serverIdleTimeout is the time after which a connection without calls is
+	// closed.
 	serverIdleTimeout = 5 * time.Minute
 )
 
-// guard refuses calls with a wrong site, token or form before the body is read.
+// guard rejects calls with a wrong site, token or form before their body is read.
 type guard struct {
 	site       string
 	authorizer *security.Authorizer
 	next       http.Handler
 	wrongSite  metrics.Counter
-	wrongForm  metrics.Counter
+	malformed  metrics.Counter
 }
 
 func newGuard(c ServerConfig, next http.Handler) http.Handler {
@@ -44,40 +45,41 @@
 		authorizer: c.Authorizer,
 		next:       next,
 		wrongSite:  metrics.GetOrRegisterCounter("node.refused.site", c.Metrics),
-		wrongForm:  metrics.GetOrRegisterCounter("node.refused.form", c.Metrics),
+		malformed:  metrics.GetOrRegisterCounter("node.refused.form", c.Metrics),
 	}
 }
 
 // ServeHTTP checks a call and passes it on.
 func (g *guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if err := g.check(r); err != nil {
-		_ = twirp.WriteError(w, err) // the peer is gone if this fails
+		_ = twirp.WriteError(w, err) // this fails only if the peer closed the connection
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maxCallBytes)
-	g.next.ServeHTTP(w, keepEnvelope(r))
+	g.next.ServeHTTP(w, withEnvelope(r))
 }
 
+// check returns why a call is rejected, nil when it is not.
 func (g *guard) check(r *http.Request) error {
 	if g.authorizer != nil {
 		if _, err := g.authorizer.Authorize(r); err != nil {
 			return twirp.NewError(twirp.Unauthenticated, err.Error())
 		}
 	}
-	// A process with the settings of another site must not join this one:
-	// its log and its upstreams are not ours.
+	// A process with the settings of another site must not join this one: its
+	// log and its upstreams belong to the other site.
 	if subtle.ConstantTimeCompare([]byte(r.Header.Get(siteHeader)), []byte(g.site)) != 1 {
 		g.wrongSite.Inc(1)
 		return twirp.NewError(twirp.PermissionDenied, "this process belongs to another site")
 	}
 	if r.Header.Get("Content-Type") != "application/protobuf" || r.ContentLength > maxCallBytes {
-		g.wrongForm.Inc(1)
+		g.malformed.Inc(1)
 		return twirp.NewError(twirp.Malformed, "calls are protobuf of at most 10 MiB")
 	}
 	return nil
 }
 
-// NewHTTPServer returns the HTTP server for the nodes' listener. Its long
+// NewHTTPServer returns the HTTP server for the listener of node calls. Its long
 // polls end with ctx, so that a graceful stop does not wait for them.
 func NewHTTPServer(ctx context.Context, handler http.Handler) *http.Server {
 	connections := &connectionLimit{}
@@ -100,14 +102,14 @@
 	}
 }
 
-// connectionLimit closes connections above the bound as they arrive.
+// connectionLimit closes new connections above maxServerConnections.
 type connectionLimit struct{ open atomic.Int64 }
 
 func (c *connectionLimit) track(conn net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
 		if c.open.Add(1) > maxServerConnections {
-			_ = conn.Close() // refused; there is nobody to tell
+			_ = conn.Close() // refused; a failure to close needs no handling
 		}
 	case http.StateClosed, http.StateHijacked:
 		c.open.Add(-1)
--- a/internal/node/halfopen_test.go
+++ b/internal/node/halfopen_test.go
@@ -13,7 +13,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// storingVoter answers heartbeats at once and appends a little later.
+// storingVoter replies to heartbeats at once and to appends a little later.
 type storingVoter struct {
 	Voter
 	client *Client
@@ -26,21 +26,21 @@
 			v.client.Send("n2", []quorum.Message{{Kind: quorum.KindHeartbeatReply}})
 		case quorum.KindAppend:
 			go func() {
-				time.Sleep(storeWait / 8)
+				time.Sleep(storedReplyWait / 8)
 				v.client.Send("n2", []quorum.Message{{Kind: quorum.KindAppendReply, Index: m.Index}})
 			}()
 		}
 	}
 }
 
-// Symptom: nothing commits for seconds and nobody elects another leader.
-// Sequence: new connections from two followers to the leader are refused, those
-// from the leader still work; heartbeats are answered in the reply of their call
-// and confirm the leader, the answers to appends need a call back and are lost.
-// Cause: the two ways of answering.
-func TestAppendsAreAnsweredInTheReply(t *testing.T) {
+// Guards against a leader that stays confirmed and can commit nothing for seconds.
+// It comes about when new connections from two followers to the leader are refused
+// while those from the leader work: replies to heartbeats return in the call's
+// reply and confirm the leader, but replies to appends need a separate call and
+// are lost.
+func TestAppendRepliesReturnInTheCallsReply(t *testing.T) {
 	is := is.New(t)
-	// Nobody listens there: what is not in the reply is lost.
+	// Nothing listens at that address: a message that is not in the reply is lost.
 	client := NewClient(ClientConfig{Self: "n1", Addresses: map[model.NodeID]string{"n2": "127.0.0.1:1"}, Metrics: metrics.NewRegistry()})
 	server := NewServer(ServerConfig{Self: "n1", Client: client, Metrics: metrics.NewRegistry()})
 	server.SetVoter(storingVoter{client: client})
@@ -48,9 +48,9 @@
 	is.NoErr(err)
 	reply, err := server.Exchange(context.Background(), &nodepb.ExchangeRequest{Node: "n2", Messages: data})
 	is.NoErr(err)
-	answers, err := decodeMessages(reply.Messages)
+	replies, err := decodeMessages(reply.Messages)
 	is.NoErr(err)
-	is.Equal(len(answers), 2)
-	is.Equal(answers[0].Kind, quorum.KindHeartbeatReply)
-	is.Equal(answers[1].Index, uint64(7))
+	is.Equal(len(replies), 2)
+	is.Equal(replies[0].Kind, quorum.KindHeartbeatReply)
+	is.Equal(replies[1].Index, uint64(7))
 }
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -16,60 +16,60 @@
 )
 
 const (
-	// inForcePoll is the time between two questions to a process that has not
-	// yet applied a change somebody waits for.
-	inForcePoll = 25 * time.Millisecond
-	// stuckAfter is how long a process may know of an index that it has not
-	// applied before its feed counts as stuck. It leaves the time to get the
-	// index elsewhere before membership.ConfirmLimit is over.
-	stuckAfter = time.Second
-	// urgentPause is the least time between two rounds.
-	urgentPause = 20 * time.Millisecond
+	// inForcePollInterval is the time between two beats to a process that has
+	// not yet applied a change for which somebody waits.
+	inForcePollInterval = 25 * time.Millisecond
+	// feedStalledAfter is how long a process may lag behind a known commit
+	// index before its feed counts as stalled. It leaves enough time to get the
+	// index from another voter before membership.ConfirmLimit has passed.
+	feedStalledAfter = time.Second
+	// minRoundPause is the least time between two rounds.
+	minRoundPause = 20 * time.Millisecond
 )
 
 // HeartbeatsConfig sets up Heartbeats.
 type HeartbeatsConfig struct {
 	Self model.NodeID
-	// Members are all processes of the site, Voters those that vote.
+	// Members holds all processes of the site, Voters those that vote.
 	Members, Voters []model.NodeID
-	// Interval is 0 in the product.
+	// Interval is only set in tests.
 	Interval time.Duration
 	Machine  Machine
 	Client   *Client
 	Leader   *LeaderHint
 	// Spreader is nil in a process that keeps no registry.
 	Spreader *Spreader
-	// Unconfirmed is called again and again while this process is not ready
-	// though it was, or has been behind for stuckAfter; it may be nil.
+	// Unconfirmed is called repeatedly while this process was ready and no
+	// longer is, or has been behind for feedStalledAfter. It may be nil.
 	Unconfirmed func()
 	Metrics     metrics.Registry
 	Logger      log.Interface
-	// Incarnation and Clock are zero in the product.
+	// Incarnation and Clock are only set in tests.
 	Incarnation uint64
 	Clock       func() model.Instant
 }
 
-// Heartbeats drives the membership of this process. It is safe for
-// concurrent use; Run is its duty.
+// Heartbeats drives the membership of this process. It is safe for concurrent
+// use; Run is its background task.
 type Heartbeats struct {
 	config HeartbeatsConfig
 	clock  func() model.Instant
-	nudge  chan struct{}
+	wakeup chan struct{}
 
 	mu       sync.Mutex
 	core     *membership.Core
 	voter    Voter
 	leaving  bool
 	inFlight map[model.NodeID]bool
-	// wasReady and lastView are what was logged last.
+	// wasReady and lastView hold what was last logged.
 	wasReady bool
 	lastView membership.View
 
-	sent, failed, static, unready, brokenCount metrics.Counter
-	readyGauge, ageGauge, liveGauge            metrics.Gauge
+	sent, failed, servedUnready, unready, violations metrics.Counter
+	readyGauge, ageGauge, liveGauge                  metrics.Gauge
 }
 
-// NewHeartbeats returns the membership of a process that has heard nobody.
+// NewHeartbeats returns the membership of a process without any contact yet.
 func NewHeartbeats(c HeartbeatsConfig) *Heartbeats {
 	if c.Logger == nil {
 		c.Logger = log.Log
@@ -84,30 +84,30 @@
 		Self: c.Self, Members: c.Members, Voters: c.Voters, Interval: c.Interval,
 	}, c.Incarnation)
 	return &Heartbeats{
-		config:      c,
-		clock:       c.Clock,
-		nudge:       make(chan struct{}, 1),
-		core:        core,
-		inFlight:    map[model.NodeID]bool{},
-		sent:        metrics.GetOrRegisterCounter("node.heartbeat.sent", c.Metrics),
-		failed:      metrics.GetOrRegisterCounter("node.heartbeat.failed", c.Metrics),
-		static:      metrics.GetOrRegisterCounter("node.served_unconfirmed", c.Metrics),
-		unready:     metrics.GetOrRegisterCounter("node.unready", c.Metrics),
-		brokenCount: metrics.GetOrRegisterCounter("membership.broken", c.Metrics),
-		readyGauge:  metrics.GetOrRegisterGauge("node.ready", c.Metrics),
-		ageGauge:    metrics.GetOrRegisterGauge("node.confirmed_age_ms", c.Metrics),
-		liveGauge:   metrics.GetOrRegisterGauge("node.live_members", c.Metrics),
+		config:        c,
+		clock:         c.Clock,
+		wakeup:        make(chan struct{}, 1),
+		core:          core,
+		inFlight:      map[model.NodeID]bool{},
+		sent:          metrics.GetOrRegisterCounter("node.heartbeat.sent", c.Metrics),
+		failed:        metrics.GetOrRegisterCounter("node.heartbeat.failed", c.Metrics),
+		servedUnready: metrics.GetOrRegisterCounter("node.served_unconfirmed", c.Metrics),
+		unready:       metrics.GetOrRegisterCounter("node.unready", c.Metrics),
+		violations:    metrics.GetOrRegisterCounter("membership.broken", c.Metrics),
+		readyGauge:    metrics.GetOrRegisterGauge("node.ready", c.Metrics),
+		ageGauge:      metrics.GetOrRegisterGauge("node.confirmed_age_ms", c.Metrics),
+		liveGauge:     metrics.GetOrRegisterGauge("node.live_members", c.Metrics),
 	}
 }
 
 // steadyClock starts at the wall clock and then only follows elapsed time, so
-// that a step of the wall clock makes nobody look silent.
+// that no process looks unresponsive because the wall clock was stepped.
 func steadyClock() func() model.Instant {
 	start := time.Now()
 	return func() model.Instant { return model.InstantOf(start).Add(time.Since(start)) }
 }
 
-// SetVoter lets the voter's standing count from now on.
+// SetVoter sets the voter whose status is used from now on.
 func (h *Heartbeats) SetVoter(v Voter) {
 	h.mu.Lock()
 	h.voter = v
@@ -115,8 +115,8 @@
 	h.wake()
 }
 
-// Leave makes this process unready and tells the leader at once, as the first
-// step of a graceful stop.
+// Leave makes this process unready and notifies the leader at once. It is the
+// first step of a graceful stop.
 func (h *Heartbeats) Leave() {
 	h.mu.Lock()
 	h.leaving = true
@@ -124,7 +124,7 @@
 	h.wake()
 }
 
-// Run sends beats until ctx ends.
+// Run sends heartbeats until ctx ends.
 func (h *Heartbeats) Run(ctx context.Context) error {
 	var calls conc.WaitGroup
 	defer calls.Wait()
@@ -135,21 +135,24 @@
 	return ctx.Err()
 }
 
-// round sends one beat to each target that has none on its way.
+// round sends one beat to each target that has none in flight, and returns the
+// time until the next round.
 func (h *Heartbeats) round(ctx context.Context, calls *conc.WaitGroup) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	h.update(now)
+	h.updateLocal(now)
 	round := h.core.Round(now)
 	for _, target := range round.Targets {
-		h.start(ctx, calls, now, target)
+		h.startCall(ctx, calls, now, target)
 	}
 	h.report(now)
 	return round.Next
 }
 
-func (h *Heartbeats) start(ctx context.Context, calls *conc.WaitGroup, now model.Instant, target model.NodeID) {
+// startCall sends a beat in the background unless one is in flight, under the
+// lock.
+func (h *Heartbeats) startCall(ctx context.Context, calls *conc.WaitGroup, now model.Instant, target model.NodeID) {
 	if h.inFlight[target] {
 		return
 	}
@@ -158,8 +161,9 @@
 	calls.Go(func() { h.call(ctx, target, now, beat) })
 }
 
+// call sends a beat and counts a failure.
 func (h *Heartbeats) call(ctx context.Context, target model.NodeID, sent model.Instant, beat membership.Beat) {
-	err := h.ask(ctx, target, sent, beat)
+	err := h.sendBeat(ctx, target, sent, beat)
 	h.mu.Lock()
 	delete(h.inFlight, target)
 	h.mu.Unlock()
@@ -168,8 +172,8 @@
 	}
 }
 
-// ask sends a beat and takes in the answer.
-func (h *Heartbeats) ask(ctx context.Context, target model.NodeID, sent model.Instant, beat membership.Beat) error {
+// sendBeat sends a beat and processes the reply.
+func (h *Heartbeats) sendBeat(ctx context.Context, target model.NodeID, sent model.Instant, beat membership.Beat) error {
 	p, err := h.config.Client.peer(target)
 	if err != nil {
 		return err
@@ -179,46 +183,47 @@
 	h.sent.Inc(1)
 	reply, err := p.small.node().Heartbeat(ctx, h.toWire(beat))
 	if err != nil {
-		p.failed(p.small, err)
+		p.recordFailure(p.small, err)
 		return err
 	}
-	answer, err := fromWire(reply)
+	response, err := fromWire(reply)
 	if err != nil {
 		return err
 	}
-	h.answered(sent, answer)
+	h.handleReply(sent, response)
 	if h.config.Spreader != nil {
-		h.config.Spreader.compare(target, reply.RegistryDigest)
+		h.config.Spreader.compareDigest(target, reply.RegistryDigest)
 	}
 	return nil
 }
 
-func (h *Heartbeats) answered(sent model.Instant, b membership.Beat) {
+// handleReply processes the reply to a beat that was sent at an instant.
+func (h *Heartbeats) handleReply(sent model.Instant, b membership.Beat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	h.update(now)
+	h.updateLocal(now)
 	h.core.ReceiveReply(now, sent, b)
-	h.after(now)
+	h.afterMessage(now)
 }
 
-// receive answers the beat of another process.
-func (h *Heartbeats) receive(request *nodepb.Beat) (*nodepb.Beat, error) {
+// handleBeat processes the beat of another process and returns the reply.
+func (h *Heartbeats) handleBeat(request *nodepb.Beat) (*nodepb.Beat, error) {
 	b, err := fromWire(request)
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("beat", err.Error())
 	}
 	h.mu.Lock()
 	now := h.clock()
-	h.update(now)
-	answer := h.core.Receive(now, b)
-	h.after(now)
+	h.updateLocal(now)
+	reply := h.core.Receive(now, b)
+	h.afterMessage(now)
 	h.mu.Unlock()
-	return h.toWire(answer), nil
+	return h.toWire(reply), nil
 }
 
-// after passes on what a message taught, under the lock.
-func (h *Heartbeats) after(now model.Instant) {
+// afterMessage acts on what a message changed, under the lock.
+func (h *Heartbeats) afterMessage(now model.Instant) {
 	h.config.Leader.Learn(h.core.Leader())
 	h.report(now)
 	if h.core.NeedsImmediateRound() {
@@ -226,8 +231,9 @@
 	}
 }
 
-// update tells the core what this process's own log says, under the lock.
-func (h *Heartbeats) update(now model.Instant) {
+// updateLocal passes the state of this process's own log to the core, under the
+// lock.
+func (h *Heartbeats) updateLocal(now model.Instant) {
 	local := membership.Local{Leaving: h.leaving}
 	if h.voter != nil {
 		s := h.voter.Standing()
@@ -236,27 +242,28 @@
 	} else {
 		local.Leader, local.Term = h.config.Leader.Get()
 	}
-	// Read last: what is applied by now covers the commit index read before.
+	// Read last, so that the applied index covers the commit index read before.
 	local.Applied = h.config.Machine.Applied()
 	h.core.Update(now, local)
 }
 
-// wake starts a round without waiting for its time.
+// wake starts a round before its time.
 func (h *Heartbeats) wake() {
 	select {
-	case h.nudge <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// sleep waits until the next round is due or wanted.
+// sleep waits until the next round is due or requested by wake, and at least
+// minRoundPause.
 func (h *Heartbeats) sleep(ctx context.Context, next time.Duration) {
-	steady.Pause(ctx, min(urgentPause, next))
-	timer := time.NewTimer(max(next-urgentPause, 0))
+	steady.Pause(ctx, min(minRoundPause, next))
+	timer := time.NewTimer(max(next-minRoundPause, 0))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-h.nudge:
+	case <-h.wakeup:
 	case <-ctx.Done():
 	}
 }
--- a/internal/node/heartbeats_report.go
+++ b/internal/node/heartbeats_report.go
@@ -9,28 +9,30 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// report logs and counts changes, under the lock.
+// report logs and counts changes of readiness, view and invariants, under the
+// lock.
 func (h *Heartbeats) report(now model.Instant) {
-	standing := h.core.Status(now)
-	h.ageGauge.Update(standing.ConfirmationAge.Milliseconds())
-	if standing.Ready != h.wasReady {
-		h.logReady(standing)
+	status := h.core.Status(now)
+	h.ageGauge.Update(status.ConfirmationAge.Milliseconds())
+	if status.Ready != h.wasReady {
+		h.logReady(status)
 	}
-	lost := !standing.Ready && standing.ConfirmationAge > 0
-	if (lost || standing.BehindFor > stuckAfter) && h.config.Unconfirmed != nil {
+	lost := !status.Ready && status.ConfirmationAge > 0
+	if (lost || status.BehindFor > feedStalledAfter) && h.config.Unconfirmed != nil {
 		h.config.Unconfirmed()
 	}
 	if view := h.core.View(); view.Newer(h.lastView) {
 		h.lastView = view
 		h.liveGauge.Update(int64(len(view.Live)))
-		h.config.Logger.WithFields(log.Fields{"term": view.Term, "version": view.Version, "live": names(view.Live)}).Info("members changed")
+		h.config.Logger.WithFields(log.Fields{"term": view.Term, "version": view.Version, "live": memberNames(view.Live)}).Info("members changed")
 	}
-	if broken := h.core.Violations(now); int64(len(broken)) > h.brokenCount.Count() {
-		h.brokenCount.Inc(int64(len(broken)) - h.brokenCount.Count())
-		h.config.Logger.WithField("broken", broken).Error("membership invariant broken")
+	if violations := h.core.Violations(now); int64(len(violations)) > h.violations.Count() {
+		h.violations.Inc(int64(len(violations)) - h.violations.Count())
+		h.config.Logger.WithField("broken", violations).Error("membership invariant violated")
 	}
 }
 
+// logReady logs and counts a change of readiness.
 func (h *Heartbeats) logReady(s membership.Status) {
 	h.wasReady = s.Ready
 	if s.Ready {
@@ -43,8 +45,8 @@
 	h.config.Logger.WithFields(log.Fields{"reason": s.Reason, "unheard": s.Unresponsive}).Warn("not ready")
 }
 
-// names returns the sorted names of members.
-func names(members []membership.Member) []model.NodeID {
+// memberNames returns the sorted names of members.
+func memberNames(members []membership.Member) []model.NodeID {
 	list := make([]model.NodeID, 0, len(members))
 	for _, m := range members {
 		list = append(list, m.Node)
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -6,16 +6,16 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// LeaderHint is who leads the control log as far as this process has heard.
-// It is safe for concurrent use; the zero value knows nobody.
+// LeaderHint is the last known leader of the control log. It may be outdated. It
+// is safe for concurrent use; the zero value holds no leader.
 type LeaderHint struct {
 	mu     sync.Mutex
 	leader model.NodeID
 	term   uint64
 }
 
-// Learn takes in what another process said. A leader of an earlier term is
-// ignored: it was replaced, whatever its messages say.
+// Learn records the leader that another process reported. A leader of an earlier
+// term is ignored: it was replaced, whatever its messages claim.
 func (h *LeaderHint) Learn(leader model.NodeID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -25,8 +25,9 @@
 	h.leader, h.term = leader, term
 }
 
-// Doubt forgets a leader that did not answer or said it does not lead. The
-// term stays, so that only the same or a later term can name a leader again.
+// Doubt removes a leader that did not reply or replied that it does not lead.
+// The term stays, so that only a leader of the same or a later term is recorded
+// again.
 func (h *LeaderHint) Doubt(leader model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// Get returns the leader, empty when unknown, and the highest term heard.
+// Get returns the leader, empty when unknown, and the highest known term.
 func (h *LeaderHint) Get() (model.NodeID, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -14,34 +14,35 @@
 	"github.com/comfreyloom/comfreyloom/internal/node/nodepb"
 )
 
-// siteHeader names the site of the caller; a process of another site is refused.
+// siteHeader names the sender's site; calls from another site are rejected.
 const siteHeader = "Comfreyloom-Site"
 
 const (
-	// dialTimeout bounds how long a connection takes to open.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = time.Second
-	// pingAfter is how long a connection may be silent before it is probed,
-	// pingTimeout how long the probe may take.
+	// pingAfter is how long nothing may arrive on a connection before it is
+	// probed, and pingTimeout bounds the probe.
 	pingAfter   = 2 * time.Second
 	pingTimeout = time.Second
-	// renewEvery is the least time between two new connections of a link, and
-	// retireAfter how long an old one is kept for calls in progress.
-	renewEvery  = 500 * time.Millisecond
-	retireAfter = 3 * time.Second
-	// writeTimeout closes a connection that takes no byte for so long.
+	// minRenewInterval is the least time between two new connections of a link,
+	// and retireAfter how long an old one is kept for calls in progress.
+	minRenewInterval = 500 * time.Millisecond
+	retireAfter      = 3 * time.Second
+	// writeTimeout is the time after which a connection that accepts no byte is
+	// closed.
 	writeTimeout = 2 * time.Second
-	// idleTimeout closes a connection that carries no call.
+	// idleTimeout is the time after which a connection without calls is closed.
 	idleTimeout = 2 * time.Minute
 	// maxCallBytes bounds the body of a call or reply: the largest command of
-	// the control log, 8 MiB, with room for what goes with it.
+	// the control log, 8 MiB, and the fields around it.
 	maxCallBytes = 10 << 20
 )
 
-// DialFunc opens a connection; tests and meters replace it.
+// DialFunc opens a connection. Tests replace it, also to count bytes.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// link is the way to one peer for one kind of calls: one HTTP/2 connection,
-// and for a short while the one before it.
+// link carries one kind of calls to one peer over one HTTP/2 connection, and for
+// a short time over the previous one too.
 type link struct {
 	address     string
 	credentials credentials
@@ -53,10 +54,10 @@
 	renewedAt time.Time
 }
 
-// session is one generation of a link.
+// session is one connection of a link, with its client.
 type session struct {
 	node      nodepb.Node
-	caller    *authorizedCaller
+	client    *authorizedClient
 	transport *http.Transport
 }
 
@@ -71,20 +72,20 @@
 	return l
 }
 
-// node returns the client for the next call.
+// node returns the generated client for the next call.
 func (l *link) node() nodepb.Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.session.node
 }
 
-// renew makes further calls open a new connection. It is used after a call
-// got no answer: the connection may be the reason, and the probe notices only
-// later. Calls in progress go on; the old connection is closed soon after.
+// renew makes further calls use a new connection. It is called after a call got
+// no reply: the connection may be the reason, and the probe detects this only
+// later. Calls in progress continue; the old connection is closed soon after.
 func (l *link) renew() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.renewedAt) < renewEvery {
+	if time.Since(l.renewedAt) < minRenewInterval {
 		return
 	}
 	old := l.session.transport
@@ -105,33 +106,33 @@
 		DialContext:        l.dial,
 		IdleConnTimeout:    idleTimeout,
 		DisableCompression: true,
-		// A connection can go silent for good while new ones work, because
-		// something between the two ends lost track of it. Without the
-		// probe a call would wait for the whole long poll.
+		// A connection can stop working for good while new ones work, because
+		// a device between the two ends has lost its state. Without the probe
+		// a call would wait for the whole long poll.
 		HTTP2: &http.HTTP2Config{
 			SendPingTimeout:  l.probeAfter,
 			PingTimeout:      pingTimeout,
 			WriteByteTimeout: writeTimeout,
-			// One connection a session: further calls wait for a stream.
+			// There is one connection a session; further calls wait for a stream.
 			StrictMaxConcurrentRequests: true,
 		},
 	}
-	caller := &authorizedCaller{credentials: l.credentials, client: &http.Client{Transport: transport}}
+	client := &authorizedClient{credentials: l.credentials, client: &http.Client{Transport: transport}}
 	return &session{
-		node:      nodepb.NewNodeProtobufClient("http://"+l.address, caller),
-		caller:    caller,
+		node:      nodepb.NewNodeProtobufClient("http://"+l.address, client),
+		client:    client,
 		transport: transport,
 	}
 }
 
-// unencryptedHTTP2 makes peers speak HTTP/2 from the first byte.
+// unencryptedHTTP2 selects HTTP/2 from the first byte, without TLS.
 func unencryptedHTTP2() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return protocols
 }
 
-// credentials are what every call carries.
+// credentials are sent with every call.
 type credentials struct {
 	site  string
 	token func() string
@@ -144,21 +145,21 @@
 	}
 }
 
-// authorizedCaller signs requests and bounds replies.
-type authorizedCaller struct {
+// authorizedClient adds the credentials to requests and bounds the replies.
+type authorizedClient struct {
 	credentials credentials
 	client      *http.Client
 }
 
 // Do sends a request of the generated client, once.
 //
-// The transport would send a call again whose connection the peer gave up in
-// the middle of it, as often as that happens, while its goroutine of the try
-// before still reads the body. One notices by a call that lasts until its
-// deadline beside a peer that leaves, at full processor, and by the race
-// detector. Without a way to the body's start the call ends with the first
-// failure, and whoever made it decides.
-func (a *authorizedCaller) Do(r *http.Request) (*http.Response, error) {
+// GetBody is removed, because the transport would otherwise resend a call whose
+// connection the peer closed in the middle, as often as that happens, while the
+// goroutine of the previous attempt still reads the body. Calls to a leaving peer
+// then lasted until their deadline with the processor fully used, and the race
+// detector reported it. Without GetBody the call ends with the first failure, and
+// the code that made the call decides about a retry.
+func (a *authorizedClient) Do(r *http.Request) (*http.Response, error) {
 	r.GetBody = nil
 	a.credentials.sign(r.Header)
 	var connected atomic.Bool
@@ -174,6 +175,7 @@
 	return response, nil
 }
 
+// limitedBody is a reply's body of at most maxCallBytes.
 type limitedBody struct {
 	io.Reader
 	io.Closer
@@ -181,26 +183,25 @@
 
 // unsentError is the failure of a call that ended before it had a connection.
 //
-// A peer without power answers no attempt to connect, so the call ends by its
-// own deadline, with an error that does not tell it from one that was sent and
-// not answered. One notices by requests whose outcome is called unknown for as
-// long as the peer is away; their callers may not send them again. The
-// transport tells when it has a connection for the call; before that no byte
-// can have left.
+// A peer without power does not respond to connection attempts, so the call ends
+// at its own deadline, with the same error as one that was sent and got no reply.
+// Requests then ended with an unknown outcome for as long as the peer was down,
+// and their callers must not resend such requests. The transport reports when it
+// has a connection for the call; before that, no byte can have been sent.
 type unsentError struct{ cause error }
 
 func (e *unsentError) Error() string { return "no connection: " + e.cause.Error() }
 func (e *unsentError) Unwrap() error { return e.cause }
 
-// neverSent reports whether the error proves that no byte of the call left.
+// neverSent reports whether the error proves that no byte of the call was sent.
 func neverSent(err error) bool {
 	var unsent *unsentError
 	return errors.As(err, &unsent)
 }
 
-// unanswered reports whether a call failed without the peer's answer. Errors
-// that the peer sent wrap nothing; those of a call that was given up here say
-// nothing about the connection.
+// unanswered reports whether a call failed without a reply of the peer, which
+// may be the connection's fault. Errors that the peer sent wrap no other error. A
+// call that was cancelled here is no sign of a faulty connection.
 func unanswered(err error) bool {
 	return errors.Unwrap(err) != nil && !neverSent(err) && !errors.Is(err, context.Canceled)
 }
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -14,17 +14,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/node/nodepb"
 )
 
-// Frames of HTTP/2 that the leaving peer sends, as RFC 9113 lays them out.
+// HTTP/2 frames that the leaving peer sends, see RFC 9113.
 const (
-	// settingsFrame allows 1 GiB under way on a stream, windowFrame on the connection.
+	// settingsFrame allows 1 GiB in flight on a stream, windowFrame on the
+	// connection.
 	settingsFrame = "\x00\x00\x06\x04\x00\x00\x00\x00\x00" + "\x00\x04\x40\x00\x00\x00"
 	windowFrame   = "\x00\x00\x04\x08\x00\x00\x00\x00\x00" + "\x40\x00\x00\x00"
-	// goAwayFrame says that no stream was handled.
+	// goAwayFrame reports that no stream was handled.
 	goAwayFrame = "\x00\x00\x08\x07\x00\x00\x00\x00\x00" + "\x00\x00\x00\x00" + "\x00\x00\x00\x00"
 )
 
-// leavingPeer accepts connections and leaves each in the middle of a call's body.
-func leavingPeer(t *testing.T, afterBytes int64) string {
+// leavingPeerAddress starts a peer that sends GOAWAY on each connection in the
+// middle of a call's body, and returns its address.
+func leavingPeerAddress(t *testing.T, afterBytes int64) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,13 +39,13 @@
 			if err != nil {
 				return
 			}
-			go leave(conn, afterBytes)
+			go leaveDuringCall(conn, afterBytes)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func leave(conn net.Conn, afterBytes int64) {
+func leaveDuringCall(conn net.Conn, afterBytes int64) {
 	defer conn.Close()
 	_, _ = io.WriteString(conn, settingsFrame+windowFrame)
 	_, _ = io.CopyN(io.Discard, conn, afterBytes)
@@ -51,20 +53,20 @@
 	_, _ = io.CopyN(io.Discard, conn, maxCallBytes)
 }
 
-// Symptom: a data race between the transport, which gets ready to send a call
-// again, and its goroutine that still reads the body of the first try.
-// Sequence: a peer leaves while calls to it are being written. Cause: a call
-// whose body can be had anew is sent again inside the transport. It is not
-// offered anew, so that the call ends, and whoever made it decides.
+// Guards against a data race in the transport between the preparation of a resend
+// and the goroutine that still reads the body of the first attempt. It came about
+// when a peer left while calls to it were being written, because the transport
+// itself resends a call with a GetBody. Without GetBody the call ends, and the code
+// that made it decides about a retry.
 func TestCallToALeavingPeerEnds(t *testing.T) {
 	is := is.New(t)
 	payload := strings.Repeat("x", 4<<20)
 	for i := range 60 {
-		l := testLink(leavingPeer(t, int64(1+i)<<15), defaultDial())
+		l := testLink(leavingPeerAddress(t, int64(1+i)<<15), defaultDial())
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		_, err := l.node().Propose(ctx, &nodepb.ProposeRequest{Command: []byte(payload)})
 		is.True(err != nil)
-		is.True(unanswered(err)) // it may have run: the caller must not take it as refused
+		is.True(unanswered(err)) // it may have run, so it must not count as refused
 		is.NoErr(ctx.Err())      // at once, not at the deadline
 		cancel()
 		l.close()
@@ -75,17 +77,17 @@
 	return newLink(address, ClientConfig{Site: testSite, Token: func() string { return "" }, Dial: dial, ProbeAfter: pingAfter})
 }
 
-// Symptom: while the core VMs have no power, requests are answered with "may
-// have run" and can't be sent again, although they went nowhere. Sequence: an
-// attempt to connect gets no answer, and the call's deadline comes before the
-// one of connecting. Cause: the deadline's error says nothing of the connection.
+// Guards against requests that end with "may have run" while the core VMs have no
+// power, although nothing was sent, so that they cannot be resent. It came about
+// because connecting got no response and the call's deadline passed before the
+// dial timeout: the deadline's error does not tell whether there was a connection.
 func TestCallWithoutAConnectionWasNotSent(t *testing.T) {
 	is := is.New(t)
-	silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
+	blackhole := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	l := testLink("127.0.0.1:9", silent)
+	l := testLink("127.0.0.1:9", blackhole)
 	defer l.close()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -95,9 +97,9 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// Symptom: a request runs twice. Sequence: a peer takes a call and is silent.
-// Cause: the call taken for one that was not sent.
-func TestCallWithoutAnAnswerMayHaveRun(t *testing.T) {
+// Guards against a request that runs twice. It would come about if a call that a
+// peer received and did not reply to counted as one that was not sent.
+func TestCallWithoutReplyMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// attemptTimeout bounds one try at one process.
+	// attemptTimeout bounds one attempt at one process.
 	attemptTimeout = 2 * time.Second
-	// callLimit bounds a call whose context has no deadline.
-	callLimit = 30 * time.Second
-	// retryPause is the pause after the first try; it grows to maxRetryPause.
+	// defaultCallTimeout bounds a call whose context has no deadline.
+	defaultCallTimeout = 30 * time.Second
+	// retryPause is the pause after the first attempt; it doubles up to
+	// maxRetryPause.
 	retryPause    = 2 * time.Millisecond
 	maxRetryPause = 160 * time.Millisecond
 )
@@ -34,7 +35,7 @@
 	Voters  []model.NodeID
 	Leader  *LeaderHint
 	Metrics metrics.Registry
-	// Clock and Pause, which waits between two tries, are nil in the product.
+	// Clock and Pause, which waits between two attempts, are only set in tests.
 	Clock func() model.Instant
 	Pause func(ctx context.Context, d time.Duration)
 }
@@ -63,14 +64,14 @@
 	}
 }
 
-// Propose commits a command and returns its result once it is applied here.
-// It tries again under the same ID until ctx ends, so a lost answer has no
+// Propose commits a command and returns its result once this process has applied
+// it. It retries under the same ID until ctx ends, so that a lost reply has no
 // second effect.
 func (l *Log) Propose(ctx context.Context, c state.Command) (state.Result, error) {
 	if c.ID == "" {
 		return state.Result{}, oops.In("node").Wrapf(state.ErrNotProposed, "the command has no ID")
 	}
-	ctx, cancel := limited(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	result, err := l.commit(ctx, c)
 	if err != nil {
@@ -84,14 +85,14 @@
 	return result, nil
 }
 
-// commit tries one process after another until one of them commits. Once a
-// try may have entered the command, the outcome stays unknown until a later
-// try tells it: giving up then must not read as "was not proposed".
+// commit tries one process after another until one of them commits. Once an
+// attempt may have added the command to the log, the outcome stays unknown until
+// a later attempt returns it: giving up must then not report "not proposed".
 func (l *Log) commit(ctx context.Context, c state.Command) (state.Result, error) {
 	outcome := state.ErrNotProposed
-	tries := l.newTries()
+	attempts := l.newAttempts()
 	for ctx.Err() == nil {
-		result, err := l.try(ctx, tries.next(), c)
+		result, err := l.attempt(ctx, attempts.nextTarget(), c)
 		if err == nil {
 			return result, nil
 		}
@@ -99,7 +100,7 @@
 			outcome = state.ErrOutcomeUnknown
 		}
 		l.retries.Inc(1)
-		tries.wait(ctx)
+		attempts.backOff(ctx)
 	}
 	if errors.Is(outcome, state.ErrOutcomeUnknown) {
 		l.unknown.Inc(1)
@@ -107,18 +108,19 @@
 	return state.Result{}, outcome
 }
 
-func (l *Log) try(ctx context.Context, target model.NodeID, c state.Command) (state.Result, error) {
+// attempt proposes a command at one process, once.
+func (l *Log) attempt(ctx context.Context, target model.NodeID, c state.Command) (state.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	if target == l.config.Self && l.config.Voter != nil {
-		return proposeHere(ctx, l.config.Voter, c, l.config.Clock())
+		return proposeLocally(ctx, l.config.Voter, c, l.config.Clock())
 	}
-	return l.proposeAt(ctx, target, c)
+	return l.proposeRemotely(ctx, target, c)
 }
 
-// proposeHere proposes at this process's own voter. The leader sets the time,
-// so that it comes from one clock whoever sent the command.
-func proposeHere(ctx context.Context, voter Voter, c state.Command, now model.Instant) (state.Result, error) {
+// proposeLocally proposes at this process's own voter. The leader sets the time,
+// so that it comes from one clock whichever process sent the command.
+func proposeLocally(ctx context.Context, voter Voter, c state.Command, now model.Instant) (state.Result, error) {
 	c.At = now
 	for i := range c.Batch {
 		c.Batch[i].At = now
@@ -130,7 +132,8 @@
 	return voter.Propose(ctx, data)
 }
 
-func (l *Log) proposeAt(ctx context.Context, target model.NodeID, c state.Command) (state.Result, error) {
+// proposeRemotely proposes at another process.
+func (l *Log) proposeRemotely(ctx context.Context, target model.NodeID, c state.Command) (state.Result, error) {
 	p, err := l.config.Client.peer(target)
 	if err != nil {
 		return state.Result{}, errors.Join(state.ErrNotProposed, err)
@@ -142,21 +145,22 @@
 	reply, err := p.work.node().Propose(ctx, &nodepb.ProposeRequest{Node: string(l.config.Self), Command: data})
 	if err != nil {
 		l.config.Leader.Doubt(target)
-		p.failed(p.work, err)
+		p.recordFailure(p.work, err)
 		return state.Result{}, errors.Join(proposeOutcome(err), err)
 	}
-	l.hear(target, reply.Leader, reply.Term)
+	l.updateLeader(target, reply.Leader, reply.Term)
 	return proposeResult(reply)
 }
 
-// hear takes in the hint of a process that was asked as the leader.
-func (l *Log) hear(asked model.NodeID, leader string, term uint64) {
-	if model.NodeID(leader) != asked {
-		l.config.Leader.Doubt(asked)
+// updateLeader records the leader that the reply of a target names.
+func (l *Log) updateLeader(target model.NodeID, leader string, term uint64) {
+	if model.NodeID(leader) != target {
+		l.config.Leader.Doubt(target)
 	}
 	l.config.Leader.Learn(model.NodeID(leader), term)
 }
 
+// proposeResult returns the result or error that a reply holds.
 func proposeResult(reply *nodepb.ProposeReply) (state.Result, error) {
 	switch reply.Outcome {
 	case nodepb.ProposeOutcome_PROPOSE_OUTCOME_COMMITTED:
@@ -172,33 +176,35 @@
 	}
 }
 
-// proposeOutcome maps a failed call: only one that never left, or that the
-// peer refused before handling it, proves that nothing was proposed.
+// proposeOutcome maps the error of a failed call. Only a call that was never
+// sent, or that the peer rejected unhandled, proves that nothing was proposed.
 func proposeOutcome(err error) error {
-	if neverSent(err) || refusedUnhandled(err) {
+	if neverSent(err) || rejectedUnhandled(err) {
 		return state.ErrNotProposed
 	}
 	return state.ErrOutcomeUnknown
 }
 
-// Confirm waits until everything that was committed before the call is
-// applied here, as a quorum confirms.
+// Confirm waits until this process has applied everything that was committed
+// before the call, up to an index that a quorum confirms.
 func (l *Log) Confirm(ctx context.Context) (uint64, error) {
-	ctx, cancel := limited(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
-	tries := l.newTries()
+	attempts := l.newAttempts()
 	for ctx.Err() == nil {
-		index, err := l.readIndex(ctx, tries.next())
+		index, err := l.readIndex(ctx, attempts.nextTarget())
 		if err == nil {
 			return index, l.WaitApplied(ctx, index)
 		}
-		tries.wait(ctx)
+		attempts.backOff(ctx)
 	}
 	return 0, oops.In("node").Wrapf(ctx.Err(), "no quorum confirmed the state in time")
 }
 
+// errNotConfirmed is the error of a read index at a process that returned none.
 var errNotConfirmed = errors.New("node: not the leader, or not confirmed")
 
+// readIndex asks one process for a confirmed index.
 func (l *Log) readIndex(ctx context.Context, target model.NodeID) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -212,23 +218,23 @@
 	reply, err := p.small.node().ReadIndex(ctx, &nodepb.ReadIndexRequest{Node: string(l.config.Self)})
 	if err != nil {
 		l.config.Leader.Doubt(target)
-		p.failed(p.small, err)
+		p.recordFailure(p.small, err)
 		return 0, err
 	}
-	l.hear(target, reply.Leader, reply.Term)
+	l.updateLeader(target, reply.Leader, reply.Term)
 	if !reply.Confirmed {
 		return 0, errNotConfirmed
 	}
 	return reply.Index, nil
 }
 
-// View returns the tables as of the last index applied here.
+// View returns the tables as of the last applied index.
 func (l *Log) View() *state.View { return l.config.Machine.View() }
 
-// Claim returns the claim of a key, nil when there is none.
+// Claim returns the claim of a key, or nil when there is none.
 func (l *Log) Claim(key model.RequestKey) *model.Claim { return l.config.Machine.Claim(key) }
 
-// Audit returns at most limit audit records from the sequence on.
+// Audit returns at most limit audit records, starting at a sequence number.
 func (l *Log) Audit(from uint64, limit int) []model.AuditRecord {
 	return l.config.Machine.Audit(from, limit)
 }
@@ -238,11 +244,11 @@
 	return l.config.Machine.Wait(ctx, index)
 }
 
-// Leader returns the leader and its term as last heard.
+// Leader returns the last known leader and its term.
 //
-// Whether this process leads, only its own voter knows. One that was cut off
-// as the leader hears of no other: by the last hint, which is itself, its
-// controller would go on as the leader's for as long as the cut lasts.
+// Only this process's own voter decides whether this process leads. A leader that
+// was cut off learns of no other: if it trusted the last hint, which is itself,
+// its controller would continue as the leader's until the partition ends.
 func (l *Log) Leader() (model.NodeID, uint64) {
 	if l.config.Voter != nil {
 		if s := l.config.Voter.Standing(); s.Leader != "" {
@@ -256,9 +262,10 @@
 	return leader, term
 }
 
-func limited(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDefaultTimeout adds a deadline to a context that has none.
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, has := ctx.Deadline(); has {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, callLimit)
+	return context.WithTimeout(ctx, defaultCallTimeout)
 }
--- a/internal/node/network_test.go
+++ b/internal/node/network_test.go
@@ -9,15 +9,15 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// network is loopback with cuts. A cut is one-way: what its sender writes is
-// swallowed, on connections of either side's making. A connection that lost
-// bytes stays silent for good, as when a middlebox has lost track of it.
+// network is loopback with one-way cuts. What a node writes to one that it is cut
+// off from is dropped, whichever side opened the connection. A connection that
+// lost bytes drops all further ones, as when a middlebox has lost its state.
 type network struct {
 	mu     sync.Mutex
 	cuts   map[[2]model.NodeID]bool
 	owners map[string]model.NodeID
 	conns  map[*lossyConn]bool
-	// bytes counts what each node wrote and read.
+	// bytes counts the bytes that each node wrote and read.
 	bytes map[model.NodeID]*atomic.Int64
 }
 
@@ -30,13 +30,14 @@
 	}
 }
 
+// cut drops what one node writes to another, or ends that.
 func (n *network) cut(from, to model.NodeID, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]model.NodeID{from, to}] = on
 }
 
-// isolate cuts a node off from everybody in both directions.
+// isolate cuts a node off from others in both directions, or ends that.
 func (n *network) isolate(node model.NodeID, others []model.NodeID, on bool) {
 	for _, other := range others {
 		n.cut(node, other, on)
@@ -44,12 +45,12 @@
 	}
 }
 
-// silence makes all open connections silent for good; new ones work.
-func (n *network) silence() {
+// blackholeAll makes all open connections drop what is written; new ones work.
+func (n *network) blackholeAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
@@ -72,7 +73,7 @@
 	return n.owners[address]
 }
 
-func (n *network) meter(node model.NodeID) *atomic.Int64 {
+func (n *network) byteCounter(node model.NodeID) *atomic.Int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.bytes[node] == nil {
@@ -81,7 +82,7 @@
 	return n.bytes[node]
 }
 
-// dial returns the dialer of a node.
+// dial returns a node's function to open connections.
 func (n *network) dial(from model.NodeID, names map[string]model.NodeID) DialFunc {
 	dialer := defaultDial()
 	return func(ctx context.Context, kind, address string) (net.Conn, error) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// listener wraps the connections that a node accepts.
+// listener wraps the connections that a node accepts in lossyConn.
 type listener struct {
 	net.Listener
 	network *network
@@ -118,25 +119,26 @@
 		peer: func() model.NodeID { return l.network.owner(remote) }}), nil
 }
 
+// lossyConn drops what is written to it after a cut.
 type lossyConn struct {
 	net.Conn
-	network *network
-	self    model.NodeID
-	peer    func() model.NodeID
-	silent  atomic.Bool
+	network    *network
+	self       model.NodeID
+	peer       func() model.NodeID
+	blackholed atomic.Bool
 }
 
 func (c *lossyConn) Write(p []byte) (int, error) {
-	if c.silent.Load() || c.network.isCut(c.self, c.peer()) {
-		c.silent.Store(true)
+	if c.blackholed.Load() || c.network.isCut(c.self, c.peer()) {
+		c.blackholed.Store(true)
 		return len(p), nil
 	}
-	c.network.meter(c.self).Add(int64(len(p)))
+	c.network.byteCounter(c.self).Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
 func (c *lossyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.network.meter(c.self).Add(int64(n))
+	c.network.byteCounter(c.self).Add(int64(n))
 	return n, err
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,7 +26,7 @@
 	is.New(tb).NoErr(os.WriteFile(path, []byte(text), 0o600))
 }
 
-// claim is a command of 60 KB that yields another result if it runs twice.
+// claim returns a command of 60 KiB whose result differs if it runs twice.
 func claim(key string) state.Command {
 	return state.Command{ID: model.CommandID("command-" + key), Actor: "test", ClaimRequest: &state.ClaimRequest{
 		Claim: model.Claim{Key: model.RequestKey(key), Digest: bytes.Repeat([]byte("x"), 60<<10)},
@@ -46,7 +46,7 @@
 	p := s.processes["n5"]
 	result, err := p.log.Propose(t.Context(), claim("a"))
 	is.NoErr(err)
-	is.True(p.machine.Applied() >= result.Index) // applied here before it is answered
+	is.True(p.machine.Applied() >= result.Index) // applied here before Propose returns
 	is.Equal(len(p.heartbeats.WaitInForce(t.Context(), result.Index)), 0)
 	index, err := p.log.Confirm(t.Context())
 	is.NoErr(err)
@@ -56,14 +56,14 @@
 		is.Equal(p.heartbeats.Check(), nil)
 	}
 	p.heartbeats.Leave()
-	eventually(t, "the leaving one is out", s.all(func(o *process) bool { return !o.heartbeats.View().Has("n5") }))
+	eventually(t, "the leaving process is no member", s.all(func(o *process) bool { return !o.heartbeats.View().Has("n5") }))
 	is.True(!p.heartbeats.Ready())
 }
 
-// Symptom: a process of another site, or one with an old token, changes this
-// site's state. Sequence: it proposes and exchanges messages. Cause: the
-// settings of two sites were mixed up, or a token was revoked.
-func TestRefusedAtTheDoor(t *testing.T) {
+// Guards against a process that changes the state of this site although it belongs
+// to another one or its token was revoked. It comes about when the settings of two
+// sites are mixed up.
+func TestForeignCallsAreRefused(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSite(t, 3, 0, 0)
@@ -78,7 +78,7 @@
 		ctx, giveUp := givingUpAfter(t, 5)
 		log := NewLog(LogConfig{Self: "n2", Machine: leader.machine, Client: client, Voters: s.voters, Leader: &LeaderHint{}, Metrics: metrics.NewRegistry(), Pause: giveUp})
 		_, err := log.Propose(ctx, claim("a"))
-		is.True(errors.Is(err, state.ErrNotProposed)) // and so not outcome unknown
+		is.True(errors.Is(err, state.ErrNotProposed)) // and not outcome unknown
 		is.True(leader.count(c.counter) > before)
 		is.Equal(leader.machine.Applied(), uint64(0))
 		client.Close()
@@ -86,31 +86,30 @@
 	request := httptest.NewRequest(http.MethodPost, nodepb.NodePathPrefix+"Propose", strings.NewReader("{}"))
 	credentials{testSite, func() string { return s.token }}.sign(request.Header)
 	request.Header.Set("Content-Type", "application/json")
-	answer := httptest.NewRecorder()
-	leader.server.Handler().ServeHTTP(answer, request)
-	is.Equal(answer.Code, http.StatusBadRequest)
+	response := httptest.NewRecorder()
+	leader.server.Handler().ServeHTTP(response, request)
+	is.Equal(response.Code, http.StatusBadRequest)
 	is.Equal(leader.count("node.refused.form"), int64(1))
 }
 
-// givingUpAfter returns a context that ends between two tries, after so many. A
-// context that ended by time could end a try on its way, whose outcome is
-// rightly unknown.
-func givingUpAfter(t *testing.T, tries int) (context.Context, func(context.Context, time.Duration)) {
+// givingUpAfter returns a context that ends between two attempts, after a number
+// of them, and the pause function that ends it. A context with a deadline could end
+// during an attempt, whose outcome would rightly be unknown.
+func givingUpAfter(t *testing.T, attempts int) (context.Context, func(context.Context, time.Duration)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	return ctx, func(ctx context.Context, d time.Duration) {
-		if tries--; tries == 0 {
+		if attempts--; attempts == 0 {
 			cancel()
 		}
 		steady.Pause(ctx, d)
 	}
 }
 
-// Symptom: a change takes effect twice, or is reported as not made although
-// it was. Sequence: the leader commits, its answer is lost, and the command
-// comes again, or the caller's time is over. Cause: the answer to a command
-// can be lost after its effect.
-func TestLostAnswersOfPropose(t *testing.T) {
+// Guards against a change that takes effect twice, or is reported as not made
+// although it was. It comes about when the leader commits a command, its reply is
+// lost, and the command is sent again or the caller's deadline passes.
+func TestLostRepliesOfPropose(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSite(t, 3, 1, 0)
@@ -120,7 +119,7 @@
 		calls++
 		result, err := next()
 		if calls == 1 {
-			return state.Result{}, errors.New("the answer is lost")
+			return state.Result{}, errors.New("the reply is lost")
 		}
 		return result, err
 	})
@@ -133,9 +132,9 @@
 
 	loseLast := proposeHook(func(next func() (state.Result, error)) (state.Result, error) {
 		_, _ = next()
-		s.log.lead("") // from now on every voter says that it does not lead
+		s.log.setLeader("") // from now on every voter replies that it does not lead
 		leader.voter.hook.Store(nil)
-		return state.Result{}, errors.New("the answer is lost")
+		return state.Result{}, errors.New("the reply is lost")
 	})
 	leader.voter.hook.Store(&loseLast)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -147,15 +146,15 @@
 	ctx, giveUp := givingUpAfter(t, 5)
 	log := NewLog(LogConfig{Self: "n4", Machine: learner.machine, Client: learner.client, Voters: s.voters, Leader: &LeaderHint{}, Metrics: metrics.NewRegistry(), Pause: giveUp})
 	_, err = log.Propose(ctx, claim("c"))
-	is.True(errors.Is(err, state.ErrNotProposed)) // nobody took it
+	is.True(errors.Is(err, state.ErrNotProposed)) // no process accepted it
 	_, err = learner.log.Propose(t.Context(), state.Command{})
 	is.True(errors.Is(err, state.ErrNotProposed)) // no ID
 }
 
-// Symptom: a VM forgets an accepted change. Sequence: a voter with an older
-// or another log answers the feed after a newer one did. Cause: a restored
-// disk, a site that was founded anew, or a fault of a voter.
-func TestLearnerNeverStepsBack(t *testing.T) {
+// Guards against a VM that forgets an accepted change. It comes about when a voter
+// with an older or another log serves the feed after one with a newer log did,
+// because of a restored disk, a site that was founded anew, or a faulty voter.
+func TestLearnerRefusesStaleFeeds(t *testing.T) {
 	is := is.New(t)
 	machine := state.NewMachine(state.Options{})
 	f := NewFollower(FollowerConfig{Self: "n4", Machine: machine, Leader: &LeaderHint{}, Metrics: metrics.NewRegistry()})
@@ -180,13 +179,13 @@
 		reply *nodepb.FollowReply
 		want  error
 	}{
-		{feed(3, 2, 3, 4), ErrBadFeed},           // starts before what was asked for
+		{feed(3, 2, 3, 4), ErrBadFeed},           // starts before the requested index
 		{feed(3, 5), ErrBadFeed},                 // leaves a gap
 		{feed(3, 4, 6), ErrBadFeed},              // has a gap; no part of it is applied
 		{feed(2, 4), ErrStepBack},                // of another history
 		{snapshot(3, 3), ErrStepBack},            // not later
 		{snapshot(9, 2), ErrStepBack},            // of another history
-		{snapshot(9, 3), state.ErrStaleSnapshot}, // says 9 but holds index 0
+		{snapshot(9, 3), state.ErrStaleSnapshot}, // claims index 9 but holds index 0
 		{&nodepb.FollowReply{Entries: []byte("x")}, ErrBadFeed},
 	} {
 		is.True(errors.Is(f.apply(c.reply), c.want))
@@ -195,9 +194,9 @@
 	is.NoErr(f.apply(feed(4, 4)))
 }
 
-// Symptom: a restarted VM serves on an empty or old state. Sequence: a learner
-// restarts; its beats are answered at once, but its feed is slow. Cause:
-// being connected is taken for being up to date.
+// Guards against a restarted VM that serves on an empty or old state. It comes
+// about when a learner restarts, its heartbeats get replies at once while its feed
+// is slow, and being connected counts as being up to date.
 func TestRestartedLearnerIsUnreadyUntilCaughtUp(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 1, 0)
@@ -214,22 +213,22 @@
 		s.processes[name].voter.hold = hold
 	}
 	learner := s.start(t, "n4", nil)
-	eventually(t, "the quorum's word arrived", func() bool {
+	eventually(t, "the confirmation of a quorum arrived", func() bool {
 		return strings.HasPrefix(learner.heartbeats.Standing().Reason, "catching up")
 	})
 	is.True(!learner.heartbeats.Ready())
 	close(hold)
 	eventually(t, "ready", func() bool { return ready(learner) })
 	is.True(learner.machine.Applied() >= index)
-	is.Equal(learner.count("node.follow.snapshots"), int64(1)) // 720 KB, so in two chunks
+	is.Equal(learner.count("node.follow.snapshots"), int64(1)) // 720 KB, which is more than one chunk
 	is.True(learner.log.Claim("11") != nil)
 }
 
-// Symptom: a VM stays on an old state although most voters go on. Sequence:
-// the leader that it follows is cut off from the other voters, which elect
-// another; the old one still answers the learner. Cause: a feed without news
-// looks the same from both sides of a partition.
-func TestLearnerLeavesVoterOnTheWrongSide(t *testing.T) {
+// Guards against a VM that stays on an old state although the majority of voters
+// continues. It comes about when the leader that it follows is cut off from the
+// other voters, which elect another, and still replies to the learner: a feed
+// without new entries looks the same on both sides of a partition.
+func TestLearnerLeavesPartitionedVoter(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSite(t, 3, 1, 0)
@@ -237,7 +236,7 @@
 	eventually(t, "all ready", s.all(ready))
 	old.voter.stale.Store(&Standing{Leader: "n1", Term: 1, Leads: true})
 	s.network.isolate("n1", []model.NodeID{"n2", "n3"}, true)
-	s.log.lead("n2")
+	s.log.setLeader("n2")
 	_, err := s.processes["n3"].log.Propose(t.Context(), claim("a"))
 	is.NoErr(err)
 	eventually(t, "the learner has the change", func() bool { return learner.machine.Applied() == 1 })
@@ -249,11 +248,11 @@
 	is.True(learner.count("node.follow.rotations") > 0)
 }
 
-// Symptom: a VM that was cut off as the leader goes on for as long as it is cut
-// off: its controller sends commands, and its status names it as the leader.
-// Sequence: it led and heard so from itself; its lease lapsed; it hears of no
-// other leader. Cause: without a leader the last hint counts, which is itself.
-func TestFormerLeaderIsNoHintToItself(t *testing.T) {
+// Guards against a leader that was cut off and continues as the leader for as long
+// as the partition lasts: its controller sends commands, and its status names it as
+// the leader. It comes about when its lease has lapsed, it learns of no other
+// leader, and the last hint, which is itself, is used.
+func TestFormerLeaderIgnoresHintOfItself(t *testing.T) {
 	is := is.New(t)
 	voter, hint := &fakeVoter{}, &LeaderHint{}
 	l := NewLog(LogConfig{Self: "n1", Voter: voter, Leader: hint, Metrics: metrics.NewRegistry()})
@@ -267,20 +266,20 @@
 	is.Equal(leader, model.NodeID(""))
 }
 
-// Symptom: a VM takes requests on an old state, or is given slots, while the
-// others don't hear it. Sequence: everything that it sends is lost, what is
-// sent to it arrives. Cause: a one-way partition.
+// Guards against a VM that takes requests on an old state, or is assigned slots,
+// while the others get no message from it. It comes about in a one-way partition:
+// everything that it sends is lost, and what is sent to it arrives.
 func TestOneWayPartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSite(t, 3, 2, 100*time.Millisecond)
-	muted := s.processes["n5"]
+	cutOff := s.processes["n5"]
 	eventually(t, "all members", s.all(func(p *process) bool { return ready(p) && len(p.heartbeats.View().Live) == 5 }))
 	for _, other := range s.names {
 		s.network.cut("n5", other, other != "n5")
 	}
-	eventually(t, "unready and out", func() bool { return !ready(muted) && !s.processes["n1"].heartbeats.View().Has("n5") })
-	is.True(s.all(func(p *process) bool { return ready(p) == (p != muted) })())
+	eventually(t, "unready and no member", func() bool { return !ready(cutOff) && !s.processes["n1"].heartbeats.View().Has("n5") })
+	is.True(s.all(func(p *process) bool { return ready(p) == (p != cutOff) })())
 	is.Equal(s.processes["n1"].heartbeats.InForce(1), s.names)
 	for _, other := range s.names {
 		s.network.cut("n5", other, false)
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// sendQueue bounds the batches that wait for one peer.
-	sendQueue = 256
-	// maxJoinedBytes is the size from which a call takes no further batches.
-	maxJoinedBytes = 1 << 20
-	// messageOverhead estimates what a message or entry takes besides its data.
+	// sendQueueLength bounds the batches that wait for one peer.
+	sendQueueLength = 256
+	// maxCoalescedBytes is the size from which no further batch is added to a
+	// call.
+	maxCoalescedBytes = 1 << 20
+	// messageOverhead estimates the bytes of a message or entry without its data.
 	messageOverhead = 64
 	// bulkBytes is the size from which quorum messages use the bulk link.
 	bulkBytes = 64 << 10
-	// exchangeTimeout bounds a small delivery of quorum messages. It lies below
-	// the shortest election time (480 ms): the messages behind one that is stuck
-	// on a silent connection must go out before the followers give the leader up.
+	// exchangeTimeout bounds a small delivery of quorum messages. It is below
+	// the shortest election timeout (480 ms): the messages behind one that is
+	// stuck on a dead connection must be sent before the followers start an
+	// election.
 	exchangeTimeout = 400 * time.Millisecond
 	// bulkTimeout bounds a delivery on the bulk link.
 	bulkTimeout = 5 * time.Second
-	// failurePause is the least time between a failed delivery and the next,
-	// so that a peer that refuses connections costs little.
+	// failurePause is the pause after a failed delivery, so that a peer that
+	// refuses connections costs little.
 	failurePause = 50 * time.Millisecond
 )
 
-// peer is another process of the site. Its three links keep calls apart that
-// would delay one another: small carries heartbeats and quorum messages, work
-// carries proposals and slot lending, whose number grows with the load, and
-// bulk carries the feed, snapshots and large batches.
+// peer is another process of the site. Its three links separate calls that would
+// delay one another: small carries heartbeats and quorum messages, work carries
+// proposals and slot lending, whose number grows with the load, and bulk carries
+// the feed, snapshots and large batches.
 type peer struct {
 	name, self        model.NodeID
 	small, work, bulk *link
 	outgoing          *ring.Ring[[]quorum.Message]
-	answers           answerSlot
+	replies           replySlot
 	receive           func([]quorum.Message)
 
 	dropped, failures metrics.Counter
@@ -53,7 +55,7 @@
 		small:    newLink(address, c),
 		work:     newLink(address, c),
 		bulk:     newLink(address, c),
-		outgoing: ring.New[[]quorum.Message](sendQueue),
+		outgoing: ring.New[[]quorum.Message](sendQueueLength),
 		receive:  func([]quorum.Message) {},
 		dropped:  metrics.GetOrRegisterCounter("node.exchange.dropped", c.Metrics),
 		failures: metrics.GetOrRegisterCounter("node.call.failed", c.Metrics),
@@ -62,7 +64,7 @@
 
 // send passes messages to a waiting call of the peer, or queues them.
 func (p *peer) send(messages []quorum.Message) {
-	if p.answers.put(messages) {
+	if p.replies.put(messages) {
 		return
 	}
 	if p.outgoing.TryPut(messages) != nil {
@@ -77,15 +79,15 @@
 		if err != nil {
 			return
 		}
-		if p.exchange(ctx, p.join(batch)) != nil {
+		if p.exchange(ctx, p.coalesce(batch)) != nil {
 			steady.Pause(ctx, failurePause)
 		}
 	}
 }
 
-// join adds what else is queued, so that one call carries it all.
-func (p *peer) join(batch []quorum.Message) []quorum.Message {
-	for size := sizeOf(batch); size < maxJoinedBytes; {
+// coalesce adds further queued batches, so that one call carries them all.
+func (p *peer) coalesce(batch []quorum.Message) []quorum.Message {
+	for size := sizeOf(batch); size < maxCoalescedBytes; {
 		more, ok := p.outgoing.TryGet()
 		if !ok {
 			break
@@ -111,9 +113,11 @@
 	return size
 }
 
+// exchange delivers messages and passes on those in the reply. Small batches
+// use the small link, large ones the bulk link.
 func (p *peer) exchange(ctx context.Context, messages []quorum.Message) error {
 	envelope := envelopeOf(messages)
-	data, err := encode(envelope.seal(messages))
+	data, err := encode(envelope.strip(messages))
 	if err != nil {
 		p.dropped.Inc(int64(len(messages)))
 		return err
@@ -129,34 +133,35 @@
 	request := &nodepb.ExchangeRequest{Node: string(p.self), Messages: data}
 	reply, err := p.deliver(ctx, link, request, limit)
 	if link == p.bulk && err != nil && neverSent(err) {
-		// No connection can be opened, but the small link may still have one: a
-		// follower that lags would otherwise never catch up.
+		// No connection can be opened, but the small link may still have one.
+		// Without this a lagging follower would never catch up.
 		reply, err = p.deliver(ctx, p.small, request, bulkTimeout)
 	}
 	if err != nil {
 		p.dropped.Inc(int64(len(messages)))
 		return err
 	}
-	answers, err := decodeMessages(reply.Messages)
-	if err == nil && len(answers) > 0 {
-		p.receive(envelope.reverse().open(answers))
+	replies, err := decodeMessages(reply.Messages)
+	if err == nil && len(replies) > 0 {
+		p.receive(envelope.reverse().restore(replies))
 	}
 	return err
 }
 
+// deliver sends one request over a link.
 func (p *peer) deliver(ctx context.Context, l *link, r *nodepb.ExchangeRequest, limit time.Duration) (*nodepb.ExchangeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	reply, err := l.node().Exchange(ctx, r)
 	if err != nil {
-		p.failed(l, err)
+		p.recordFailure(l, err)
 	}
 	return reply, err
 }
 
-// failed counts a failed call, and makes the next one use a new connection if
-// there was no answer.
-func (p *peer) failed(l *link, err error) {
+// recordFailure counts a failed call, and makes the next one use a new connection
+// if there was no reply.
+func (p *peer) recordFailure(l *link, err error) {
 	p.failures.Inc(1)
 	if unanswered(err) {
 		l.renew()
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -11,17 +11,17 @@
 	_ replica.Bootstrapper = (*Client)(nil)
 )
 
-// replicaVoter is a replica in the terms of this package.
+// replicaVoter adapts a replica to Voter.
 type replicaVoter struct{ *replica.Replica }
 
-// FromReplica returns the voter that a replica is.
+// FromReplica returns a replica as a Voter.
 func FromReplica(r *replica.Replica) Voter { return replicaVoter{r} }
 
-// Committed returns a part of the committed log.
+// Committed returns a part of the committed log, as Voter says.
 func (v replicaVoter) Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error) {
 	feed, err := v.Replica.Committed(ctx, from, maxBytes)
 	return Feed(feed), err
 }
 
-// Standing says how the replica sees the control log.
+// Standing returns the replica's view of the control log.
 func (v replicaVoter) Standing() Standing { return Standing(v.Replica.Leadership()) }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -16,50 +16,52 @@
 	"github.com/twitchtv/twirp"
 )
 
-// answerWait is how long a delivery of heartbeats waits for the messages that
-// answer them, so that they return in its reply and not in a call of their own.
-const answerWait = 5 * time.Millisecond
+// replyWait is how long a delivery of heartbeats waits for the messages that
+// reply to them, so that they return in its reply and not in a separate call.
+const replyWait = 5 * time.Millisecond
 
-// storeWait is the same for messages that are stored before they are answered:
-// several times a sync of a healthy disk. An answer that takes longer goes in a
-// call of its own.
-const storeWait = 40 * time.Millisecond
+// storedReplyWait is the same for messages that are stored before the reply to
+// them: several times the duration of a sync of a healthy disk. A reply that takes
+// longer is sent in a separate call.
+const storedReplyWait = 40 * time.Millisecond
 
-// Lender answers requests for slots of the services that this process owns.
+// Lender handles requests for slots of the services that this process owns.
 type Lender interface {
-	// Lend handles a request of another process; both sides are opaque here.
+	// Lend handles a request of another process. The request and the reply are
+	// opaque to this package.
 	Lend(ctx context.Context, from model.NodeID, body []byte) ([]byte, error)
 }
 
-// ServerConfig sets up a Server. A part that is nil is not offered.
+// ServerConfig sets up a Server. The calls of a part that is nil are rejected.
 type ServerConfig struct {
 	Self model.NodeID
 	Site string
-	// Authorizer checks the callers' tokens.
+	// Authorizer checks the senders' tokens.
 	Authorizer *security.Authorizer
-	// Identity says who this process is; it is asked before a voter runs.
+	// Identity returns the identity of the data folder. It is called before a
+	// voter runs, too.
 	Identity   func() datafolder.Identity
 	Client     *Client
 	Heartbeats *Heartbeats
 	Spreader   *Spreader
 	Lender     Lender
 	Metrics    metrics.Registry
-	// Clock is nil in the product.
+	// Clock is only set in tests.
 	Clock func() model.Instant
 }
 
-// Server answers the calls of other processes. It is safe for concurrent use.
+// Server handles the calls of other processes. It is safe for concurrent use.
 type Server struct {
 	config ServerConfig
-	// voter is set once the data folder is open; nil on a learner.
-	voter     atomic.Pointer[voterBox]
+	// voter is set once the data folder is open. It is nil on a learner.
+	voter     atomic.Pointer[voterHolder]
 	snapshots snapshotCache
 	badInput  metrics.Counter
-	// others are the services of other packages, by the prefix of their paths.
-	others map[string]http.Handler
+	// handlers holds the services of other packages by the prefix of their paths.
+	handlers map[string]http.Handler
 }
 
-type voterBox struct{ Voter }
+type voterHolder struct{ Voter }
 
 var _ nodepb.Node = (*Server)(nil)
 
@@ -71,31 +73,32 @@
 	return &Server{config: c, badInput: metrics.GetOrRegisterCounter("node.bad_input", c.Metrics)}
 }
 
-// SetVoter makes the server answer for a voter.
-func (s *Server) SetVoter(v Voter) { s.voter.Store(&voterBox{v}) }
+// SetVoter sets the voter that handles the calls for the control log.
+func (s *Server) SetVoter(v Voter) { s.voter.Store(&voterHolder{v}) }
 
-// Offer serves the paths that begin with prefix by another handler, behind the
-// same checks. It is called before Handler.
+// Offer registers a handler for the paths that begin with prefix, behind the same
+// checks. It is called before Handler.
 func (s *Server) Offer(prefix string, h http.Handler) {
-	if s.others == nil {
-		s.others = map[string]http.Handler{}
+	if s.handlers == nil {
+		s.handlers = map[string]http.Handler{}
 	}
-	s.others[prefix] = h
+	s.handlers[prefix] = h
 }
 
-// Handler returns the HTTP handler with all checks in front.
+// Handler returns the HTTP handler, which checks every call first.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", nodepb.NewNodeServer(s))
-	for prefix, h := range s.others {
+	for prefix, h := range s.handlers {
 		mux.Handle(prefix, h)
 	}
 	return newGuard(s.config, mux)
 }
 
-// Exchange takes quorum messages and returns those that answer heartbeats.
+// Exchange receives quorum messages, and returns the messages that reply to them
+// if these are ready soon.
 func (s *Server) Exchange(ctx context.Context, r *nodepb.ExchangeRequest) (*nodepb.ExchangeReply, error) {
-	voter, err := s.needVoter()
+	voter, err := s.requireVoter()
 	if err != nil {
 		return nil, err
 	}
@@ -104,69 +107,69 @@
 		s.badInput.Inc(1)
 		return nil, twirp.InvalidArgumentError("messages", err.Error())
 	}
-	envelopeFrom(ctx).open(messages)
+	envelopeFrom(ctx).restore(messages)
 	from := s.sender(r.Node)
 	if from == nil || len(messages) == 0 {
 		voter.Step(messages)
 		return &nodepb.ExchangeReply{}, nil
 	}
-	return s.stepAndAnswer(ctx, voter, from, messages)
+	return s.stepAndReply(ctx, voter, from, messages)
 }
 
-// stepAndAnswer opens the slot for answers before it hands over the messages,
-// so that an early answer is not missed.
+// stepAndReply passes messages to the voter and returns its replies. It opens the
+// reply slot first, so that an early reply is not missed.
 //
-// Answers to stored messages return the same way. Where the path from here to
-// the sender is broken and the one from there works, heartbeats would else keep
-// a leader confirmed that can commit nothing, and nobody would elect another.
-func (s *Server) stepAndAnswer(ctx context.Context, voter Voter, from *peer, messages []quorum.Message) (*nodepb.ExchangeReply, error) {
-	answers := from.answers.open()
+// Replies to stored messages return the same way. Otherwise, when this process
+// cannot reach the sender but the sender can reach this process, heartbeats would
+// keep a leader confirmed that can commit nothing, and no other would be elected.
+func (s *Server) stepAndReply(ctx context.Context, voter Voter, from *peer, messages []quorum.Message) (*nodepb.ExchangeReply, error) {
+	replies := from.replies.open()
 	voter.Step(messages)
-	stored, limit := isStored(messages), answerWait
+	stored, limit := containsStored(messages), replyWait
 	if stored {
-		limit = storeWait
+		limit = storedReplyWait
 	}
 	began := time.Now()
-	answer := from.answers.wait(ctx, answers, limit)
-	if left := limit - time.Since(began); stored && len(answer) > 0 && !answersStored(answer) && left > 0 {
-		answer = append(answer, from.answers.wait(ctx, from.answers.open(), left)...)
+	reply := from.replies.wait(ctx, replies, limit)
+	if left := limit - time.Since(began); stored && len(reply) > 0 && !containsStoredReply(reply) && left > 0 {
+		reply = append(reply, from.replies.wait(ctx, from.replies.open(), left)...)
 	}
-	data, err := encode(envelopeFrom(ctx).reverse().seal(answer))
+	data, err := encode(envelopeFrom(ctx).reverse().strip(reply))
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return &nodepb.ExchangeReply{Messages: data}, nil
 }
 
-// isStored reports whether some message is stored before it is answered.
-func isStored(messages []quorum.Message) bool {
+// containsStored reports whether some message is stored before the reply to it.
+func containsStored(messages []quorum.Message) bool {
 	return slices.ContainsFunc(messages, func(m quorum.Message) bool {
 		return m.Kind == quorum.KindAppend || m.Kind == quorum.KindVote
 	})
 }
 
-// answersStored reports whether some message answers one that was stored.
-func answersStored(messages []quorum.Message) bool {
+// containsStoredReply reports whether some message replies to a stored one.
+func containsStoredReply(messages []quorum.Message) bool {
 	return slices.ContainsFunc(messages, func(m quorum.Message) bool {
 		return m.Kind == quorum.KindAppendReply || m.Kind == quorum.KindVoteReply
 	})
 }
 
-// Heartbeat exchanges what two processes know about the site.
+// Heartbeat receives a beat of another process and returns one of this process.
 func (s *Server) Heartbeat(_ context.Context, b *nodepb.Beat) (*nodepb.Beat, error) {
 	if s.config.Heartbeats == nil {
-		return nil, errNotHere
+		return nil, errNotOffered
 	}
-	return s.config.Heartbeats.receive(b)
+	return s.config.Heartbeats.handleBeat(b)
 }
 
-// Announce takes changes of the registry of upstreams, and answers a digest
-// with what its sender lacks.
+// Announce receives changes of the registry of upstreams, and replies to a digest
+// with the records that its sender lacks.
 func (s *Server) Announce(_ context.Context, r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
 	if s.config.Spreader == nil {
-		return nil, errNotHere
+		return nil, errNotOffered
 	}
-	reply, err := s.config.Spreader.receive(r)
+	reply, err := s.config.Spreader.handleAnnounce(r)
 	if err != nil {
 		s.badInput.Inc(1)
 		return nil, twirp.InvalidArgumentError("changes", err.Error())
@@ -174,10 +177,10 @@
 	return reply, nil
 }
 
-// Lend passes a request for slots on.
+// Lend passes a request for slots to the Lender.
 func (s *Server) Lend(ctx context.Context, r *nodepb.LendRequest) (*nodepb.LendReply, error) {
 	if s.config.Lender == nil {
-		return nil, errNotHere
+		return nil, errNotOffered
 	}
 	body, err := s.config.Lender.Lend(ctx, model.NodeID(r.Node), r.Body)
 	if err != nil {
@@ -186,10 +189,11 @@
 	return &nodepb.LendReply{Body: body}, nil
 }
 
-// Identify tells who this process is, also before its voter runs.
+// Identify returns the identity of this process's data folder, also before its
+// voter runs.
 func (s *Server) Identify(context.Context, *nodepb.IdentifyRequest) (*nodepb.IdentifyReply, error) {
 	if s.config.Identity == nil {
-		return nil, errNotHere
+		return nil, errNotOffered
 	}
 	identity, err := s.config.Identity().Encode()
 	if err != nil {
@@ -198,17 +202,19 @@
 	return &nodepb.IdentifyReply{Identity: identity}, nil
 }
 
-// errNotHere says that this process has no such part, or not yet.
-var errNotHere = twirp.NewError(twirp.Unavailable, "this process does not offer this")
+// errNotOffered reports that this process does not have the called part, or not
+// yet. Peers compare the message, see rejectedUnhandled.
+var errNotOffered = twirp.NewError(twirp.Unavailable, "this process does not offer this")
 
-func (s *Server) needVoter() (Voter, error) {
+func (s *Server) requireVoter() (Voter, error) {
 	box := s.voter.Load()
 	if box == nil {
-		return nil, errNotHere
+		return nil, errNotOffered
 	}
 	return box.Voter, nil
 }
 
+// sender returns the peer that sent a call, or nil when it is unknown.
 func (s *Server) sender(name string) *peer {
 	if s.config.Client == nil {
 		return nil
--- a/internal/node/server_log.go
+++ b/internal/node/server_log.go
@@ -15,16 +15,16 @@
 const (
 	// maxFollowWait bounds a long poll.
 	maxFollowWait = 25 * time.Second
-	// feedBytes bounds the entries of one reply; one entry is always sent.
+	// feedBytes bounds the entries of one reply, which holds at least one entry.
 	feedBytes = 512 << 10
-	// chunkBytes bounds the part of a snapshot in one reply, so that it
-	// arrives within rotateAfter on a slow link too.
+	// chunkBytes bounds the part of a snapshot in one reply, so that it arrives
+	// within rotateAfter on a slow network too.
 	chunkBytes = 256 << 10
 )
 
 // Propose commits a command if this process leads.
 func (s *Server) Propose(ctx context.Context, r *nodepb.ProposeRequest) (*nodepb.ProposeReply, error) {
-	voter, err := s.needVoter()
+	voter, err := s.requireVoter()
 	if err != nil {
 		return nil, err
 	}
@@ -33,9 +33,9 @@
 		s.badInput.Inc(1)
 		return nil, twirp.InvalidArgumentError("command", err.Error())
 	}
-	result, err := proposeHere(ctx, voter, command, s.config.Clock())
-	standing := voter.Standing()
-	reply := &nodepb.ProposeReply{Leader: string(standing.Leader), Term: standing.Term}
+	result, err := proposeLocally(ctx, voter, command, s.config.Clock())
+	status := voter.Standing()
+	reply := &nodepb.ProposeReply{Leader: string(status.Leader), Term: status.Term}
 	if err != nil {
 		reply.Outcome = outcomeOf(err)
 		return reply, nil
@@ -48,7 +48,8 @@
 	return reply, nil
 }
 
-// outcomeOf maps an error of a proposal; what it does not know is unknown.
+// outcomeOf maps the error of a proposal. The outcome is unknown unless the error
+// proves that nothing was proposed.
 func outcomeOf(err error) nodepb.ProposeOutcome {
 	if errors.Is(err, state.ErrNotProposed) && !errors.Is(err, state.ErrOutcomeUnknown) {
 		return nodepb.ProposeOutcome_PROPOSE_OUTCOME_NOT_PROPOSED
@@ -58,24 +59,24 @@
 
 // ReadIndex returns a confirmed index if this process leads.
 func (s *Server) ReadIndex(ctx context.Context, _ *nodepb.ReadIndexRequest) (*nodepb.ReadIndexReply, error) {
-	voter, err := s.needVoter()
+	voter, err := s.requireVoter()
 	if err != nil {
 		return nil, err
 	}
 	index, err := voter.ReadIndex(ctx)
-	standing := voter.Standing()
+	status := voter.Standing()
 	return &nodepb.ReadIndexReply{
 		Confirmed: err == nil,
 		Index:     index,
-		Leader:    string(standing.Leader),
-		Term:      standing.Term,
+		Leader:    string(status.Leader),
+		Term:      status.Term,
 	}, nil
 }
 
-// Follow returns what was committed from an index on. Many changes travel in
-// one reply; when there is none, the call waits.
+// Follow returns the committed entries from an index on, many in one reply. When
+// there is none, the call waits.
 func (s *Server) Follow(ctx context.Context, r *nodepb.FollowRequest) (*nodepb.FollowReply, error) {
-	voter, err := s.needVoter()
+	voter, err := s.requireVoter()
 	if err != nil {
 		return nil, err
 	}
@@ -93,11 +94,11 @@
 }
 
 func (s *Server) followReply(voter Voter, feed Feed, offset uint64) (*nodepb.FollowReply, error) {
-	standing := voter.Standing()
+	status := voter.Standing()
 	reply := &nodepb.FollowReply{
-		Commit: max(feed.Commit, standing.Commit),
-		Term:   standing.Term,
-		Leader: string(standing.Leader),
+		Commit: max(feed.Commit, status.Commit),
+		Term:   status.Term,
+		Leader: string(status.Leader),
 	}
 	var err error
 	if feed.Snapshot != nil {
@@ -112,6 +113,7 @@
 	return reply, nil
 }
 
+// chunk returns the part of a snapshot at an offset.
 func chunk(snapshot *quorum.Snapshot, offset uint64) (*nodepb.SnapshotChunk, error) {
 	meta, err := encode(snapshot.Meta)
 	if err != nil {
@@ -123,9 +125,9 @@
 	return &nodepb.SnapshotChunk{Meta: meta, Offset: from, Total: total, Data: snapshot.Data[from:to]}, nil
 }
 
-// snapshotCache keeps the snapshot that was served last, so that a learner
-// which fetches it in chunks gets all of them from the same one although the
-// voter compacts its log meanwhile.
+// snapshotCache keeps the snapshot that was served last, so that a learner gets
+// all chunks from the same snapshot although the voter compacts its log in the
+// meantime.
 type snapshotCache struct {
 	mu     sync.Mutex
 	latest *quorum.Snapshot
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -27,12 +27,12 @@
 
 const testSite = "test-site"
 
-// sharedLog stands in for the replicated log: what the leader proposes is
+// sharedLog is a fake of the replicated log: an entry that the leader proposes is
 // committed at once.
 type sharedLog struct {
 	mu      sync.Mutex
 	entries []quorum.Entry
-	// first is the first index that is not compacted.
+	// first is the first index that was not compacted.
 	first    uint64
 	snapshot *quorum.Snapshot
 	leader   model.NodeID
@@ -44,7 +44,7 @@
 	return &sharedLog{leader: leader, term: 1, first: 1, changed: make(chan struct{})}
 }
 
-func (l *sharedLog) lead(leader model.NodeID) {
+func (l *sharedLog) setLeader(leader model.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leader, l.term = leader, l.term+1
@@ -60,7 +60,7 @@
 	return index
 }
 
-// proposeHook replaces a proposal; next is the true one.
+// proposeHook replaces a proposal; next runs the real one.
 type proposeHook func(next func() (state.Result, error)) (state.Result, error)
 
 // fakeVoter is one voter's view of a sharedLog.
@@ -70,10 +70,10 @@
 	machine *state.Machine
 	client  *Client
 	hook    atomic.Pointer[proposeHook]
-	// stale, if set, is what the voter believes instead of the truth, as one
-	// on the wrong side of a partition; it then commits nothing new.
+	// stale, if set, is the voter's outdated view of the log, as on the minority
+	// side of a partition; it then commits nothing new.
 	stale atomic.Pointer[Standing]
-	// hold, if set, keeps the feed back until it is closed.
+	// hold, if set, blocks the feed until it is closed.
 	hold chan struct{}
 }
 
@@ -111,8 +111,8 @@
 	return next()
 }
 
-// apply brings the machine up to the index and returns the result there; the
-// log is replayed if the machine was already past it.
+// apply applies the log and returns the result at an index. It replays the log for
+// that, since the machine may already be past the index.
 func (v *fakeVoter) apply(index uint64) state.Result {
 	v.catchUp()
 	v.log.mu.Lock()
@@ -212,10 +212,10 @@
 	byAddress map[string]model.NodeID
 	token     string
 	interval  time.Duration
-	// probe is the time after which connections are probed; 0 as in the product.
+	// probe is the time after which connections are probed; 0 is the default.
 	probe time.Duration
-	// folders, when set, holds the data folders of real replicas that vote
-	// instead of fakes.
+	// folders, when set, is the folder of the data folders of real replicas,
+	// which then vote instead of fakes.
 	folders   string
 	processes map[model.NodeID]*process
 }
@@ -258,7 +258,7 @@
 	return s
 }
 
-// start runs a process; a nil listener opens its address again.
+// start runs a process; with a nil listener it opens its address again.
 func (s *site) start(tb testing.TB, name model.NodeID, l net.Listener) *process {
 	tb.Helper()
 	if l == nil {
@@ -316,32 +316,32 @@
 
 func (s *site) run(p *process, l net.Listener) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	server := NewHTTPServer(ctx, p.server.Handler())
-	duties.Go(func() { _ = server.Serve(l) })
-	duties.Go(func() { _ = p.client.Run(ctx) })
-	duties.Go(func() { _ = p.heartbeats.Run(ctx) })
-	duties.Go(func() { _ = p.spreader.Run(ctx) })
+	tasks.Go(func() { _ = server.Serve(l) })
+	tasks.Go(func() { _ = p.client.Run(ctx) })
+	tasks.Go(func() { _ = p.heartbeats.Run(ctx) })
+	tasks.Go(func() { _ = p.spreader.Run(ctx) })
 	switch {
 	case p.replica != nil:
-		duties.Go(func() { _ = p.replica.Run(ctx) })
+		tasks.Go(func() { _ = p.replica.Run(ctx) })
 	case p.voter != nil:
-		duties.Go(func() { p.voter.follow(ctx) })
+		tasks.Go(func() { p.voter.follow(ctx) })
 	default:
-		duties.Go(func() { _ = p.follower.Run(ctx) })
+		tasks.Go(func() { _ = p.follower.Run(ctx) })
 	}
 	var once sync.Once
 	p.stop = func() {
 		once.Do(func() {
 			cancel()
 			_ = server.Close()
-			duties.Wait()
+			tasks.Wait()
 			p.client.Close()
 		})
 	}
 }
 
-// follow applies what other voters commit.
+// follow applies the entries that other voters commit.
 func (v *fakeVoter) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		v.catchUp()
@@ -369,7 +369,8 @@
 	}
 }
 
-// eventually waits for a condition; the limit is only a safety net.
+// eventually waits for a condition. The limit is generous, so that a slow machine
+// fails no test.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
--- a/internal/node/spreader.go
+++ b/internal/node/spreader.go
@@ -14,29 +14,32 @@
 )
 
 const (
-	// spreadPoll is how often the registry is looked at: for leases that end,
-	// and for changes of which no Nudge told.
-	spreadPoll = 500 * time.Millisecond
-	// spreadTimeout bounds one delivery, so that a lost one is repeated soon.
-	spreadTimeout = 500 * time.Millisecond
-	// spreadPause is the pause after a failed delivery; it grows to maxSpreadPause.
-	spreadPause    = 100 * time.Millisecond
-	maxSpreadPause = time.Second
-	// minSpreadPause is the pause after a delivery before what is left.
-	minSpreadPause = time.Millisecond
-	// renewalPerPeer is how long renewals are held back for each peer, so
-	// that they travel together; at least minRenewal, at most maxRenewal.
-	renewalPerPeer = 300 * time.Millisecond
-	minRenewal     = time.Second
-	maxRenewal     = 3 * time.Second
-	// renewalShare is the part of the time between two announcements for which
-	// renewals are held back if that is longer; at most longRenewal. A lease
-	// is three such times, so that one renewal may still be lost.
-	renewalShare = 3
-	longRenewal  = 5 * time.Second
-	// batchLimit bounds the entries of one delivery.
+	// registryPollInterval is how often the registry is checked for expired
+	// leases and for changes without a call of Nudge.
+	registryPollInterval = 500 * time.Millisecond
+	// deliveryTimeout bounds one delivery, so that a lost one is repeated soon.
+	deliveryTimeout = 500 * time.Millisecond
+	// deliveryBackoff is the pause after a failed delivery; it doubles up to
+	// maxDeliveryBackoff.
+	deliveryBackoff    = 100 * time.Millisecond
+	maxDeliveryBackoff = time.Second
+	// nextBatchPause is the pause between a delivery and the next batch.
+	nextBatchPause = time.Millisecond
+	// renewalDelayPerPeer times the number of peers is how long renewals are
+	// delayed, so that they are sent together; at least minRenewalDelay, at most
+	// maxRenewalDelay.
+	renewalDelayPerPeer = 300 * time.Millisecond
+	minRenewalDelay     = time.Second
+	maxRenewalDelay     = 3 * time.Second
+	// renewalFraction is the divisor of the time between two announcements that
+	// gives the delay of renewals if that is longer; at most longRenewalDelay. A
+	// lease lasts three times the time between two announcements, so that one
+	// renewal may still be lost.
+	renewalFraction  = 3
+	longRenewalDelay = 5 * time.Second
+	// batchLimit bounds the records and renewals of one delivery.
 	batchLimit = 1024
-	// repairLimit bounds the records that answer one digest.
+	// repairLimit bounds the records in the reply to one digest.
 	repairLimit = 4096
 )
 
@@ -46,46 +49,47 @@
 	Registry *registry.Registry
 	Client   *Client
 	Metrics  metrics.Registry
-	// Clock must be the one by which the registry is kept.
+	// Clock must be the registry's own clock.
 	Clock func() model.Instant
 }
 
-// Spreader carries what upstreams announced here to all other processes. A
-// change is pushed at once and repeated until it is acknowledged; renewals of
-// leases travel together. Beats carry a digest, and where digests differ the
-// two processes exchange what each of them lacks, whatever was lost before. It
-// also lets the leases of silent instances lapse: without that an instance
-// whose VM died would get requests, and count in budgets, for ever.
+// Spreader replicates the announcements of upstreams at this process to all other
+// processes. A change is pushed at once and repeated until it is acknowledged;
+// renewals of leases are sent together. Heartbeats carry a digest. When digests
+// differ, the two processes exchange the records that each of them lacks, whatever
+// was lost before. Spreader also lets the leases of unresponsive instances lapse:
+// otherwise an instance whose VM died would get requests, and count in
+// availability budgets, for ever.
 type Spreader struct {
 	config SpreaderConfig
-	// nudge holds a token when something changed.
-	nudge chan struct{}
-	// renewal is how long renewals are held back at least.
-	renewal time.Duration
-	routes  map[model.NodeID]*route
+	// wakeup holds a token when something changed.
+	wakeup chan struct{}
+	// minDelay is the least delay of renewals.
+	minDelay time.Duration
+	peers    map[model.NodeID]*peerSync
 
 	pushed, repaired, failed, lapsed metrics.Counter
 }
 
-// route is the way to one peer.
-type route struct {
+// peerSync is the state of the replication to one peer.
+type peerSync struct {
 	peer *peer
-	// changed and differs wake the route's duty.
+	// changed and differs wake the background task of this peer.
 	changed, differs chan struct{}
-	// since is the version that the peer acknowledged.
-	since    uint64
-	pushedAt time.Time
-	// pause is the one after the last failure, which ends at notBefore.
-	pause     time.Duration
+	// ackedVersion is the registry version that the peer acknowledged.
+	ackedVersion uint64
+	pushedAt     time.Time
+	// backoff is the pause after the last failure. It ends at notBefore.
+	backoff   time.Duration
 	notBefore time.Time
 }
 
-// NewSpreader returns a spreader for the registry.
+// NewSpreader returns a Spreader for the registry.
 func NewSpreader(c SpreaderConfig) *Spreader {
 	s := &Spreader{
 		config:   c,
-		nudge:    make(chan struct{}, 1),
-		routes:   map[model.NodeID]*route{},
+		wakeup:   make(chan struct{}, 1),
+		peers:    map[model.NodeID]*peerSync{},
 		pushed:   metrics.GetOrRegisterCounter("node.announce.pushed", c.Metrics),
 		repaired: metrics.GetOrRegisterCounter("node.announce.repaired", c.Metrics),
 		failed:   metrics.GetOrRegisterCounter("node.announce.failed", c.Metrics),
@@ -95,44 +99,44 @@
 		s.config.Clock = wallClock
 	}
 	for name, p := range c.Client.peers {
-		s.routes[name] = &route{peer: p, changed: make(chan struct{}, 1), differs: make(chan struct{}, 1)}
+		s.peers[name] = &peerSync{peer: p, changed: make(chan struct{}, 1), differs: make(chan struct{}, 1)}
 	}
-	s.renewal = min(max(time.Duration(len(s.routes))*renewalPerPeer, minRenewal), maxRenewal)
+	s.minDelay = min(max(time.Duration(len(s.peers))*renewalDelayPerPeer, minRenewalDelay), maxRenewalDelay)
 	return s
 }
 
-// Run spreads changes until ctx ends: one duty that watches the registry, and
-// one a peer.
+// Run replicates changes until ctx ends. One task watches the registry, and one
+// for each peer sends to it.
 func (s *Spreader) Run(ctx context.Context) error {
-	var duties conc.WaitGroup
-	for _, r := range s.routes {
-		duties.Go(func() { s.serve(ctx, r) })
+	var tasks conc.WaitGroup
+	for _, r := range s.peers {
+		tasks.Go(func() { s.syncPeer(ctx, r) })
 	}
 	s.watch(ctx)
-	duties.Wait()
+	tasks.Wait()
 	return ctx.Err()
 }
 
-// Nudge says that an instance entered, left or changed here, so that it is
-// pushed at once. A renewal needs no nudge.
-func (s *Spreader) Nudge() { signal(s.nudge) }
+// Nudge reports that an instance entered, left or changed at this process, so
+// that the change is pushed at once. It is not needed for renewals.
+func (s *Spreader) Nudge() { signal(s.wakeup) }
 
-// hold returns how long renewals are held back. At a large site a delivery
-// costs many times what the renewals in it do, and leases are long.
-func (s *Spreader) hold() time.Duration {
-	return max(s.renewal, min(s.config.Registry.RenewInterval()/renewalShare, longRenewal))
+// renewalDelay returns how long renewals are delayed. At a large site a delivery
+// costs many times as much as the renewals in it, and leases are long.
+func (s *Spreader) renewalDelay() time.Duration {
+	return max(s.minDelay, min(s.config.Registry.RenewInterval()/renewalFraction, longRenewalDelay))
 }
 
-// watch wakes the routes: at once for a change, together for renewals. A route
-// that woke for each renewal would compare and wait many times a second.
+// watch wakes the tasks of the peers: at once for a change, together for renewals.
+// A task that woke for each renewal would compare and wait many times a second.
 func (s *Spreader) watch(ctx context.Context) {
 	var version, changed uint64
-	var told time.Time
-	poll := time.NewTicker(spreadPoll)
+	var notifiedAt time.Time
+	poll := time.NewTicker(registryPollInterval)
 	defer poll.Stop()
 	for {
 		select {
-		case <-s.nudge:
+		case <-s.wakeup:
 		case <-poll.C:
 			s.lapsed.Inc(int64(s.config.Registry.Tick(s.config.Clock())))
 		case <-ctx.Done():
@@ -140,18 +144,18 @@
 		}
 		now := time.Now()
 		nextVersion, nextChanged := s.config.Registry.Version(), s.config.Registry.ChangeVersion()
-		if nextChanged == changed && (nextVersion == version || now.Sub(told) < s.hold()) {
+		if nextChanged == changed && (nextVersion == version || now.Sub(notifiedAt) < s.renewalDelay()) {
 			continue
 		}
-		version, changed, told = nextVersion, nextChanged, now
-		for _, r := range s.routes {
+		version, changed, notifiedAt = nextVersion, nextChanged, now
+		for _, r := range s.peers {
 			signal(r.changed)
 		}
 	}
 }
 
-// serve keeps one peer up to date.
-func (s *Spreader) serve(ctx context.Context, r *route) {
+// syncPeer keeps one peer up to date until ctx ends.
+func (s *Spreader) syncPeer(ctx context.Context, r *peerSync) {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for ctx.Err() == nil {
@@ -169,30 +173,31 @@
 	}
 }
 
-// push delivers what the peer has not acknowledged, and returns when to look
-// again; 0 when there is nothing left.
-func (s *Spreader) push(ctx context.Context, r *route) time.Duration {
+// push delivers what the peer has not acknowledged, and returns the time until
+// the next push; 0 when nothing is left.
+func (s *Spreader) push(ctx context.Context, r *peerSync) time.Duration {
 	if wait := time.Until(r.notBefore); wait > 0 {
 		return wait
 	}
-	batch := s.config.Registry.Deltas(r.since, batchLimit, s.config.Clock())
+	batch := s.config.Registry.Deltas(r.ackedVersion, batchLimit, s.config.Clock())
 	if batch.Empty() {
 		return 0
 	}
-	if wait := s.hold() - time.Since(r.pushedAt); len(batch.Records) == 0 && wait > 0 {
+	if wait := s.renewalDelay() - time.Since(r.pushedAt); len(batch.Records) == 0 && wait > 0 {
 		return wait
 	}
 	if err := s.deliver(ctx, r, batch); err != nil {
-		r.pause = min(max(2*r.pause, spreadPause), maxSpreadPause)
-		r.notBefore = time.Now().Add(r.pause)
-		return r.pause
+		r.backoff = min(max(2*r.backoff, deliveryBackoff), maxDeliveryBackoff)
+		r.notBefore = time.Now().Add(r.backoff)
+		return r.backoff
 	}
-	r.since, r.pause, r.pushedAt = batch.UpToVersion, 0, time.Now()
+	r.ackedVersion, r.backoff, r.pushedAt = batch.UpToVersion, 0, time.Now()
 	s.pushed.Inc(1)
-	return minSpreadPause
+	return nextBatchPause
 }
 
-func (s *Spreader) deliver(ctx context.Context, r *route, batch registry.Batch) error {
+// deliver sends changes to a peer.
+func (s *Spreader) deliver(ctx context.Context, r *peerSync, batch registry.Batch) error {
 	changes, err := batch.Encode()
 	if err != nil {
 		return err
@@ -201,26 +206,27 @@
 	return err
 }
 
-func (s *Spreader) announce(ctx context.Context, r *route, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+// announce sends one request to a peer and counts a failure.
+func (s *Spreader) announce(ctx context.Context, r *peerSync, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
 	reply, err := r.peer.small.node().Announce(ctx, request)
 	if err != nil {
 		s.failed.Inc(1)
-		r.peer.failed(r.peer.small, err)
+		r.peer.recordFailure(r.peer.small, err)
 	}
 	return reply, err
 }
 
-// compare asks for a repair when a peer's digest differs from the one here.
-func (s *Spreader) compare(name model.NodeID, digest uint64) {
-	if r := s.routes[name]; r != nil && digest != 0 && digest != s.digest() {
+// compareDigest triggers a repair when a peer's digest differs from the local one.
+func (s *Spreader) compareDigest(name model.NodeID, digest uint64) {
+	if r := s.peers[name]; r != nil && digest != 0 && digest != s.digest() {
 		signal(r.differs)
 	}
 }
 
-// repair exchanges digests with a peer; each side gets what it lacks.
-func (s *Spreader) repair(ctx context.Context, r *route) {
+// repair exchanges digests with a peer; each side gets the records that it lacks.
+func (s *Spreader) repair(ctx context.Context, r *peerSync) {
 	digest, err := s.config.Registry.Digest().Encode()
 	if err != nil {
 		return
@@ -239,12 +245,12 @@
 	}
 	lacking := s.config.Registry.Difference(theirs, repairLimit, s.config.Clock())
 	if !lacking.Empty() {
-		_ = s.deliver(ctx, r, lacking) // counted; the next beat asks again
+		_ = s.deliver(ctx, r, lacking) // counted; the next beat triggers another repair
 	}
 }
 
-// receive takes a peer's changes and answers its digest.
-func (s *Spreader) receive(r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
+// handleAnnounce merges a peer's changes and replies to its digest.
+func (s *Spreader) handleAnnounce(r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
 	if err := s.merge(r.Changes); err != nil {
 		return nil, err
 	}
@@ -263,6 +269,7 @@
 	return &nodepb.AnnounceReply{Changes: changes, Digest: own}, err
 }
 
+// merge adds encoded changes to the registry.
 func (s *Spreader) merge(changes []byte) error {
 	if len(changes) == 0 {
 		return nil
@@ -275,7 +282,7 @@
 	return nil
 }
 
-// digest folds the registry's digest into one number; 0 stands for none.
+// digest hashes the registry's digest into one number; 0 stands for none.
 func (s *Spreader) digest() uint64 {
 	d := s.config.Registry.Digest()
 	buffer := make([]byte, 0, 8*len(d.BucketHashes))
@@ -285,6 +292,7 @@
 	return max(xxhash.Sum64(buffer), 1)
 }
 
+// signal wakes the receiver of a channel unless a token is already waiting.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/node/standing.go
+++ b/internal/node/standing.go
@@ -9,38 +9,39 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Standing says whether this process may take requests, and why not.
+// Standing returns whether this process may take requests, and why not.
 func (h *Heartbeats) Standing() membership.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	h.update(now)
+	h.updateLocal(now)
 	return h.core.Status(now)
 }
 
-// Ready reports whether this process may take requests. A request that comes
-// nevertheless is served on the last state known here; see CountServed.
+// Ready reports whether this process may take requests. A request that arrives
+// while it may not is served on the last known state; see CountServed.
 func (h *Heartbeats) Ready() bool { return h.Standing().Ready }
 
 // CountServed counts a request that is served while this process is not
 // ready, as "node.served_unconfirmed".
-func (h *Heartbeats) CountServed() { h.static.Inc(1) }
+func (h *Heartbeats) CountServed() { h.servedUnready.Inc(1) }
 
-// View returns the live members, which own the slots of services.
+// View returns the live members. They own the slots of services.
 func (h *Heartbeats) View() membership.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.View()
 }
 
-// Incarnation is that of this process. It can grow, so read it for each use.
+// Incarnation returns this process's incarnation. It can increase, so it must be
+// read for each use.
 func (h *Heartbeats) Incarnation() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Incarnation()
 }
 
-// Check returns the broken invariants of the membership, in words.
+// Check describes the violated invariants of the membership.
 func (h *Heartbeats) Check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,13 +52,13 @@
 func (h *Heartbeats) InForce(index uint64) (behind []model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.update(h.clock())
+	h.updateLocal(h.clock())
 	return h.core.Behind(index)
 }
 
-// WaitInForce asks the processes that are behind until all have applied the
-// index or ctx ends, and returns those that have not. Only while somebody
-// waits does this cost messages, so regular beats need not be frequent.
+// WaitInForce sends beats to the processes that are behind until all have applied
+// the index or ctx ends, and returns those that have not. These beats are sent
+// only while somebody waits, so that regular beats need not be frequent.
 func (h *Heartbeats) WaitInForce(ctx context.Context, index uint64) (behind []model.NodeID) {
 	var calls conc.WaitGroup
 	defer calls.Wait()
@@ -66,18 +67,19 @@
 		if len(behind) == 0 || ctx.Err() != nil {
 			return behind
 		}
-		h.askAll(ctx, &calls, behind)
-		steady.Pause(ctx, inForcePoll)
+		h.callAll(ctx, &calls, behind)
+		steady.Pause(ctx, inForcePollInterval)
 	}
 }
 
-func (h *Heartbeats) askAll(ctx context.Context, calls *conc.WaitGroup, targets []model.NodeID) {
+// callAll sends a beat to each target.
+func (h *Heartbeats) callAll(ctx context.Context, calls *conc.WaitGroup, targets []model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	for _, target := range targets {
 		if target != h.config.Self {
-			h.start(ctx, calls, now, target)
+			h.startCall(ctx, calls, now, target)
 		}
 	}
 }
--- a/internal/node/tries.go
+++ b/internal/node/tries.go
@@ -9,53 +9,53 @@
 	"github.com/twitchtv/twirp"
 )
 
-// tries chooses whom to ask next: the leader as last heard, else one voter
-// after the other.
-type tries struct {
+// attempts chooses the process for the next attempt: the last known leader, else
+// the voters in turn.
+type attempts struct {
 	log   *Log
-	asked model.NodeID
+	last  model.NodeID
 	turn  int
 	pause time.Duration
 }
 
-func (l *Log) newTries() *tries { return &tries{log: l, pause: retryPause} }
+func (l *Log) newAttempts() *attempts { return &attempts{log: l, pause: retryPause} }
 
-// next returns the process to ask. A leader that was asked last and did not
-// take it is passed over once, because the hint may be what is wrong.
-func (t *tries) next() model.NodeID {
+// nextTarget returns the process for the next attempt. A leader that was the last
+// target and failed is skipped once, because the hint may be wrong.
+func (t *attempts) nextTarget() model.NodeID {
 	leader, _ := t.log.Leader()
-	if leader != "" && leader != t.asked {
-		t.asked = leader
+	if leader != "" && leader != t.last {
+		t.last = leader
 		return leader
 	}
 	voters := t.log.config.Voters
 	if len(voters) == 0 {
 		return ""
 	}
-	t.asked = voters[t.turn%len(voters)]
+	t.last = voters[t.turn%len(voters)]
 	t.turn++
-	return t.asked
+	return t.last
 }
 
-// wait pauses before the next try, longer each time: two processes that each
-// take the other for the leader must not be asked in a tight loop.
-func (t *tries) wait(ctx context.Context) {
+// backOff pauses before the next attempt, longer each time. Two processes that
+// name each other as the leader must not be called in a tight loop.
+func (t *attempts) backOff(ctx context.Context) {
 	t.log.config.Pause(ctx, t.pause)
 	t.pause = min(2*t.pause, maxRetryPause)
 }
 
-// refusedUnhandled reports whether the peer answered that it did not look at the
-// call: a wrong token or site, a malformed call, or no voter there.
-func refusedUnhandled(err error) bool {
-	var refusal twirp.Error
-	if !errors.As(err, &refusal) {
+// rejectedUnhandled reports whether the peer replied that it did not handle the
+// call, because of a wrong token or site, a malformed call, or a missing voter.
+func rejectedUnhandled(err error) bool {
+	var rejection twirp.Error
+	if !errors.As(err, &rejection) {
 		return false
 	}
-	switch refusal.Code() {
+	switch rejection.Code() {
 	case twirp.Unauthenticated, twirp.PermissionDenied, twirp.Malformed, twirp.InvalidArgument, twirp.BadRoute:
 		return true
 	case twirp.Unavailable:
-		return refusal.Msg() == errNotHere.Msg()
+		return rejection.Msg() == errNotOffered.Msg()
 	default:
 		return false
 	}
--- a/internal/node/silence_test.go
+++ b/internal/node/unresponsive_test.go
@@ -15,12 +15,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Symptom: a VM stays cut off although its network works. Sequence: all open
-// connections go silent at once, new ones work. Cause: something between the
-// two ends has lost track of the connections. A call that waits is saved by
-// the probe; with the probe off, a call without an answer must save those that
-// follow, and a feed that brings nothing the next voter.
-func TestSilentConnections(t *testing.T) {
+// Guards against a VM that stays cut off although its network works. It comes about
+// when all open connections stop working at once and new ones work, because a
+// device between the two ends has lost its state. The probe ends a waiting call.
+// Without the probe, a call without a reply must make the following calls use a new
+// connection, and a feed without new entries must make the learner change the voter.
+func TestBlackholedConnections(t *testing.T) {
 	for _, probe := range []time.Duration{0, time.Hour} {
 		t.Run(fmt.Sprintf("probe=%v", probe), func(t *testing.T) {
 			t.Parallel()
@@ -32,55 +32,55 @@
 				_, err := learner.client.Lend(t.Context(), "n1", nil)
 				return err
 			}
-			is.True(refusedUnhandled(lend())) // opens the connection
-			s.network.silence()
-			silenced := time.Now()
-			// Well above what it takes, well below what a poll may wait.
+			is.True(rejectedUnhandled(lend())) // opens the connection
+			s.network.blackholeAll()
+			blackholedAt := time.Now()
+			// Well above the usual time, well below the longest wait of a poll.
 			ctx, cancel := context.WithTimeout(t.Context(), followWait/2)
 			defer cancel()
 			_, err := learner.log.Propose(ctx, claim("a"))
 			is.NoErr(err)
 			eventually(t, "confirmed anew", s.all(func(p *process) bool {
-				return ready(p) && p.heartbeats.Standing().ConfirmationAge < time.Since(silenced)
+				return ready(p) && p.heartbeats.Standing().ConfirmationAge < time.Since(blackholedAt)
 			}))
 			if probe == 0 {
-				s.network.silence()
+				s.network.blackholeAll()
 				is.True(!errors.Is(lend(), context.DeadlineExceeded)) // the probe ended it
 			}
 		})
 	}
 }
 
-// Symptom: one slow VM delays the messages to all others. Sequence: a peer
-// accepts connections and answers nothing while many messages go out. Cause:
-// a shared queue, or a sender that waits.
-func TestSlowPeerDelaysNobody(t *testing.T) {
+// Guards against one slow VM that delays the messages to all others. It comes about
+// when a peer accepts connections and never replies while many messages are sent,
+// and the peers share a queue or a sender.
+func TestSlowPeerDelaysNoOtherPeer(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 2, 0, 0)
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer deaf.Close()
+	defer unresponsive.Close()
 	counters := metrics.NewRegistry()
-	addresses := map[model.NodeID]string{"n1": s.addresses["n1"], "slow": deaf.Addr().String()}
+	addresses := map[model.NodeID]string{"n1": s.addresses["n1"], "slow": unresponsive.Addr().String()}
 	client := NewClient(ClientConfig{Self: "n2", Site: testSite, Token: func() string { return s.token }, Addresses: addresses, Metrics: counters})
-	answered := make(chan quorum.MessageKind, 1)
-	client.SetReceiver(func(m []quorum.Message) { answered <- m[0].Kind })
+	replies := make(chan quorum.MessageKind, 1)
+	client.SetReceiver(func(m []quorum.Message) { replies <- m[0].Kind })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { _ = client.Run(ctx); close(done) }()
-	for range 3 * sendQueue {
+	for range 3 * sendQueueLength {
 		client.Send("slow", []quorum.Message{{Kind: quorum.KindHeartbeat, From: "n2", To: "slow", Term: 1}})
 	}
 	client.Send("n1", []quorum.Message{{Kind: quorum.KindHeartbeat, From: "n2", To: "n1", Term: 1}})
-	is.Equal(<-answered, quorum.KindHeartbeatReply) // in the reply, although n1 can also call n2
+	is.Equal(<-replies, quorum.KindHeartbeatReply) // in the reply, although n1 can also call n2
 	is.True(metrics.GetOrRegisterCounter("node.exchange.dropped", counters).Count() > 0)
 	cancel()
 	<-done
 }
 
-// Symptom: an upstream that is leaving still gets work from some entry VMs.
-// Sequence: the message that says so is lost on the way to two of them. Cause:
-// a push without repair.
+// Guards against a leaving upstream that still gets work from some entry VMs. It
+// comes about when the message that it leaves is lost on the way to two of them and
+// nothing repairs that.
 func TestLeavingReachesEveryEntryVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -106,13 +106,13 @@
 	s.processes["n4"].spreader.Nudge()
 	began := time.Now()
 	eventually(t, "leaving everywhere", s.all(sees(true)))
-	t.Logf("everywhere after %v", time.Since(began))
+	t.Logf("known at every process after %v", time.Since(began))
 }
 
-// Symptom: an instance whose VM died gets requests for ever, and counts as
-// serving in every budget. Sequence: it announces once and falls silent. Cause:
-// nothing lets the lease of its announcement lapse.
-func TestSilentInstanceLapses(t *testing.T) {
+// Guards against an instance whose VM died and that gets requests, and counts as
+// serving in every availability budget, for ever. It comes about when it announces
+// once and never again, and nothing lets the lease of its announcement lapse.
+func TestUnresponsiveInstanceLapses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSite(t, 3, 1, 0)
@@ -124,6 +124,6 @@
 	is.NoErr(err)
 	_, listed := at.Get(u.Service, u.Instance)
 	is.True(listed)
-	eventually(t, "gone everywhere", s.all(func(p *process) bool { return len(p.registry.All()) == 0 }))
+	eventually(t, "removed everywhere", s.all(func(p *process) bool { return len(p.registry.All()) == 0 }))
 	is.True(metrics.GetOrRegisterCounter("node.announce.lapsed", s.processes["n4"].metrics).Count() > 0)
 }
--- a/internal/node/voter.go
+++ b/internal/node/voter.go
@@ -8,9 +8,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Voter is this process's part in the control log, when it has a disk.
+// Voter is this process's replica of the control log; only processes with a data
+// folder have one.
 type Voter interface {
-	// Step hands over quorum messages; it does not wait for their effect.
+	// Step passes quorum messages to the voter and does not wait for their effect.
 	Step(messages []quorum.Message)
 	// Propose commits an encoded command at the leader and returns its
 	// result. Errors wrap state.ErrNotProposed or state.ErrOutcomeUnknown;
@@ -20,35 +21,37 @@
 	// call. It fails unless this voter leads and a quorum confirms it.
 	ReadIndex(ctx context.Context) (uint64, error)
 	// Committed returns committed entries from the index on, or the snapshot
-	// that replaced them, waiting until there is something or ctx ends.
+	// that replaced them. It waits until there is one or ctx ends.
 	Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error)
-	// Standing says how this voter sees the control log.
+	// Standing returns this voter's view of the control log.
 	Standing() Standing
 }
 
 // Feed is a part of the committed log.
 type Feed struct {
-	// Entries start at the index asked for and have no gap.
+	// Entries start at the requested index and have no gap.
 	Entries []quorum.Entry
-	// Snapshot is set instead when the index asked for was compacted.
+	// Snapshot is set instead when the requested index was compacted.
 	Snapshot *quorum.Snapshot
-	// Commit is the last index known to be committed.
+	// Commit is the last known commit index.
 	Commit uint64
 }
 
-// Standing is how a voter sees the control log.
+// Standing is a voter's view of the control log.
 type Standing struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
 	Commit uint64
-	// Leads says that this voter is the leader.
+	// Leads is set when this voter is the leader.
 	Leads bool
-	// Confirmed says that this voter leads and heard from a quorum within its lease.
+	// Confirmed is set when this voter leads and had contact with a quorum
+	// within its lease.
 	Confirmed bool
 }
 
-// Machine is the state machine as this package uses it; *state.Machine is one.
+// Machine is the part of the state machine that this package uses. *state.Machine
+// implements it.
 type Machine interface {
 	Apply(index uint64, data []byte) state.Result
 	Restore(data []byte) error
--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -14,14 +14,14 @@
 	maxListed = 64
 	// maxNameBytes bounds the name of a process.
 	maxNameBytes = 128
-	// maxAge bounds an age; older is not told apart.
+	// maxAge bounds an age; larger ages count as maxAge.
 	maxAge = 24 * time.Hour
 )
 
-// errBadBeat says that a beat has lists, names or ages out of bounds.
-var errBadBeat = errors.New("node: the beat is not valid")
+// errInvalidBeat reports that a beat has lists or names out of bounds.
+var errInvalidBeat = errors.New("node: the beat is not valid")
 
-// toWire returns the message for a beat.
+// toWire converts a beat to its message.
 func (h *Heartbeats) toWire(b membership.Beat) *nodepb.Beat {
 	m := &nodepb.Beat{
 		Node:             string(b.From),
@@ -60,10 +60,10 @@
 	return m
 }
 
-// fromWire checks a message and returns its beat.
+// fromWire checks a message and converts it to a beat.
 func fromWire(m *nodepb.Beat) (membership.Beat, error) {
 	if m.Node == "" || len(m.Node) > maxNameBytes || len(m.Members) > maxListed || len(m.Doubts) > maxListed || len(m.WitnessReports) > maxListed {
-		return membership.Beat{}, errBadBeat
+		return membership.Beat{}, errInvalidBeat
 	}
 	b := membership.Beat{
 		From:             model.NodeID(m.Node),
@@ -80,7 +80,7 @@
 		View:             membership.View{Term: m.ViewTerm, Version: m.ViewVersion},
 	}
 	if b.Confirmed {
-		b.ConfirmationAge = age(m.ConfirmedAgeMs - 1)
+		b.ConfirmationAge = ageFromMS(m.ConfirmedAgeMs - 1)
 	}
 	for _, live := range m.Members {
 		b.View.Live = append(b.View.Live, membership.Member{Node: model.NodeID(live.Node), Incarnation: live.Incarnation})
@@ -92,14 +92,15 @@
 		b.WitnessReports = append(b.WitnessReports, membership.WitnessReport{
 			Node:        model.NodeID(report.Node),
 			Incarnation: report.Incarnation,
-			Age:         age(report.AgeMs),
+			Age:         ageFromMS(report.AgeMs),
 			Ready:       report.Ready,
 		})
 	}
 	return b, nil
 }
 
-// age converts milliseconds, so large that they would overflow included.
-func age(ms uint64) time.Duration {
+// ageFromMS converts milliseconds of any size; it is bounded by maxAge, because
+// large ones would overflow.
+func ageFromMS(ms uint64) time.Duration {
 	return time.Duration(min(ms, uint64(maxAge/time.Millisecond))) * time.Millisecond
 }
