--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -34,8 +34,8 @@
 // ErrUnknown reports that a request may or may not take effect.
 var ErrUnknown = errors.New("control: the request may have run")
 
-// Here handles requests of this process itself; only core VMs have one.
-type Here interface {
+// LocalHandler handles requests of this process itself; only core VMs have one.
+type LocalHandler interface {
 	Ask(ctx context.Context, r *controlpb.Request) (*controlpb.Reply, error)
 	Hello(ctx context.Context, r *controlpb.HelloRequest) (*controlpb.HelloReply, error)
 }
@@ -43,7 +43,7 @@
 // Client sends requests to the leader. It is safe for concurrent use.
 type Client struct {
 	self      model.NodeID
-	local     Here
+	local     LocalHandler
 	nodes     *node.Client
 	directory *Directory
 	retries   metrics.Counter
@@ -60,7 +60,7 @@
 }
 
 // NewClient returns a client. The local handler is nil on an entry VM.
-func NewClient(self model.NodeID, local Here, nodes *node.Client, d *Directory, r metrics.Registry) *Client {
+func NewClient(self model.NodeID, local LocalHandler, nodes *node.Client, d *Directory, r metrics.Registry) *Client {
 	return &Client{
 		self: self, local: local, nodes: nodes, directory: d, stubs: map[model.NodeID]stub{},
 		retries: metrics.GetOrRegisterCounter("control.retries", r),
@@ -97,16 +97,16 @@
 // shouldPause reports whether there is no other leader to try at once: the
 // target named none, named itself, or named one that is unresponsive.
 func (c *Client) shouldPause(target, leader model.NodeID) bool {
-	return leader == "" || leader == target || c.directory.IsSilent(leader)
+	return leader == "" || leader == target || c.directory.IsUnresponsive(leader)
 }
 
 // nextTarget returns the process for the next attempt: the last known leader,
 // else the core VMs in turn. A leader that was the last target is skipped once.
 func (c *Client) nextTarget(last model.NodeID, turn int) (model.NodeID, int) {
-	if leader, _ := c.directory.Leader.Get(); leader != "" && leader != last && !c.directory.IsSilent(leader) {
+	if leader, _ := c.directory.Leader.Get(); leader != "" && leader != last && !c.directory.IsUnresponsive(leader) {
 		return leader, turn
 	}
-	cores := slices.DeleteFunc(c.directory.Cores(), c.directory.IsSilent)
+	cores := slices.DeleteFunc(c.directory.Cores(), c.directory.IsUnresponsive)
 	if len(cores) == 0 {
 		return "", turn
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		if outer.Err() == nil { // a request that was given up here is no sign that the target failed
 			c.directory.Leader.Doubt(to)
-			c.directory.DidNotAnswer(to)
+			c.directory.MarkUnresponsive(to)
 			s.conn.Failed(err)
 		}
 		return nil, err
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -24,7 +24,7 @@
 	c.directory.Leader.Learn("a", 3)
 	to, _ := c.nextTarget("", 0)
 	is.Equal(to, model.NodeID("a"))
-	c.directory.DidNotAnswer("a")
+	c.directory.MarkUnresponsive("a")
 	for turn := 0; turn < 6; {
 		to, turn = c.nextTarget(to, turn)
 		is.True(to != "a")
@@ -39,12 +39,12 @@
 	is := is.New(t)
 	now := time.Hour
 	d := NewDirectory([]model.NodeID{"seed"}, func() time.Duration { return now })
-	d.Heard("x")
-	d.Learn([]string{"y", ""})
+	d.RecordContact("x")
+	d.AddNamed([]string{"y", ""})
 	is.Equal(d.Cores(), []model.NodeID{"seed", "x", "y"})
 	now += forgetCoreAfter / 2
-	d.Heard("x")
-	d.Learn([]string{"y"}) // others still name it
+	d.RecordContact("x")
+	d.AddNamed([]string{"y"}) // others still name it
 	now += forgetCoreAfter/2 + time.Second
 	is.Equal(d.Cores(), []model.NodeID{"seed", "x"})
 }
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -42,17 +42,17 @@
 	d.seeds = slices.Clone(seeds)
 }
 
-// Heard records that a core VM was in contact.
-func (d *Directory) Heard(core model.NodeID) {
+// RecordContact records that a core VM was in contact.
+func (d *Directory) RecordContact(core model.NodeID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastContact[core] = d.now()
 }
 
-// Learn adds core VMs that another process named. It does not renew the last
+// AddNamed adds core VMs that another process named. It does not renew the last
 // contact of a known one: two processes could otherwise keep a dead VM in each
 // other's directory for ever.
-func (d *Directory) Learn(cores []string) {
+func (d *Directory) AddNamed(cores []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range cores {
@@ -67,15 +67,15 @@
 // it would wait for nothing and end with an unknown outcome.
 const unresponsiveFor = 250 * time.Millisecond
 
-// DidNotAnswer records that a core VM gave no reply in time.
-func (d *Directory) DidNotAnswer(core model.NodeID) {
+// MarkUnresponsive records that a core VM gave no reply in time.
+func (d *Directory) MarkUnresponsive(core model.NodeID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unresponsiveUntil[core] = d.now() + unresponsiveFor
 }
 
-// IsSilent reports whether a core VM lately gave no reply.
-func (d *Directory) IsSilent(core model.NodeID) bool {
+// IsUnresponsive reports whether a core VM lately gave no reply.
+func (d *Directory) IsUnresponsive(core model.NodeID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.now() < d.unresponsiveUntil[core]
--- a/internal/control/hello.go
+++ b/internal/control/hello.go
@@ -26,10 +26,10 @@
 	confirmationLifetime = 1600 * time.Millisecond
 )
 
-// Greeter keeps a process connected to the leader by periodic Hello calls. They
-// announce the process to the leader and return who leads, the core VMs and the
-// limits of callers' requests.
-type Greeter struct {
+// HelloClient keeps a process connected to the leader by periodic Hello calls.
+// They announce the process to the leader and return who leads, the core VMs and
+// the limits of callers' requests.
+type HelloClient struct {
 	client *Client
 	core   bool
 
@@ -39,19 +39,19 @@
 	limits        workload.Limits
 }
 
-// NewGreeter returns the Greeter of a process; core is set on a core VM.
-func NewGreeter(c *Client, core bool) *Greeter {
-	return &Greeter{client: c, core: core, confirmedAt: -confirmationLifetime}
+// NewHelloClient returns the HelloClient of a process; core is set on a core VM.
+func NewHelloClient(c *Client, core bool) *HelloClient {
+	return &HelloClient{client: c, core: core, confirmedAt: -confirmationLifetime}
 }
 
 // Run sends Hello calls until ctx ends.
-func (g *Greeter) Run(ctx context.Context) error {
+func (h *HelloClient) Run(ctx context.Context) error {
 	turn := 0
 	for ctx.Err() == nil {
 		var target model.NodeID
-		target, turn = g.client.nextTarget("", turn)
+		target, turn = h.client.nextTarget("", turn)
 		pause := leaderSearchPause
-		if g.sendHello(ctx, target) {
+		if h.sendHello(ctx, target) {
 			pause = helloInterval
 		}
 		steady.Pause(ctx, pause)
@@ -60,73 +60,73 @@
 }
 
 // sendHello calls one process and reports whether it is the confirmed leader.
-func (g *Greeter) sendHello(ctx context.Context, to model.NodeID) bool {
-	if to == "" || to == g.client.self {
-		return g.helloLocally(ctx, to)
+func (h *HelloClient) sendHello(ctx context.Context, to model.NodeID) bool {
+	if to == "" || to == h.client.self {
+		return h.helloLocally(ctx, to)
 	}
-	s, err := g.client.stub(to)
+	s, err := h.client.stub(to)
 	if err != nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	reply, err := s.client.Hello(ctx, &controlpb.HelloRequest{Node: string(g.client.self), Core: g.core})
+	reply, err := s.client.Hello(ctx, &controlpb.HelloRequest{Node: string(h.client.self), Core: h.core})
 	if err != nil {
-		g.client.directory.Leader.Doubt(to)
-		g.client.directory.DidNotAnswer(to)
+		h.client.directory.Leader.Doubt(to)
+		h.client.directory.MarkUnresponsive(to)
 		s.conn.Failed(err)
 		return false
 	}
-	g.client.updateLeader(to, reply.Leader, reply.Term)
-	g.client.directory.Learn(reply.Cores)
+	h.client.updateLeader(to, reply.Leader, reply.Term)
+	h.client.directory.AddNamed(reply.Cores)
 	if reply.Confirmed {
-		g.recordConfirmation(reply)
+		h.recordConfirmation(reply)
 	}
 	return reply.Confirmed
 }
 
 // helloLocally calls this process itself, which may lead.
-func (g *Greeter) helloLocally(ctx context.Context, to model.NodeID) bool {
-	if to == "" || g.client.local == nil {
+func (h *HelloClient) helloLocally(ctx context.Context, to model.NodeID) bool {
+	if to == "" || h.client.local == nil {
 		return false
 	}
-	reply, err := g.client.local.Hello(ctx, &controlpb.HelloRequest{})
+	reply, err := h.client.local.Hello(ctx, &controlpb.HelloRequest{})
 	if err != nil {
 		return false
 	}
-	g.client.updateLeader(to, reply.Leader, reply.Term)
+	h.client.updateLeader(to, reply.Leader, reply.Term)
 	if reply.Confirmed {
-		g.recordConfirmation(reply)
+		h.recordConfirmation(reply)
 	}
 	return reply.Confirmed
 }
 
 // recordConfirmation stores a reply of the confirmed leader. Limits of an older
 // configuration than the known one are ignored.
-func (g *Greeter) recordConfirmation(reply *controlpb.HelloReply) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.confirmedAt = g.client.directory.now()
-	if reply.ConfigVersion < g.configVersion {
+func (h *HelloClient) recordConfirmation(reply *controlpb.HelloReply) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.confirmedAt = h.client.directory.now()
+	if reply.ConfigVersion < h.configVersion {
 		return
 	}
-	g.configVersion = reply.ConfigVersion
-	g.limits = workload.Limits{
+	h.configVersion = reply.ConfigVersion
+	h.limits = workload.Limits{
 		HeaderBytes: reply.HeaderBytes, BodyBytes: reply.BodyBytes,
 		HeaderTimeoutMS: reply.HeaderTimeoutMs, IdleTimeoutMS: reply.IdleTimeoutMs,
 	}
 }
 
 // Ready reports whether the leader replied lately and has a configuration.
-func (g *Greeter) Ready() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.configVersion > 0 && g.client.directory.now()-g.confirmedAt < confirmationLifetime
+func (h *HelloClient) Ready() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.configVersion > 0 && h.client.directory.now()-h.confirmedAt < confirmationLifetime
 }
 
 // Limits returns the limits of callers' requests, and false while none are known.
-func (g *Greeter) Limits() (workload.Limits, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.limits, g.configVersion > 0
+func (h *HelloClient) Limits() (workload.Limits, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.limits, h.configVersion > 0
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Standing is the leadership of the control log as this core VM sees it.
-type Standing struct {
+// LogStatus is the leadership of the control log as this core VM sees it.
+type LogStatus struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
@@ -24,8 +24,8 @@
 
 // Log is the control log on this core VM.
 type Log interface {
-	// Standing returns the current leadership.
-	Standing() Standing
+	// Status returns the current leadership.
+	Status() LogStatus
 	// Propose commits a command. Errors wrap state.ErrNotProposed or
 	// state.ErrOutcomeUnknown.
 	Propose(ctx context.Context, c *workload.Command) error
@@ -58,9 +58,9 @@
 // of callers' requests.
 func (s *Server) Hello(_ context.Context, r *controlpb.HelloRequest) (*controlpb.HelloReply, error) {
 	if r.Core && r.Node != "" {
-		s.directory.Heard(model.NodeID(r.Node))
+		s.directory.RecordContact(model.NodeID(r.Node))
 	}
-	status := s.log.Standing()
+	status := s.log.Status()
 	reply := &controlpb.HelloReply{Leader: string(status.Leader), Term: status.Term, Confirmed: status.Confirmed}
 	for _, core := range s.directory.Cores() {
 		reply.Cores = append(reply.Cores, string(core))
@@ -82,7 +82,7 @@
 
 // Ask handles a request if this VM leads, and names the leader otherwise.
 func (s *Server) Ask(ctx context.Context, r *controlpb.Request) (*controlpb.Reply, error) {
-	status := s.log.Standing()
+	status := s.log.Status()
 	reply := &controlpb.Reply{Leader: string(status.Leader), Term: status.Term}
 	if !status.Confirmed {
 		reply.Outcome = controlpb.Outcome_OUTCOME_NOT_RUN
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -130,7 +130,7 @@
 // Run leads whenever this VM is the confirmed leader, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if s := d.config.Log.Standing(); s.Confirmed {
+		if s := d.config.Log.Status(); s.Confirmed {
 			d.lead(ctx, s.Term)
 		}
 		steady.Pause(ctx, leadershipCheckInterval)
@@ -190,7 +190,7 @@
 
 // leads reports whether this VM may still send orders as the leader of a term.
 func (d *Dispatcher) leads(term uint64) bool {
-	s := d.config.Log.Standing()
+	s := d.config.Log.Status()
 	if !s.Leads || s.Term != term {
 		return false
 	}
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -117,8 +117,8 @@
 	term uint64
 }
 
-func (l *fakeLog) Standing() control.Standing {
-	return control.Standing{Term: l.term, Leads: l.term == l.sim.term, Confirmed: l.term == l.sim.term}
+func (l *fakeLog) Status() control.LogStatus {
+	return control.LogStatus{Term: l.term, Leads: l.term == l.sim.term, Confirmed: l.term == l.sim.term}
 }
 
 func (l *fakeLog) Propose(_ context.Context, c *workload.Command) error {
--- a/internal/member/log.go
+++ b/internal/member/log.go
@@ -23,9 +23,9 @@
 // Standing returns the leader and whether this VM leads. This VM is confirmed only
 // after it has committed an entry of its own term: before, it may not have applied
 // what earlier leaders committed.
-func (l controlLog) Standing() control.Standing {
+func (l controlLog) Status() control.LogStatus {
 	s := l.replica.Status()
-	return control.Standing{
+	return control.LogStatus{
 		Leader: datafolder.NodeOf(s.Leader), Term: s.Term, Leads: s.Role == quorum.RoleLeader,
 		Confirmed: s.Role == quorum.RoleLeader && s.Confirmed && s.Ready && s.Applied >= s.Commit,
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -61,7 +61,7 @@
 	Metrics  metrics.Registry
 	// Client sends requests to the leader, Greeter tracks whether there is one.
 	Client  *control.Client
-	Greeter *control.Greeter
+	Greeter *control.HelloClient
 
 	directory    *control.Directory
 	nodes        *node.Client
@@ -90,7 +90,7 @@
 	}
 	if s.Node.Role != settings.RoleCore {
 		m.Client = control.NewClient(self, nil, m.nodes, m.directory, r)
-		m.Greeter = control.NewGreeter(m.Client, false)
+		m.Greeter = control.NewHelloClient(m.Client, false)
 		return m, nil
 	}
 	if err := m.openCore(self); err != nil {
@@ -134,7 +134,7 @@
 	server := control.NewServer(controlled, m.machine, m.directory, m.dispatcher)
 	m.nodeServer.Offer(controlpb.ControlPathPrefix, controlpb.NewControlServer(server))
 	m.Client = control.NewClient(self, server, m.nodes, m.directory, m.Metrics)
-	m.Greeter = control.NewGreeter(m.Client, true)
+	m.Greeter = control.NewHelloClient(m.Client, true)
 	return nil
 }
 
