--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -50,7 +50,7 @@
 	client     *node.Client
 	nodeServer *node.Server
 	heartbeats *node.Heartbeats
-	spreader   *node.Spreader
+	spreader   *node.RegistrySync
 	log        *node.Log
 	follower   *node.Follower
 	replica    *replica.Replica
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -78,7 +78,7 @@
 	for _, p := range a.settings.Nodes {
 		status := operator.NodeStatus{Node: p.Name, Role: roleOf(voters[p.Name]), Alive: live[p.Name], Ready: live[p.Name]}
 		if p.Name == a.settings.Node.Name {
-			standing := a.heartbeats.Standing()
+			standing := a.heartbeats.Status()
 			status.Zone, status.Alive, status.Ready = a.settings.Node.Zone, true, standing.Ready
 			status.Index, status.Reason = a.machine.Applied(), standing.Reason
 		}
@@ -97,7 +97,7 @@
 // invariantViolations returns the invariants that are violated in this process.
 func (a *Agent) invariantViolations() []state.Violation {
 	all := a.machine.Violations()
-	for _, detail := range a.heartbeats.Check() {
+	for _, detail := range a.heartbeats.Violations() {
 		all = append(all, state.Violation{Invariant: "membership", Detail: detail})
 	}
 	for _, detail := range a.registry.Violations() {
--- a/internal/agent/static.go
+++ b/internal/agent/static.go
@@ -20,7 +20,7 @@
 func (c unreadyCounter) Acquire(ctx context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
 	grant, err := c.Broker.Acquire(ctx, ask)
 	if err == nil && !c.heartbeats.Ready() {
-		c.heartbeats.CountServed()
+		c.heartbeats.CountServedUnready()
 	}
 	return grant, err
 }
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -34,7 +34,7 @@
 
 func (a *Agent) wireNodes() {
 	a.registry = registry.New(a.registryOptions())
-	a.spreader = node.NewSpreader(node.SpreaderConfig{
+	a.spreader = node.NewRegistrySync(node.RegistrySyncConfig{
 		Self: a.settings.Node.Name, Registry: a.registry, Client: a.client, Metrics: a.metrics,
 		Clock: func() model.Instant { return model.InstantOf(a.now()) },
 	})
@@ -44,8 +44,8 @@
 	})
 	a.heartbeats = node.NewHeartbeats(node.HeartbeatsConfig{
 		Self: a.settings.Node.Name, Members: a.members(), Voters: a.settings.Voters,
-		Machine: a.machine, Client: a.client, Leader: a.leader, Spreader: a.spreader,
-		Unconfirmed: a.follower.Rotate, Metrics: a.metrics, Logger: a.logger,
+		Machine: a.machine, Client: a.client, Leader: a.leader, RegistrySync: a.spreader,
+		OnUnconfirmed: a.follower.Rotate, Metrics: a.metrics, Logger: a.logger,
 	})
 	voter := a.voter()
 	a.log = node.NewLog(node.LogConfig{
@@ -62,7 +62,7 @@
 func (a *Agent) wireNodeServer() {
 	a.nodeServer = node.NewServer(node.ServerConfig{
 		Self: a.settings.Node.Name, Site: a.settings.Node.Site, Authorizer: a.tokens.nodes,
-		Identity: a.identity, Client: a.client, Heartbeats: a.heartbeats, Spreader: a.spreader,
+		Identity: a.identity, Client: a.client, Heartbeats: a.heartbeats, RegistrySync: a.spreader,
 		Lender: a.dispatcher, Metrics: a.metrics,
 	})
 	if voter := a.voter(); voter != nil {
@@ -122,7 +122,7 @@
 // checkQuorum is the readiness condition that this VM's view of the control log
 // is recent. Requests that arrive when it isn't are served on the last state.
 func (a *Agent) checkQuorum() error {
-	standing := a.heartbeats.Standing()
+	standing := a.heartbeats.Status()
 	if standing.Ready {
 		return nil
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -55,7 +55,7 @@
 
 // stub is the generated client over one connection.
 type stub struct {
-	conn   node.Caller
+	conn   node.Connection
 	client controlpb.Control
 }
 
@@ -135,9 +135,9 @@
 	reply, err := s.client.Ask(ctx, r)
 	if err != nil {
 		if outer.Err() == nil { // a request that was given up here is no sign that the target failed
-			c.directory.Leader.Doubt(to)
+			c.directory.Leader.Invalidate(to)
 			c.directory.MarkUnresponsive(to)
-			s.conn.Failed(err)
+			s.conn.RecordFailure(err)
 		}
 		return nil, err
 	}
@@ -148,14 +148,14 @@
 // updateLeader records the leader that a reply of the target names.
 func (c *Client) updateLeader(target model.NodeID, leader string, term uint64) {
 	if model.NodeID(leader) != target {
-		c.directory.Leader.Doubt(target)
+		c.directory.Leader.Invalidate(target)
 	}
-	c.directory.Leader.Learn(model.NodeID(leader), term)
+	c.directory.Leader.Update(model.NodeID(leader), term)
 }
 
 // stub returns the generated client over the current connection to a process.
 func (c *Client) stub(to model.NodeID) (stub, error) {
-	conn, err := c.nodes.Caller(to)
+	conn, err := c.nodes.Connection(to)
 	if err != nil {
 		return stub{}, err
 	}
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -21,7 +21,7 @@
 	is := is.New(t)
 	now := time.Hour
 	c := newTestClient(&now, "a", "b", "c")
-	c.directory.Leader.Learn("a", 3)
+	c.directory.Leader.Update("a", 3)
 	to, _ := c.nextTarget("", 0)
 	is.Equal(to, model.NodeID("a"))
 	c.directory.MarkUnresponsive("a")
--- a/internal/control/hello.go
+++ b/internal/control/hello.go
@@ -72,9 +72,9 @@
 	defer cancel()
 	reply, err := s.client.Hello(ctx, &controlpb.HelloRequest{Node: string(h.client.self), Core: h.core})
 	if err != nil {
-		h.client.directory.Leader.Doubt(to)
+		h.client.directory.Leader.Invalidate(to)
 		h.client.directory.MarkUnresponsive(to)
-		s.conn.Failed(err)
+		s.conn.RecordFailure(err)
 		return false
 	}
 	h.client.updateLeader(to, reply.Leader, reply.Term)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -132,7 +132,7 @@
 		Now:       steady.Now, WallMS: wallMS, Logger: m.Logger, Metrics: m.Metrics,
 	})
 	server := control.NewServer(controlled, m.machine, m.directory, m.dispatcher)
-	m.nodeServer.Offer(controlpb.ControlPathPrefix, controlpb.NewControlServer(server))
+	m.nodeServer.Handle(controlpb.ControlPathPrefix, controlpb.NewControlServer(server))
 	m.Client = control.NewClient(self, server, m.nodes, m.directory, m.Metrics)
 	m.Greeter = control.NewHelloClient(m.Client, true)
 	return nil
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -71,9 +71,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkChange proposes changes at a learner of a site of seven processes with
-// real voters. For each change it reports the time until the learner has applied
-// it, the time until all seven have, and the bytes sent and received by a process.
+// BenchmarkChange proposes changes at a learner of a site of seven processes
+// with real voters. For each change it reports the time until the learner has
+// applied it, the time until all seven have, and the bytes sent and received by
+// a process.
 //
 //	go test -run - -bench Change -benchtime 200x ./internal/node
 func BenchmarkChange(b *testing.B) {
@@ -114,8 +115,8 @@
 	return float64(times[(len(times)-1)*p/100].Microseconds()) / 1000
 }
 
-// BenchmarkRestart reports the time from the start of a learner until it is ready,
-// after 500 changes.
+// BenchmarkRestart reports the time from the start of a learner until it is
+// ready, after 500 changes.
 //
 //	go test -run - -bench Restart -benchtime 5x ./internal/node
 func BenchmarkRestart(b *testing.B) {
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -5,7 +5,8 @@
 //
 // Client holds three links to each peer, for small calls, for proposals and slot
 // lending, and for bulk, so that a snapshot never delays a heartbeat. Server
-// handles the calls through small interfaces (Voter, Machine, Registry, Lender).
-// Log is the control log as the rest of the process sees it, Follower keeps the
-// state of a learner up to date, and Heartbeats drives package membership.
+// handles the calls, those for the control log and for slots through the
+// interfaces Voter and Lender. Log is the control log as the rest of the process
+// sees it, Follower keeps the state of a learner up to date, Heartbeats drives
+// package membership, and RegistrySync replicates the registry of upstreams.
 package node
--- a/internal/node/fetch.go
+++ b/internal/node/fetch.go
@@ -20,10 +20,10 @@
 func (f *Follower) addChunk(c *nodepb.SnapshotChunk) error {
 	meta, err := decodeMeta(c.Meta)
 	if err != nil {
-		return errors.Join(ErrBadFeed, err)
+		return errors.Join(ErrInvalidFeed, err)
 	}
 	if applied := f.config.Machine.Applied(); meta.Index <= applied || meta.Term < f.lastTerm {
-		return oops.Wrapf(ErrStepBack, "snapshot of index %d, term %d; applied here: index %d, term %d",
+		return oops.Wrapf(ErrStaleFeed, "snapshot of index %d, term %d; applied here: index %d, term %d",
 			meta.Index, meta.Term, applied, f.lastTerm)
 	}
 	f.startFetch(meta, c.Total)
@@ -48,11 +48,11 @@
 // add appends a chunk, which must continue the fetched part.
 func (s *snapshotFetch) add(c *nodepb.SnapshotChunk) error {
 	if c.Total > maxSnapshotBytes || c.Offset != uint64(len(s.data)) {
-		return oops.Wrapf(ErrBadFeed, "chunk at offset %d of %d bytes, %d bytes fetched so far", c.Offset, c.Total, len(s.data))
+		return oops.Wrapf(ErrInvalidFeed, "chunk at offset %d of %d bytes, %d bytes fetched so far", c.Offset, c.Total, len(s.data))
 	}
 	end := c.Offset + uint64(len(c.Data))
 	if end > c.Total || (len(c.Data) == 0 && end < c.Total) {
-		return oops.Wrapf(ErrBadFeed, "chunk of %d bytes at offset %d of %d bytes", len(c.Data), c.Offset, c.Total)
+		return oops.Wrapf(ErrInvalidFeed, "chunk of %d bytes at offset %d of %d bytes", len(c.Data), c.Offset, c.Total)
 	}
 	s.data = append(s.data, c.Data...)
 	return nil
@@ -63,12 +63,12 @@
 	fetched := f.fetch
 	f.fetch = nil
 	if err := f.config.Machine.Restore(fetched.data); err != nil {
-		return errors.Join(ErrBadFeed, err)
+		return errors.Join(ErrInvalidFeed, err)
 	}
 	f.snapshots.Inc(1)
 	f.lastTerm = fetched.meta.Term
 	if applied := f.config.Machine.Applied(); applied != fetched.meta.Index {
-		return oops.Wrapf(ErrBadFeed, "snapshot of index %d restored index %d", fetched.meta.Index, applied)
+		return oops.Wrapf(ErrInvalidFeed, "snapshot of index %d restored index %d", fetched.meta.Index, applied)
 	}
 	return nil
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -28,13 +28,13 @@
 )
 
 var (
-	// ErrStepBack reports that a voter offered a state that is older than the
+	// ErrStaleFeed reports that a voter offered a state that is older than the
 	// applied one or of another history. With it, accepted changes would
 	// disappear.
-	ErrStepBack = errors.New("node: the feed is older than the applied state, or of another history")
-	// ErrBadFeed reports that a feed has gaps, cannot be decoded or does not
+	ErrStaleFeed = errors.New("node: the feed is older than the applied state, or of another history")
+	// ErrInvalidFeed reports that a feed has gaps, cannot be decoded or does not
 	// start at the requested index.
-	ErrBadFeed = errors.New("node: the feed is not valid")
+	ErrInvalidFeed = errors.New("node: the feed is not valid")
 )
 
 // FollowerConfig sets up a Follower.
@@ -118,11 +118,11 @@
 	}
 	reply, err := f.poll(ctx, p)
 	if err != nil {
-		f.config.Leader.Doubt(p.name)
+		f.config.Leader.Invalidate(p.name)
 		p.recordFailure(p.bulk, err)
 		return err
 	}
-	f.config.Leader.Learn(model.NodeID(reply.Leader), reply.Term)
+	f.config.Leader.Update(model.NodeID(reply.Leader), reply.Term)
 	if err := f.apply(reply); err != nil {
 		f.recordRefusal(p.name, err)
 		return err
@@ -187,7 +187,7 @@
 // this is one line a source.
 func (f *Follower) recordRefusal(source model.NodeID, err error) {
 	counter := f.invalidFeeds
-	if errors.Is(err, ErrStepBack) {
+	if errors.Is(err, ErrStaleFeed) {
 		counter = f.staleFeeds
 	}
 	counter.Inc(1)
@@ -203,7 +203,7 @@
 	f.fetch = nil
 	entries, err := decodeEntries(reply.Entries)
 	if err != nil {
-		return errors.Join(ErrBadFeed, err)
+		return errors.Join(ErrInvalidFeed, err)
 	}
 	return f.applyEntries(entries)
 }
@@ -215,12 +215,12 @@
 	for i := range entries {
 		e := &entries[i]
 		if e.Index != index+1 {
-			return oops.Wrapf(ErrBadFeed, "entry %d follows entry %d", e.Index, index)
+			return oops.Wrapf(ErrInvalidFeed, "entry %d follows entry %d", e.Index, index)
 		}
 		// Terms of committed entries never decrease. A lower one comes from
 		// another history, such as that of a site founded anew.
 		if e.Term < term {
-			return oops.Wrapf(ErrStepBack, "entry %d has term %d, the one before has term %d", e.Index, e.Term, term)
+			return oops.Wrapf(ErrStaleFeed, "entry %d has term %d, the one before has term %d", e.Index, e.Term, term)
 		}
 		index, term = e.Index, e.Term
 	}
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -18,9 +18,9 @@
 
 var methods = []string{"Exchange", "Propose", "ReadIndex", "Follow", "Heartbeat", "Announce", "Lend", "Identify"}
 
-// FuzzServer sends arbitrary bodies to every method. The server replies or rejects
-// the call, never panics (twirp turns a panic into status 500), and no invariant of
-// the membership is violated.
+// FuzzServer sends arbitrary bodies to every method. The server replies or
+// rejects the call, never panics (twirp turns a panic into status 500), and no
+// invariant of the membership is violated.
 func FuzzServer(f *testing.F) {
 	s := newSite(f, 1, 0, 0)
 	p := s.processes["n1"]
@@ -42,7 +42,7 @@
 		if response.Code == http.StatusInternalServerError {
 			t.Fatalf("%s: %s", name, response.Body)
 		}
-		if violations := p.heartbeats.Check(); len(violations) > 0 {
+		if violations := p.heartbeats.Violations(); len(violations) > 0 {
 			t.Fatal(violations)
 		}
 	})
@@ -125,7 +125,7 @@
 		h := NewHeartbeats(HeartbeatsConfig{Self: "n1", Members: []model.NodeID{"n1", "n2"}, Machine: state.NewMachine(state.Options{}),
 			Client: NewClient(ClientConfig{Self: "n1"}), Leader: &LeaderHint{}, Metrics: metrics.NewRegistry()})
 		h.handleReply(h.clock(), beat)
-		if violations := h.Check(); len(violations) > 0 {
+		if violations := h.Violations(); len(violations) > 0 {
 			t.Fatal(violations)
 		}
 	})
--- a/internal/node/halfopen_test.go
+++ b/internal/node/halfopen_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-// Guards against a leader that stays confirmed and can commit nothing for seconds.
-// It comes about when new connections from two followers to the leader are refused
-// while those from the leader work: replies to heartbeats return in the call's
-// reply and confirm the leader, but replies to appends need a separate call and
-// are lost.
+// Guards against a leader that stays confirmed and can commit nothing for
+// seconds. It comes about when new connections from two followers to the leader
+// are refused while those from the leader work: replies to heartbeats return in
+// the call's reply and confirm the leader, but replies to appends need a
+// separate call and are lost.
 func TestAppendRepliesReturnInTheCallsReply(t *testing.T) {
 	is := is.New(t)
 	// Nothing listens at that address: a message that is not in the reply is lost.
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -37,13 +37,13 @@
 	Machine  Machine
 	Client   *Client
 	Leader   *LeaderHint
-	// Spreader is nil in a process that keeps no registry.
-	Spreader *Spreader
-	// Unconfirmed is called repeatedly while this process was ready and no
+	// RegistrySync is nil in a process that keeps no registry.
+	RegistrySync *RegistrySync
+	// OnUnconfirmed is called repeatedly while this process was ready and no
 	// longer is, or has been behind for feedStalledAfter. It may be nil.
-	Unconfirmed func()
-	Metrics     metrics.Registry
-	Logger      log.Interface
+	OnUnconfirmed func()
+	Metrics       metrics.Registry
+	Logger        log.Interface
 	// Incarnation and Clock are only set in tests.
 	Incarnation uint64
 	Clock       func() model.Instant
@@ -191,8 +191,8 @@
 		return err
 	}
 	h.handleReply(sent, response)
-	if h.config.Spreader != nil {
-		h.config.Spreader.compareDigest(target, reply.RegistryDigest)
+	if h.config.RegistrySync != nil {
+		h.config.RegistrySync.compareDigest(target, reply.RegistryDigest)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 
 // afterMessage acts on what a message changed, under the lock.
 func (h *Heartbeats) afterMessage(now model.Instant) {
-	h.config.Leader.Learn(h.core.Leader())
+	h.config.Leader.Update(h.core.Leader())
 	h.report(now)
 	if h.core.NeedsImmediateRound() {
 		h.wake()
@@ -236,7 +236,7 @@
 func (h *Heartbeats) updateLocal(now model.Instant) {
 	local := membership.Local{Leaving: h.leaving}
 	if h.voter != nil {
-		s := h.voter.Standing()
+		s := h.voter.Status()
 		local.Leader, local.Term, local.Commit = s.Leader, s.Term, s.Commit
 		local.Leads, local.Confirmed = s.Leads, s.Confirmed
 	} else {
--- a/internal/node/heartbeats_report.go
+++ b/internal/node/heartbeats_report.go
@@ -18,8 +18,8 @@
 		h.logReady(status)
 	}
 	lost := !status.Ready && status.ConfirmationAge > 0
-	if (lost || status.BehindFor > feedStalledAfter) && h.config.Unconfirmed != nil {
-		h.config.Unconfirmed()
+	if (lost || status.BehindFor > feedStalledAfter) && h.config.OnUnconfirmed != nil {
+		h.config.OnUnconfirmed()
 	}
 	if view := h.core.View(); view.Newer(h.lastView) {
 		h.lastView = view
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -14,9 +14,9 @@
 	term   uint64
 }
 
-// Learn records the leader that another process reported. A leader of an earlier
+// Update records the leader that another process reported. A leader of an earlier
 // term is ignored: it was replaced, whatever its messages claim.
-func (h *LeaderHint) Learn(leader model.NodeID, term uint64) {
+func (h *LeaderHint) Update(leader model.NodeID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if leader == "" || term < h.term {
@@ -25,10 +25,10 @@
 	h.leader, h.term = leader, term
 }
 
-// Doubt removes a leader that did not reply or replied that it does not lead.
-// The term stays, so that only a leader of the same or a later term is recorded
-// again.
-func (h *LeaderHint) Doubt(leader model.NodeID) {
+// Invalidate removes a leader that did not reply or replied that it does not
+// lead. The term stays, so that only a leader of the same or a later term is
+// recorded again.
+func (h *LeaderHint) Invalidate(leader model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.leader == leader {
--- a/internal/node/link_test.go
+++ b/internal/node/link_test.go
@@ -53,11 +53,11 @@
 	_, _ = io.CopyN(io.Discard, conn, maxCallBytes)
 }
 
-// Guards against a data race in the transport between the preparation of a resend
-// and the goroutine that still reads the body of the first attempt. It came about
-// when a peer left while calls to it were being written, because the transport
-// itself resends a call with a GetBody. Without GetBody the call ends, and the code
-// that made it decides about a retry.
+// Guards against a data race in the transport between the preparation of a
+// resend and the goroutine that still reads the body of the first attempt. It
+// came about when a peer left while calls to it were being written, because the
+// transport itself resends a call with a GetBody. Without GetBody the call
+// ends, and the code that made it decides about a retry.
 func TestCallToALeavingPeerEnds(t *testing.T) {
 	is := is.New(t)
 	payload := strings.Repeat("x", 4<<20)
@@ -77,10 +77,11 @@
 	return newLink(address, ClientConfig{Site: testSite, Token: func() string { return "" }, Dial: dial, ProbeAfter: pingAfter})
 }
 
-// Guards against requests that end with "may have run" while the core VMs have no
-// power, although nothing was sent, so that they cannot be resent. It came about
-// because connecting got no response and the call's deadline passed before the
-// dial timeout: the deadline's error does not tell whether there was a connection.
+// Guards against requests that end with "may have run" while the core VMs have
+// no power, although nothing was sent, so that they cannot be resent. It came
+// about because connecting got no response and the call's deadline passed
+// before the dial timeout: the deadline's error does not tell whether there was
+// a connection.
 func TestCallWithoutAConnectionWasNotSent(t *testing.T) {
 	is := is.New(t)
 	blackhole := func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -144,7 +144,7 @@
 	}
 	reply, err := p.work.node().Propose(ctx, &nodepb.ProposeRequest{Node: string(l.config.Self), Command: data})
 	if err != nil {
-		l.config.Leader.Doubt(target)
+		l.config.Leader.Invalidate(target)
 		p.recordFailure(p.work, err)
 		return state.Result{}, errors.Join(proposeOutcome(err), err)
 	}
@@ -155,9 +155,9 @@
 // updateLeader records the leader that the reply of a target names.
 func (l *Log) updateLeader(target model.NodeID, leader string, term uint64) {
 	if model.NodeID(leader) != target {
-		l.config.Leader.Doubt(target)
+		l.config.Leader.Invalidate(target)
 	}
-	l.config.Leader.Learn(model.NodeID(leader), term)
+	l.config.Leader.Update(model.NodeID(leader), term)
 }
 
 // proposeResult returns the result or error that a reply holds.
@@ -217,7 +217,7 @@
 	}
 	reply, err := p.small.node().ReadIndex(ctx, &nodepb.ReadIndexRequest{Node: string(l.config.Self)})
 	if err != nil {
-		l.config.Leader.Doubt(target)
+		l.config.Leader.Invalidate(target)
 		p.recordFailure(p.small, err)
 		return 0, err
 	}
@@ -251,7 +251,7 @@
 // its controller would continue as the leader's until the partition ends.
 func (l *Log) Leader() (model.NodeID, uint64) {
 	if l.config.Voter != nil {
-		if s := l.config.Voter.Standing(); s.Leader != "" {
+		if s := l.config.Voter.Status(); s.Leader != "" {
 			return s.Leader, s.Term
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -53,16 +53,16 @@
 	is.Equal(index, result.Index)
 	eventually(t, "all members", s.all(func(p *process) bool { return len(p.heartbeats.View().Live) == 5 }))
 	for _, p := range s.processes {
-		is.Equal(p.heartbeats.Check(), nil)
+		is.Equal(p.heartbeats.Violations(), nil)
 	}
 	p.heartbeats.Leave()
 	eventually(t, "the leaving process is no member", s.all(func(o *process) bool { return !o.heartbeats.View().Has("n5") }))
 	is.True(!p.heartbeats.Ready())
 }
 
-// Guards against a process that changes the state of this site although it belongs
-// to another one or its token was revoked. It comes about when the settings of two
-// sites are mixed up.
+// Guards against a process that changes the state of this site although it
+// belongs to another one or its token was revoked. It comes about when the
+// settings of two sites are mixed up.
 func TestForeignCallsAreRefused(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -92,9 +92,9 @@
 	is.Equal(leader.count("node.refused.form"), int64(1))
 }
 
-// givingUpAfter returns a context that ends between two attempts, after a number
-// of them, and the pause function that ends it. A context with a deadline could end
-// during an attempt, whose outcome would rightly be unknown.
+// givingUpAfter returns a context that ends between two attempts, after a
+// number of them, and the pause function that ends it. A context with a
+// deadline could end during an attempt, whose outcome would rightly be unknown.
 func givingUpAfter(t *testing.T, attempts int) (context.Context, func(context.Context, time.Duration)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -151,9 +151,10 @@
 	is.True(errors.Is(err, state.ErrNotProposed)) // no ID
 }
 
-// Guards against a VM that forgets an accepted change. It comes about when a voter
-// with an older or another log serves the feed after one with a newer log did,
-// because of a restored disk, a site that was founded anew, or a faulty voter.
+// Guards against a VM that forgets an accepted change. It comes about when a
+// voter with an older or another log serves the feed after one with a newer log
+// did, because of a restored disk, a site that was founded anew, or a faulty
+// voter.
 func TestLearnerRefusesStaleFeeds(t *testing.T) {
 	is := is.New(t)
 	machine := state.NewMachine(state.Options{})
@@ -179,14 +180,14 @@
 		reply *nodepb.FollowReply
 		want  error
 	}{
-		{feed(3, 2, 3, 4), ErrBadFeed},           // starts before the requested index
-		{feed(3, 5), ErrBadFeed},                 // leaves a gap
-		{feed(3, 4, 6), ErrBadFeed},              // has a gap; no part of it is applied
-		{feed(2, 4), ErrStepBack},                // of another history
-		{snapshot(3, 3), ErrStepBack},            // not later
-		{snapshot(9, 2), ErrStepBack},            // of another history
+		{feed(3, 2, 3, 4), ErrInvalidFeed},       // starts before the requested index
+		{feed(3, 5), ErrInvalidFeed},             // leaves a gap
+		{feed(3, 4, 6), ErrInvalidFeed},          // has a gap; no part of it is applied
+		{feed(2, 4), ErrStaleFeed},               // of another history
+		{snapshot(3, 3), ErrStaleFeed},           // not later
+		{snapshot(9, 2), ErrStaleFeed},           // of another history
 		{snapshot(9, 3), state.ErrStaleSnapshot}, // claims index 9 but holds index 0
-		{&nodepb.FollowReply{Entries: []byte("x")}, ErrBadFeed},
+		{&nodepb.FollowReply{Entries: []byte("x")}, ErrInvalidFeed},
 	} {
 		is.True(errors.Is(f.apply(c.reply), c.want))
 		is.Equal(machine.Applied(), uint64(3))
@@ -195,8 +196,8 @@
 }
 
 // Guards against a restarted VM that serves on an empty or old state. It comes
-// about when a learner restarts, its heartbeats get replies at once while its feed
-// is slow, and being connected counts as being up to date.
+// about when a learner restarts, its heartbeats get replies at once while its
+// feed is slow, and being connected counts as being up to date.
 func TestRestartedLearnerIsUnreadyUntilCaughtUp(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 1, 0)
@@ -214,7 +215,7 @@
 	}
 	learner := s.start(t, "n4", nil)
 	eventually(t, "the confirmation of a quorum arrived", func() bool {
-		return strings.HasPrefix(learner.heartbeats.Standing().Reason, "catching up")
+		return strings.HasPrefix(learner.heartbeats.Status().Reason, "catching up")
 	})
 	is.True(!learner.heartbeats.Ready())
 	close(hold)
@@ -234,7 +235,7 @@
 	s := newSite(t, 3, 1, 0)
 	old, learner := s.processes["n1"], s.processes["n4"]
 	eventually(t, "all ready", s.all(ready))
-	old.voter.stale.Store(&Standing{Leader: "n1", Term: 1, Leads: true})
+	old.voter.stale.Store(&VoterStatus{Leader: "n1", Term: 1, Leads: true})
 	s.network.isolate("n1", []model.NodeID{"n2", "n3"}, true)
 	s.log.setLeader("n2")
 	_, err := s.processes["n3"].log.Propose(t.Context(), claim("a"))
@@ -248,20 +249,20 @@
 	is.True(learner.count("node.follow.rotations") > 0)
 }
 
-// Guards against a leader that was cut off and continues as the leader for as long
-// as the partition lasts: its controller sends commands, and its status names it as
-// the leader. It comes about when its lease has lapsed, it learns of no other
-// leader, and the last hint, which is itself, is used.
+// Guards against a leader that was cut off and continues as the leader for as
+// long as the partition lasts: its controller sends commands, and its status
+// names it as the leader. It comes about when its lease has lapsed, it learns
+// of no other leader, and the last hint, which is itself, is used.
 func TestFormerLeaderIgnoresHintOfItself(t *testing.T) {
 	is := is.New(t)
 	voter, hint := &fakeVoter{}, &LeaderHint{}
 	l := NewLog(LogConfig{Self: "n1", Voter: voter, Leader: hint, Metrics: metrics.NewRegistry()})
-	hint.Learn("n1", 2)
-	voter.stale.Store(&Standing{Leader: "n1", Term: 2, Leads: true})
+	hint.Update("n1", 2)
+	voter.stale.Store(&VoterStatus{Leader: "n1", Term: 2, Leads: true})
 	leader, term := l.Leader()
 	is.Equal(leader, model.NodeID("n1"))
 	is.Equal(term, uint64(2))
-	voter.stale.Store(&Standing{Term: 2})
+	voter.stale.Store(&VoterStatus{Term: 2})
 	leader, _ = l.Leader()
 	is.Equal(leader, model.NodeID(""))
 }
@@ -280,7 +281,7 @@
 	}
 	eventually(t, "unready and no member", func() bool { return !ready(cutOff) && !s.processes["n1"].heartbeats.View().Has("n5") })
 	is.True(s.all(func(p *process) bool { return ready(p) == (p != cutOff) })())
-	is.Equal(s.processes["n1"].heartbeats.InForce(1), s.names)
+	is.Equal(s.processes["n1"].heartbeats.Behind(1), s.names)
 	for _, other := range s.names {
 		s.network.cut("n5", other, false)
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -17,11 +17,11 @@
 // FromReplica returns a replica as a Voter.
 func FromReplica(r *replica.Replica) Voter { return replicaVoter{r} }
 
-// Committed returns a part of the committed log, as Voter says.
+// Committed implements Voter.
 func (v replicaVoter) Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error) {
 	feed, err := v.Replica.Committed(ctx, from, maxBytes)
 	return Feed(feed), err
 }
 
-// Standing returns the replica's view of the control log.
-func (v replicaVoter) Standing() Standing { return Standing(v.Replica.Leadership()) }
+// Status returns the replica's view of the control log.
+func (v replicaVoter) Status() VoterStatus { return VoterStatus(v.Replica.Leadership()) }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -21,8 +21,8 @@
 const replyWait = 5 * time.Millisecond
 
 // storedReplyWait is the same for messages that are stored before the reply to
-// them: several times the duration of a sync of a healthy disk. A reply that takes
-// longer is sent in a separate call.
+// them: several times the duration of a sync of a healthy disk. A reply that
+// takes longer is sent in a separate call.
 const storedReplyWait = 40 * time.Millisecond
 
 // Lender handles requests for slots of the services that this process owns.
@@ -40,12 +40,12 @@
 	Authorizer *security.Authorizer
 	// Identity returns the identity of the data folder. It is called before a
 	// voter runs, too.
-	Identity   func() datafolder.Identity
-	Client     *Client
-	Heartbeats *Heartbeats
-	Spreader   *Spreader
-	Lender     Lender
-	Metrics    metrics.Registry
+	Identity     func() datafolder.Identity
+	Client       *Client
+	Heartbeats   *Heartbeats
+	RegistrySync *RegistrySync
+	Lender       Lender
+	Metrics      metrics.Registry
 	// Clock is only set in tests.
 	Clock func() model.Instant
 }
@@ -76,9 +76,9 @@
 // SetVoter sets the voter that handles the calls for the control log.
 func (s *Server) SetVoter(v Voter) { s.voter.Store(&voterHolder{v}) }
 
-// Offer registers a handler for the paths that begin with prefix, behind the same
-// checks. It is called before Handler.
-func (s *Server) Offer(prefix string, h http.Handler) {
+// Handle registers a handler for the paths that begin with prefix, behind the
+// same checks. It is called before Handler.
+func (s *Server) Handle(prefix string, h http.Handler) {
 	if s.handlers == nil {
 		s.handlers = map[string]http.Handler{}
 	}
@@ -166,10 +166,10 @@
 // Announce receives changes of the registry of upstreams, and replies to a digest
 // with the records that its sender lacks.
 func (s *Server) Announce(_ context.Context, r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
-	if s.config.Spreader == nil {
+	if s.config.RegistrySync == nil {
 		return nil, errNotOffered
 	}
-	reply, err := s.config.Spreader.handleAnnounce(r)
+	reply, err := s.config.RegistrySync.handleAnnounce(r)
 	if err != nil {
 		s.badInput.Inc(1)
 		return nil, twirp.InvalidArgumentError("changes", err.Error())
--- a/internal/node/server_log.go
+++ b/internal/node/server_log.go
@@ -34,7 +34,7 @@
 		return nil, twirp.InvalidArgumentError("command", err.Error())
 	}
 	result, err := proposeLocally(ctx, voter, command, s.config.Clock())
-	status := voter.Standing()
+	status := voter.Status()
 	reply := &nodepb.ProposeReply{Leader: string(status.Leader), Term: status.Term}
 	if err != nil {
 		reply.Outcome = outcomeOf(err)
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	index, err := voter.ReadIndex(ctx)
-	status := voter.Standing()
+	status := voter.Status()
 	return &nodepb.ReadIndexReply{
 		Confirmed: err == nil,
 		Index:     index,
@@ -94,7 +94,7 @@
 }
 
 func (s *Server) followReply(voter Voter, feed Feed, offset uint64) (*nodepb.FollowReply, error) {
-	status := voter.Standing()
+	status := voter.Status()
 	reply := &nodepb.FollowReply{
 		Commit: max(feed.Commit, status.Commit),
 		Term:   status.Term,
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -72,7 +72,7 @@
 	hook    atomic.Pointer[proposeHook]
 	// stale, if set, is the voter's outdated view of the log, as on the minority
 	// side of a partition; it then commits nothing new.
-	stale atomic.Pointer[Standing]
+	stale atomic.Pointer[VoterStatus]
 	// hold, if set, blocks the feed until it is closed.
 	hold chan struct{}
 }
@@ -85,14 +85,14 @@
 	}
 }
 
-func (v *fakeVoter) Standing() Standing {
+func (v *fakeVoter) Status() VoterStatus {
 	if stale := v.stale.Load(); stale != nil {
 		return *stale
 	}
 	v.log.mu.Lock()
 	defer v.log.mu.Unlock()
 	leads := v.log.leader == v.name
-	return Standing{
+	return VoterStatus{
 		Leader: v.log.leader, Term: v.log.term, Commit: uint64(len(v.log.entries)),
 		Leads: leads, Confirmed: leads,
 	}
@@ -100,7 +100,7 @@
 
 func (v *fakeVoter) Propose(_ context.Context, data []byte) (state.Result, error) {
 	next := func() (state.Result, error) {
-		if !v.Standing().Leads {
+		if !v.Status().Leads {
 			return state.Result{}, fmt.Errorf("not leader: %w", state.ErrNotProposed)
 		}
 		return v.apply(v.log.append(data)), nil
@@ -111,8 +111,8 @@
 	return next()
 }
 
-// apply applies the log and returns the result at an index. It replays the log for
-// that, since the machine may already be past the index.
+// apply applies the log and returns the result at an index. It replays the log
+// for that, since the machine may already be past the index.
 func (v *fakeVoter) apply(index uint64) state.Result {
 	v.catchUp()
 	v.log.mu.Lock()
@@ -144,7 +144,7 @@
 }
 
 func (v *fakeVoter) ReadIndex(context.Context) (uint64, error) {
-	s := v.Standing()
+	s := v.Status()
 	if !s.Confirmed {
 		return 0, errors.New("not confirmed")
 	}
@@ -187,19 +187,19 @@
 
 // process is one process of a test site with all parts of this package.
 type process struct {
-	name       model.NodeID
-	machine    *state.Machine
-	voter      *fakeVoter
-	replica    *replica.Replica
-	client     *Client
-	log        *Log
-	follower   *Follower
-	heartbeats *Heartbeats
-	registry   *registry.Registry
-	spreader   *Spreader
-	server     *Server
-	metrics    metrics.Registry
-	stop       func()
+	name         model.NodeID
+	machine      *state.Machine
+	voter        *fakeVoter
+	replica      *replica.Replica
+	client       *Client
+	log          *Log
+	follower     *Follower
+	heartbeats   *Heartbeats
+	registry     *registry.Registry
+	registrySync *RegistrySync
+	server       *Server
+	metrics      metrics.Registry
+	stop         func()
 }
 
 // site is a set of processes on loopback.
@@ -274,15 +274,15 @@
 	p.client = NewClient(ClientConfig{Self: name, Site: testSite, Token: func() string { return s.token },
 		Addresses: s.addresses, Metrics: counters, Dial: s.network.dial(name, s.byAddress), ProbeAfter: s.probe})
 	p.registry = registry.New(registry.Options{})
-	p.spreader = NewSpreader(SpreaderConfig{Self: name, Registry: p.registry, Client: p.client, Metrics: counters})
+	p.registrySync = NewRegistrySync(RegistrySyncConfig{Self: name, Registry: p.registry, Client: p.client, Metrics: counters})
 	p.follower = NewFollower(FollowerConfig{Self: name, Machine: p.machine, Client: p.client, Voters: s.voters,
 		Leader: leader, Metrics: counters, Logger: quiet})
 	p.heartbeats = NewHeartbeats(HeartbeatsConfig{Self: name, Members: s.names, Voters: s.voters, Interval: s.interval,
-		Machine: p.machine, Client: p.client, Leader: leader, Spreader: p.spreader, Metrics: counters, Logger: quiet,
-		Unconfirmed: p.follower.Rotate})
+		Machine: p.machine, Client: p.client, Leader: leader, RegistrySync: p.registrySync, Metrics: counters, Logger: quiet,
+		OnUnconfirmed: p.follower.Rotate})
 	p.server = NewServer(ServerConfig{Self: name, Site: testSite, Authorizer: testAuthorizer(tb, s.token, counters),
 		Identity: func() datafolder.Identity { return datafolder.Identity{Site: testSite, Node: name} },
-		Client:   p.client, Heartbeats: p.heartbeats, Spreader: p.spreader, Metrics: counters})
+		Client:   p.client, Heartbeats: p.heartbeats, RegistrySync: p.registrySync, Metrics: counters})
 	logConfig := LogConfig{Self: name, Machine: p.machine, Client: p.client, Voters: s.voters, Leader: leader, Metrics: counters}
 	if s.isVoter(name) && s.folders != "" {
 		p.replica = s.openReplica(tb, p)
@@ -321,7 +321,7 @@
 	tasks.Go(func() { _ = server.Serve(l) })
 	tasks.Go(func() { _ = p.client.Run(ctx) })
 	tasks.Go(func() { _ = p.heartbeats.Run(ctx) })
-	tasks.Go(func() { _ = p.spreader.Run(ctx) })
+	tasks.Go(func() { _ = p.registrySync.Run(ctx) })
 	switch {
 	case p.replica != nil:
 		tasks.Go(func() { _ = p.replica.Run(ctx) })
--- a/internal/node/spreader.go
+++ b/internal/node/spreader.go
@@ -15,7 +15,7 @@
 
 const (
 	// registryPollInterval is how often the registry is checked for expired
-	// leases and for changes without a call of Nudge.
+	// leases and for changes without a call of Notify.
 	registryPollInterval = 500 * time.Millisecond
 	// deliveryTimeout bounds one delivery, so that a lost one is repeated soon.
 	deliveryTimeout = 500 * time.Millisecond
@@ -43,8 +43,8 @@
 	repairLimit = 4096
 )
 
-// SpreaderConfig sets up a Spreader.
-type SpreaderConfig struct {
+// RegistrySyncConfig sets up a RegistrySync.
+type RegistrySyncConfig struct {
 	Self     model.NodeID
 	Registry *registry.Registry
 	Client   *Client
@@ -53,15 +53,15 @@
 	Clock func() model.Instant
 }
 
-// Spreader replicates the announcements of upstreams at this process to all other
-// processes. A change is pushed at once and repeated until it is acknowledged;
-// renewals of leases are sent together. Heartbeats carry a digest. When digests
-// differ, the two processes exchange the records that each of them lacks, whatever
-// was lost before. Spreader also lets the leases of unresponsive instances lapse:
-// otherwise an instance whose VM died would get requests, and count in
-// availability budgets, for ever.
-type Spreader struct {
-	config SpreaderConfig
+// RegistrySync replicates the announcements of upstreams at this process to all
+// other processes. A change is pushed at once and repeated until it is
+// acknowledged; renewals of leases are sent together. Heartbeats carry a digest.
+// When digests differ, the two processes exchange the records that each of them
+// lacks, whatever was lost before. RegistrySync also lets the leases of
+// unresponsive instances lapse: otherwise an instance whose VM died would get
+// requests, and count in availability budgets, for ever.
+type RegistrySync struct {
+	config RegistrySyncConfig
 	// wakeup holds a token when something changed.
 	wakeup chan struct{}
 	// minDelay is the least delay of renewals.
@@ -84,9 +84,9 @@
 	notBefore time.Time
 }
 
-// NewSpreader returns a Spreader for the registry.
-func NewSpreader(c SpreaderConfig) *Spreader {
-	s := &Spreader{
+// NewRegistrySync returns a RegistrySync for the registry.
+func NewRegistrySync(c RegistrySyncConfig) *RegistrySync {
+	s := &RegistrySync{
 		config:   c,
 		wakeup:   make(chan struct{}, 1),
 		peers:    map[model.NodeID]*peerSync{},
@@ -107,7 +107,7 @@
 
 // Run replicates changes until ctx ends. One task watches the registry, and one
 // for each peer sends to it.
-func (s *Spreader) Run(ctx context.Context) error {
+func (s *RegistrySync) Run(ctx context.Context) error {
 	var tasks conc.WaitGroup
 	for _, r := range s.peers {
 		tasks.Go(func() { s.syncPeer(ctx, r) })
@@ -117,19 +117,20 @@
 	return ctx.Err()
 }
 
-// Nudge reports that an instance entered, left or changed at this process, so
+// Notify reports that an instance entered, left or changed at this process, so
 // that the change is pushed at once. It is not needed for renewals.
-func (s *Spreader) Nudge() { signal(s.wakeup) }
+func (s *RegistrySync) Notify() { signal(s.wakeup) }
 
 // renewalDelay returns how long renewals are delayed. At a large site a delivery
 // costs many times as much as the renewals in it, and leases are long.
-func (s *Spreader) renewalDelay() time.Duration {
+func (s *RegistrySync) renewalDelay() time.Duration {
 	return max(s.minDelay, min(s.config.Registry.RenewInterval()/renewalFraction, longRenewalDelay))
 }
 
-// watch wakes the tasks of the peers: at once for a change, together for renewals.
-// A task that woke for each renewal would compare and wait many times a second.
-func (s *Spreader) watch(ctx context.Context) {
+// watch wakes the tasks of the peers: at once for a change, together for
+// renewals. A task that woke for each renewal would compare and wait many times
+// a second.
+func (s *RegistrySync) watch(ctx context.Context) {
 	var version, changed uint64
 	var notifiedAt time.Time
 	poll := time.NewTicker(registryPollInterval)
@@ -155,7 +156,7 @@
 }
 
 // syncPeer keeps one peer up to date until ctx ends.
-func (s *Spreader) syncPeer(ctx context.Context, r *peerSync) {
+func (s *RegistrySync) syncPeer(ctx context.Context, r *peerSync) {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for ctx.Err() == nil {
@@ -175,7 +176,7 @@
 
 // push delivers what the peer has not acknowledged, and returns the time until
 // the next push; 0 when nothing is left.
-func (s *Spreader) push(ctx context.Context, r *peerSync) time.Duration {
+func (s *RegistrySync) push(ctx context.Context, r *peerSync) time.Duration {
 	if wait := time.Until(r.notBefore); wait > 0 {
 		return wait
 	}
@@ -197,7 +198,7 @@
 }
 
 // deliver sends changes to a peer.
-func (s *Spreader) deliver(ctx context.Context, r *peerSync, batch registry.Batch) error {
+func (s *RegistrySync) deliver(ctx context.Context, r *peerSync, batch registry.Batch) error {
 	changes, err := batch.Encode()
 	if err != nil {
 		return err
@@ -207,7 +208,7 @@
 }
 
 // announce sends one request to a peer and counts a failure.
-func (s *Spreader) announce(ctx context.Context, r *peerSync, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
+func (s *RegistrySync) announce(ctx context.Context, r *peerSync, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
 	reply, err := r.peer.small.node().Announce(ctx, request)
@@ -218,15 +219,16 @@
 	return reply, err
 }
 
-// compareDigest triggers a repair when a peer's digest differs from the local one.
-func (s *Spreader) compareDigest(name model.NodeID, digest uint64) {
+// compareDigest triggers a repair when a peer's digest differs from the local
+// one.
+func (s *RegistrySync) compareDigest(name model.NodeID, digest uint64) {
 	if r := s.peers[name]; r != nil && digest != 0 && digest != s.digest() {
 		signal(r.differs)
 	}
 }
 
 // repair exchanges digests with a peer; each side gets the records that it lacks.
-func (s *Spreader) repair(ctx context.Context, r *peerSync) {
+func (s *RegistrySync) repair(ctx context.Context, r *peerSync) {
 	digest, err := s.config.Registry.Digest().Encode()
 	if err != nil {
 		return
@@ -250,7 +252,7 @@
 }
 
 // handleAnnounce merges a peer's changes and replies to its digest.
-func (s *Spreader) handleAnnounce(r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
+func (s *RegistrySync) handleAnnounce(r *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
 	if err := s.merge(r.Changes); err != nil {
 		return nil, err
 	}
@@ -270,7 +272,7 @@
 }
 
 // merge adds encoded changes to the registry.
-func (s *Spreader) merge(changes []byte) error {
+func (s *RegistrySync) merge(changes []byte) error {
 	if len(changes) == 0 {
 		return nil
 	}
@@ -283,7 +285,7 @@
 }
 
 // digest hashes the registry's digest into one number; 0 stands for none.
-func (s *Spreader) digest() uint64 {
+func (s *RegistrySync) digest() uint64 {
 	d := s.config.Registry.Digest()
 	buffer := make([]byte, 0, 8*len(d.BucketHashes))
 	for _, part := range d.BucketHashes {
--- a/internal/node/standing.go
+++ b/internal/node/standing.go
@@ -9,8 +9,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Standing returns whether this process may take requests, and why not.
-func (h *Heartbeats) Standing() membership.Status {
+// Status returns whether this process may take requests, and why not.
+func (h *Heartbeats) Status() membership.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
@@ -19,12 +19,12 @@
 }
 
 // Ready reports whether this process may take requests. A request that arrives
-// while it may not is served on the last known state; see CountServed.
-func (h *Heartbeats) Ready() bool { return h.Standing().Ready }
+// while it may not is served on the last known state; see CountServedUnready.
+func (h *Heartbeats) Ready() bool { return h.Status().Ready }
 
-// CountServed counts a request that is served while this process is not
+// CountServedUnready counts a request that is served while this process is not
 // ready, as "node.served_unconfirmed".
-func (h *Heartbeats) CountServed() { h.servedUnready.Inc(1) }
+func (h *Heartbeats) CountServedUnready() { h.servedUnready.Inc(1) }
 
 // View returns the live members. They own the slots of services.
 func (h *Heartbeats) View() membership.View {
@@ -41,15 +41,15 @@
 	return h.core.Incarnation()
 }
 
-// Check describes the violated invariants of the membership.
-func (h *Heartbeats) Check() []string {
+// Violations describes the violated invariants of the membership.
+func (h *Heartbeats) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Violations(h.clock())
 }
 
-// InForce returns the processes that are not known to have applied the index.
-func (h *Heartbeats) InForce(index uint64) (behind []model.NodeID) {
+// Behind returns the processes that are not known to have applied the index.
+func (h *Heartbeats) Behind(index uint64) (behind []model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.updateLocal(h.clock())
@@ -63,7 +63,7 @@
 	var calls conc.WaitGroup
 	defer calls.Wait()
 	for {
-		behind = h.InForce(index)
+		behind = h.Behind(index)
 		if len(behind) == 0 || ctx.Err() != nil {
 			return behind
 		}
--- a/internal/node/unresponsive_test.go
+++ b/internal/node/unresponsive_test.go
@@ -15,11 +15,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Guards against a VM that stays cut off although its network works. It comes about
-// when all open connections stop working at once and new ones work, because a
-// device between the two ends has lost its state. The probe ends a waiting call.
-// Without the probe, a call without a reply must make the following calls use a new
-// connection, and a feed without new entries must make the learner change the voter.
+// Guards against a VM that stays cut off although its network works. It comes
+// about when all open connections stop working at once and new ones work,
+// because a device between the two ends has lost its state. The probe ends a
+// waiting call. Without the probe, a call without a reply must make the
+// following calls use a new connection, and a feed without new entries must
+// make the learner change the voter.
 func TestBlackholedConnections(t *testing.T) {
 	for _, probe := range []time.Duration{0, time.Hour} {
 		t.Run(fmt.Sprintf("probe=%v", probe), func(t *testing.T) {
@@ -41,7 +42,7 @@
 			_, err := learner.log.Propose(ctx, claim("a"))
 			is.NoErr(err)
 			eventually(t, "confirmed anew", s.all(func(p *process) bool {
-				return ready(p) && p.heartbeats.Standing().ConfirmationAge < time.Since(blackholedAt)
+				return ready(p) && p.heartbeats.Status().ConfirmationAge < time.Since(blackholedAt)
 			}))
 			if probe == 0 {
 				s.network.blackholeAll()
@@ -51,9 +52,9 @@
 	}
 }
 
-// Guards against one slow VM that delays the messages to all others. It comes about
-// when a peer accepts connections and never replies while many messages are sent,
-// and the peers share a queue or a sender.
+// Guards against one slow VM that delays the messages to all others. It comes
+// about when a peer accepts connections and never replies while many messages
+// are sent, and the peers share a queue or a sender.
 func TestSlowPeerDelaysNoOtherPeer(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 2, 0, 0)
@@ -78,9 +79,9 @@
 	<-done
 }
 
-// Guards against a leaving upstream that still gets work from some entry VMs. It
-// comes about when the message that it leaves is lost on the way to two of them and
-// nothing repairs that.
+// Guards against a leaving upstream that still gets work from some entry VMs.
+// It comes about when the message that it leaves is lost on the way to two of
+// them and nothing repairs that.
 func TestLeavingReachesEveryEntryVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -103,15 +104,16 @@
 	u.Sequence, u.Leaving = 2, true
 	_, err = s.processes["n4"].registry.Announce(u, wallClock())
 	is.NoErr(err)
-	s.processes["n4"].spreader.Nudge()
+	s.processes["n4"].registrySync.Notify()
 	began := time.Now()
 	eventually(t, "leaving everywhere", s.all(sees(true)))
 	t.Logf("known at every process after %v", time.Since(began))
 }
 
-// Guards against an instance whose VM died and that gets requests, and counts as
-// serving in every availability budget, for ever. It comes about when it announces
-// once and never again, and nothing lets the lease of its announcement lapse.
+// Guards against an instance whose VM died and that gets requests, and counts
+// as serving in every availability budget, for ever. It comes about when it
+// announces once and never again, and nothing lets the lease of its
+// announcement lapse.
 func TestUnresponsiveInstanceLapses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/node/voter.go
+++ b/internal/node/voter.go
@@ -23,8 +23,8 @@
 	// Committed returns committed entries from the index on, or the snapshot
 	// that replaced them. It waits until there is one or ctx ends.
 	Committed(ctx context.Context, from uint64, maxBytes int) (Feed, error)
-	// Standing returns this voter's view of the control log.
-	Standing() Standing
+	// Status returns this voter's view of the control log.
+	Status() VoterStatus
 }
 
 // Feed is a part of the committed log.
@@ -37,8 +37,8 @@
 	Commit uint64
 }
 
-// Standing is a voter's view of the control log.
-type Standing struct {
+// VoterStatus is a voter's view of the control log.
+type VoterStatus struct {
 	// Leader is empty when unknown.
 	Leader model.NodeID
 	Term   uint64
--- a/internal/node/wire.go
+++ b/internal/node/wire.go
@@ -54,8 +54,8 @@
 			Ready:       report.Ready,
 		})
 	}
-	if h.config.Spreader != nil {
-		m.RegistryDigest = h.config.Spreader.digest()
+	if h.config.RegistrySync != nil {
+		m.RegistryDigest = h.config.RegistrySync.digest()
 	}
 	return m
 }
