--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -4,31 +4,31 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Kind names what a command does. Its text form is used on the wire.
+// Kind is what a command does. Its value is used on the wire.
 type Kind string
 
 const (
-	// Drain: the platform starts no further task on the VM.
+	// Drain stops the platform from starting tasks on the VM.
 	Drain Kind = "drain"
-	// Undrain ends a drain that no reboot followed.
+	// Undrain ends a drain that was not followed by a reboot.
 	Undrain Kind = "undrain"
-	// Reboot restarts the VM if its boot ID is still the one named.
+	// Reboot restarts the VM if its boot ID is still the one in the command.
 	Reboot Kind = "reboot"
 	// Return ends the maintenance of a VM that was rebooted.
 	Return Kind = "return"
-	// Start runs a task on a worker until its lease lapses.
+	// Start runs a task on a worker until its lease expires.
 	Start Kind = "start"
-	// Renew extends the leases of tasks to one common instant.
+	// Renew extends the leases of several tasks to the same instant.
 	Renew Kind = "renew"
-	// Checkpoint saves a task's progress under its job and ends the task.
+	// Checkpoint saves a task's progress for its job and ends the task.
 	Checkpoint Kind = "checkpoint"
-	// Throttle sets whether a task runs at reduced processor share.
+	// Throttle sets whether a task runs with a reduced share of the processor.
 	Throttle Kind = "throttle"
-	// Stop ends a task. A task that never started never will.
+	// Stop ends a task. A task that has not started yet never starts.
 	Stop Kind = "stop"
 )
 
-// ForVM reports whether the command addresses a VM rather than tasks.
+// ForVM reports whether the command is for a VM rather than for tasks.
 func (k Kind) ForVM() bool {
 	switch k {
 	case Drain, Undrain, Reboot, Return:
@@ -38,8 +38,8 @@
 	}
 }
 
-// Step orders the commands of one maintenance of a VM. A command is refused
-// once a later step of the same generation was accepted.
+// Step is the position of a command in the maintenance of a VM. A command is
+// refused once a later step of the same generation was accepted.
 func (k Kind) Step() int {
 	switch k {
 	case Drain:
@@ -53,20 +53,20 @@
 	}
 }
 
-// Fence orders commands for the same object. The platform keeps the highest
-// fence that it accepted and refuses what is lower, so that a delayed command
-// of an earlier decision or of a leader that was cut off has no effect.
+// Fence orders the commands for one object. The platform stores the highest fence
+// that it accepted and refuses lower ones, so that a delayed command of an earlier
+// decision or of a replaced leader has no effect.
 type Fence struct {
 	// Term is the controller's term.
 	Term uint64 `json:"term"`
-	// Generation is that of the permit for VM commands, and that of the VM's
-	// ownership for tasks.
+	// Generation is the generation of the permit for VM commands, and the
+	// generation of the VM's ownership for tasks.
 	Generation uint64 `json:"generation"`
 	// Step orders the VM commands of one generation; see Kind.Step.
 	Step int `json:"step,omitempty"`
 }
 
-// Before reports whether f is of an earlier decision than o about the same VM.
+// Before reports whether f belongs to an earlier decision about the same VM than o.
 func (f Fence) Before(o Fence) bool {
 	if f.Generation != o.Generation {
 		return f.Generation < o.Generation
@@ -74,8 +74,8 @@
 	return f.Step < o.Step
 }
 
-// Command is one order to the platform. Which of the other fields are read
-// depends on Kind.
+// Command is one command to the platform. Kind determines which of the other
+// fields are used.
 type Command struct {
 	ID    model.CommandID `json:"id"`
 	Kind  Kind            `json:"kind"`
@@ -83,15 +83,15 @@
 
 	// VM is set for VM commands and for Start.
 	VM model.VMID `json:"vm,omitempty"`
-	// BootID is set for Reboot: the boot that is to end.
+	// BootID is set for Reboot: the boot ID that the VM must still have.
 	BootID string `json:"boot_id,omitempty"`
 
 	// Task is set for Start, Checkpoint, Throttle and Stop.
 	Task model.TaskID `json:"task,omitempty"`
 	// Tasks is set for Renew.
 	Tasks []model.TaskID `json:"tasks,omitempty"`
-	// LeaseUntil is set for Start and Renew. The worker ends the task then by
-	// its own clock; clocks agree within the drift margin.
+	// LeaseUntil is set for Start and Renew. The worker ends the task at this
+	// instant of its own clock; clocks agree within the drift margin.
 	LeaseUntil model.Instant `json:"lease_until_ms,omitempty"`
 	// Throttled is set for Throttle.
 	Throttled bool `json:"throttled,omitempty"`
@@ -99,7 +99,7 @@
 	Spec *TaskSpec `json:"spec,omitempty"`
 }
 
-// TaskSpec says what a task is to run.
+// TaskSpec specifies a task.
 type TaskSpec struct {
 	Worker   model.WorkerID  `json:"worker"`
 	Pool     model.PoolID    `json:"pool"`
@@ -112,18 +112,19 @@
 	Payload  []byte          `json:"payload,omitempty"`
 }
 
-// Code says what became of a command.
+// Code is the result of a command.
 type Code string
 
 const (
-	// Accepted: the command took effect now or when it was first sent.
+	// Accepted: the command took effect now or when it first arrived.
 	Accepted Code = "accepted"
-	// Stale: a command of a later decision was accepted before; no effect.
+	// Stale: a command of a later decision was accepted before. No effect.
 	Stale Code = "stale"
-	// Refused: the platform can't do it (unknown object, no room, lease over,
-	// other boot ID); no effect. A task whose start was refused never runs.
+	// Refused: the platform can't carry it out (unknown object, not enough free
+	// capacity, expired lease, other boot ID). No effect. A task whose start was
+	// refused never runs.
 	Refused Code = "refused"
-	// Busy: not now; no effect, send it again later.
+	// Busy: the platform can't carry it out now. No effect; retry later.
 	Busy Code = "busy"
 )
 
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,7 +1,8 @@
-// Package platform talks to the platform that owns the VMs: it lists VMs,
-// workers and tasks by cursor and sends commands for VMs and tasks.
+// Package platform is the client of the platform that owns the VMs. It lists the
+// changes of VMs, workers and tasks since a cursor and sends commands for VMs and
+// tasks.
 //
-// Every command has a stable ID and a fence, so that sending it twice has the
-// effect of once and a command of an older decision is refused. The endpoints
-// are described in docs/interface/platform.md.
+// Every command has a stable ID and a fence: a repeated command takes effect only
+// once, and a command of an earlier decision is refused. The endpoints are
+// described in docs/interface/platform.md.
 package platform
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -25,32 +25,33 @@
 	PathTasks    = "/v1/tasks"
 	PathUsage    = "/v1/usage"
 	PathCommands = "/v1/commands"
-	// QuerySince carries the cursor.
+	// QuerySince is the query parameter for the cursor.
 	QuerySince = "since"
 )
 
 const (
-	// defaultTimeout bounds a call from dial to last byte.
+	// defaultTimeout bounds a call from dialing to the last byte.
 	defaultTimeout = 5 * time.Second
-	// maxAnswerBytes bounds an answer: a full list of 1,300 VMs and 20,000
-	// tasks takes about 6 MB.
-	maxAnswerBytes = 32 << 20
-	maxIdleConns   = 4
-	// idleAge drops a connection that something on the way may have forgotten.
-	idleAge = 20 * time.Second
+	// maxResponseBytes bounds the body of a response. A full list of 1,300 VMs
+	// and 20,000 tasks takes about 6 MB.
+	maxResponseBytes = 32 << 20
+	maxIdleConns     = 4
+	// idleConnTimeout closes idle connections, which a device on the network
+	// path may have dropped from its tables.
+	idleConnTimeout = 20 * time.Second
 )
 
-// HTTPOptions tune an HTTPClient.
+// HTTPOptions configures an HTTPClient.
 type HTTPOptions struct {
 	// Address is host:port, or a URL with scheme.
 	Address string
-	// Token is sent as bearer token when it is not empty.
+	// Token is sent as bearer token if it is not empty.
 	Token string
-	// Timeout bounds one call; 0 stands for 5 s.
+	// Timeout bounds one call; 0 means 5 s.
 	Timeout time.Duration
 }
 
-// HTTPClient is a Client over HTTP with JSON.
+// HTTPClient implements Client over HTTP with JSON.
 type HTTPClient struct {
 	base    string
 	token   string
@@ -69,14 +70,14 @@
 		timeout = defaultTimeout
 	}
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: timeout, KeepAlive: idleAge}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: timeout, KeepAlive: idleConnTimeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdleConns,
-		IdleConnTimeout:     idleAge,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 	return &HTTPClient{base: base, token: o.Token, timeout: timeout, http: &http.Client{Transport: transport}}, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *HTTPClient) Close() { c.http.CloseIdleConnections() }
 
 // VMs implements Client.
@@ -117,14 +118,14 @@
 	if err != nil {
 		return nil, &Error{Verdict: model.NotRun, Op: op, Cause: err}
 	}
-	var answer CommandAnswer
-	if _, err := c.call(ctx, op, http.MethodPost, PathCommands, body, &answer); err != nil {
+	var response CommandAnswer
+	if _, err := c.call(ctx, op, http.MethodPost, PathCommands, body, &response); err != nil {
 		return nil, err
 	}
-	if len(answer.Answers) != len(commands) {
-		return nil, &Error{Verdict: model.MayHaveRun, Op: op, Cause: oops.Errorf("%d answers to %d commands", len(answer.Answers), len(commands))}
+	if len(response.Answers) != len(commands) {
+		return nil, &Error{Verdict: model.MayHaveRun, Op: op, Cause: oops.Errorf("%d answers to %d commands", len(response.Answers), len(commands))}
 	}
-	return answer.Answers, nil
+	return response.Answers, nil
 }
 
 // CommandRequest is the body of a POST to PathCommands.
@@ -132,7 +133,8 @@
 	Commands []Command `json:"commands"`
 }
 
-// CommandAnswer is its answer; Answers are in the order of the commands.
+// CommandAnswer is the body of the response to a CommandRequest. Answers are in
+// the order of the commands.
 type CommandAnswer struct {
 	Answers []Answer `json:"answers"`
 }
@@ -145,8 +147,9 @@
 	return err
 }
 
-// call makes one exchange. The verdict of its error is NotRun when no byte of
-// the request left, or the platform answered that it did nothing.
+// call sends one request and reads the response. The verdict of its error is
+// NotRun if no byte of the request was written or the status of the response means
+// that the platform did nothing.
 func (c *HTTPClient) call(ctx context.Context, op, method, path string, body []byte, into any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -162,18 +165,18 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return 0, &Error{Verdict: verdictOfBytes(wrote.Load()), Op: op, Cause: err}
+		return 0, &Error{Verdict: verdictOfWrite(wrote.Load()), Op: op, Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	return response.StatusCode, readAnswer(op, response, into)
+	return response.StatusCode, readResponse(op, response, into)
 }
 
-func readAnswer(op string, response *http.Response, into any) error {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+func readResponse(op string, response *http.Response, into any) error {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return &Error{Verdict: model.MayHaveRun, Op: op, Cause: err}
 	}
-	if len(text) > maxAnswerBytes {
+	if len(text) > maxResponseBytes {
 		return &Error{Verdict: model.MayHaveRun, Op: op, Cause: errors.New("answer exceeds 32 MiB")}
 	}
 	if response.StatusCode != http.StatusOK {
@@ -185,15 +188,16 @@
 	return nil
 }
 
-func verdictOfBytes(wrote bool) model.Verdict {
+func verdictOfWrite(wrote bool) model.Verdict {
 	if wrote {
 		return model.MayHaveRun
 	}
 	return model.NotRun
 }
 
-// verdictOfStatus reads a refusal: the platform promises that it did nothing
-// on a client error and when it is too busy to take the request.
+// verdictOfStatus returns the verdict of a failed call by the status of its
+// response. The platform guarantees that it did nothing if it responds with a
+// client error or that it is too busy to accept the request.
 func verdictOfStatus(status int) model.Verdict {
 	switch {
 	case status == http.StatusRequestTimeout:
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -4,11 +4,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Cursor marks a position in a list of changes. The zero value asks for
-// everything.
+// Cursor is a position in a list of changes. The zero value requests the
+// complete list.
 type Cursor string
 
-// VMReport is what the platform says about one VM and the worker on it.
+// VMReport is the platform's report of one VM and the worker on it.
 type VMReport struct {
 	VM       model.VMID      `json:"vm"`
 	Worker   model.WorkerID  `json:"worker"`
@@ -21,17 +21,18 @@
 	HealthSince model.Instant `json:"health_since_ms"`
 	BootID      string        `json:"boot_id"`
 	Drained     bool          `json:"drained"`
-	// Fence is the highest that was accepted for the VM.
+	// Fence is the highest fence that was accepted for the VM.
 	Fence Fence `json:"fence"`
-	// Revision grows with every change; a report of a lower one is older.
+	// Revision grows with every change; a report with a lower one is older.
 	Revision uint64 `json:"revision"`
 }
 
 // VMList is a list of VMs that changed since a cursor.
 type VMList struct {
-	// Full says that VMs is the complete list; a VM not in it is gone.
+	// Full is true if VMs is the complete list: a VM that isn't in it has been
+	// removed.
 	Full bool `json:"full"`
-	// Since is the cursor that the list answers to.
+	// Since is the cursor of the request.
 	Since Cursor `json:"since,omitempty"`
 	Next  Cursor `json:"next"`
 	// At is when the list was made; a list made before another is older.
@@ -40,7 +41,7 @@
 	Removed []model.VMID  `json:"removed,omitempty"`
 }
 
-// Ended says how a task ended; empty while it has not.
+// Ended is how a task ended; it is empty while the task runs.
 type Ended string
 
 const (
@@ -50,30 +51,30 @@
 	Failed Ended = "failed"
 	// Stopped: a Stop ended it.
 	Stopped Ended = "stopped"
-	// Checkpointed: a Checkpoint ended it; the job's next task goes on from there.
+	// Checkpointed: a Checkpoint ended it; the job's next task continues from there.
 	Checkpointed Ended = "checkpointed"
-	// Lapsed: its lease ran out.
+	// Lapsed: its lease expired.
 	Lapsed Ended = "lapsed"
-	// NeverStarted: its start was refused, or stopped before it began.
+	// NeverStarted: its start was refused, or it was stopped before it started.
 	NeverStarted Ended = "never-started"
 )
 
-// TaskReport is what the platform says about one task.
+// TaskReport is the platform's report of one task.
 type TaskReport struct {
 	Task   model.TaskID   `json:"task"`
 	Worker model.WorkerID `json:"worker"`
 	// Ended is empty while the task runs.
 	Ended     Ended `json:"ended,omitempty"`
 	Throttled bool  `json:"throttled,omitempty"`
-	// Revision grows with every change of the task but renewals.
+	// Revision grows with every change of the task except renewals.
 	Revision uint64 `json:"revision"`
 }
 
 // TaskList is a list of tasks that changed since a cursor.
 type TaskList struct {
-	// Full says that Tasks holds all tasks that the platform runs or remembers.
+	// Full is true if Tasks holds all tasks that the platform runs or retains.
 	Full bool `json:"full"`
-	// Since is the cursor that the list answers to.
+	// Since is the cursor of the request.
 	Since Cursor `json:"since,omitempty"`
 	Next  Cursor `json:"next"`
 	// At is when the list was made.
@@ -81,7 +82,7 @@
 	Tasks []TaskReport  `json:"tasks"`
 }
 
-// Usage is the measured use of one task; it lags.
+// Usage is the measured use of one task. Measurements arrive with a delay.
 type Usage struct {
 	Task   model.TaskID    `json:"task"`
 	Worker model.WorkerID  `json:"worker"`
@@ -90,17 +91,18 @@
 	At     model.Instant   `json:"at_ms"`
 }
 
-// UsageList is the usage measured since a cursor.
+// UsageList is the list of measurements since a cursor.
 type UsageList struct {
 	Next  Cursor  `json:"next"`
 	Usage []Usage `json:"usage"`
 }
 
+// healthNames maps the protocol's names to the health of a VM.
 var healthNames = map[string]model.VMHealth{
 	"up": model.VMUp, "down": model.VMDown, "rebooting": model.VMRebooting, "unknown": model.VMUnknown,
 }
 
-// HealthName is the wire form of a VM's health.
+// HealthName returns the protocol's name of a VM's health.
 func HealthName(h model.VMHealth) string {
 	for name, health := range healthNames {
 		if health == h {
@@ -110,6 +112,6 @@
 	return "unknown"
 }
 
-// ParseHealth is the inverse of HealthName. A text that this build does not
-// know reads as VMUnknown, which grants nothing.
+// ParseHealth is the inverse of HealthName. A name that this build doesn't know
+// yields VMUnknown, for which nothing is permitted.
 func ParseHealth(name string) model.VMHealth { return healthNames[name] }
--- a/internal/platform/standin/command.go
+++ b/internal/platform/standin/command.go
@@ -9,7 +9,7 @@
 
 // Send implements platform.Client.
 func (p *Platform) Send(_ context.Context, commands []platform.Command) ([]platform.Answer, error) {
-	defer p.enter()()
+	defer p.lock()()
 	return p.sendAll(commands), nil
 }
 
@@ -21,12 +21,12 @@
 	return answers
 }
 
-// accept carries out a command once: a known ID yields the first answer.
+// accept executes a command once. A repeated ID yields the first answer.
 func (p *Platform) accept(c platform.Command) platform.Answer {
 	if first, known := p.answers[c.ID]; known {
 		return first
 	}
-	answer := p.carryOut(c)
+	answer := p.execute(c)
 	answer.ID = c.ID
 	if answer.Code != platform.Busy {
 		p.answers[c.ID] = answer
@@ -35,9 +35,9 @@
 	return answer
 }
 
-func (p *Platform) carryOut(c platform.Command) platform.Answer {
+func (p *Platform) execute(c platform.Command) platform.Answer {
 	if c.Fence.Term < p.term {
-		return p.stale(c, "a later controller sent commands")
+		return p.rejectStale(c, "a later controller sent commands")
 	}
 	p.term = c.Fence.Term
 	if c.Kind.ForVM() {
@@ -53,27 +53,27 @@
 	}
 }
 
-func (p *Platform) stale(c platform.Command, reason string) platform.Answer {
+func (p *Platform) rejectStale(c platform.Command, reason string) platform.Answer {
 	if c.Kind == platform.Start {
-		p.bury(c.Task, p.vms[c.VM])
+		p.addTombstone(c.Task, p.vms[c.VM])
 	}
 	return platform.Answer{Code: platform.Stale, Reason: reason}
 }
 
-func refused(reason string) platform.Answer {
+func refusal(reason string) platform.Answer {
 	return platform.Answer{Code: platform.Refused, Reason: reason}
 }
 
 func (p *Platform) commandVM(c platform.Command) platform.Answer {
 	v := p.vms[c.VM]
 	if v == nil {
-		return refused("unknown VM")
+		return refusal("unknown VM")
 	}
 	if c.Fence.Before(v.fence) {
-		return p.stale(c, "a later step was accepted")
+		return p.rejectStale(c, "a later step was accepted")
 	}
 	if c.Kind == platform.Reboot {
-		if answer, ok := p.mayReboot(v, c); !ok {
+		if answer, ok := p.checkReboot(v, c); !ok {
 			return answer
 		}
 	}
@@ -91,18 +91,19 @@
 	return platform.Answer{Code: platform.Accepted}
 }
 
-func (p *Platform) mayReboot(v *vm, c platform.Command) (platform.Answer, bool) {
+func (p *Platform) checkReboot(v *vm, c platform.Command) (platform.Answer, bool) {
 	switch {
 	case v.bootID() != c.BootID:
-		return refused("other boot ID"), false
-	case v.health == model.VMDown || v.silent:
+		return refusal("other boot ID"), false
+	case v.health == model.VMDown || v.disconnected:
 		return platform.Answer{Code: platform.Busy, Reason: "VM does not answer"}, false
 	default:
 		return platform.Answer{}, true
 	}
 }
 
-// rebootTarget is the VM that a reboot hits, which may be the wrong one.
+// rebootTarget returns the VM that a reboot command reboots, which may be the
+// wrong one.
 func (p *Platform) rebootTarget(v *vm) *vm {
 	if p.config.WrongVM == 0 || p.random.Float64() >= p.config.WrongVM {
 		return v
@@ -120,27 +121,27 @@
 		if t.ended == "" {
 			return platform.Answer{Code: platform.Accepted}
 		}
-		return refused("task has ended")
+		return refusal("task has ended")
 	}
 	v := p.vms[c.VM]
-	if reason := p.whyNotStart(v, c); reason != "" {
-		p.bury(c.Task, v)
-		return refused(reason)
+	if reason := p.startRefusal(v, c); reason != "" {
+		p.addTombstone(c.Task, v)
+		return refusal(reason)
 	}
 	if c.Fence.Generation < v.taskFence {
-		return p.stale(c, "the VM has another owner")
+		return p.rejectStale(c, "the VM has another owner")
 	}
 	p.startTask(v, c)
 	return platform.Answer{Code: platform.Accepted}
 }
 
-func (p *Platform) whyNotStart(v *vm, c platform.Command) string {
+func (p *Platform) startRefusal(v *vm, c platform.Command) string {
 	switch {
 	case v == nil:
 		return "unknown VM"
 	case c.Spec == nil || c.Spec.Worker != v.Worker:
 		return "unknown worker"
-	case v.health != model.VMUp || v.silent:
+	case v.health != model.VMUp || v.disconnected:
 		return "VM does not answer"
 	case v.drained:
 		return "VM is drained"
@@ -159,11 +160,11 @@
 			answer.Missing = append(answer.Missing, id)
 			continue
 		}
-		if t.vm.silent || c.LeaseUntil <= t.lease {
+		if t.vm.disconnected || c.LeaseUntil <= t.lease {
 			continue
 		}
 		t.lease = c.LeaseUntil
-		p.scheduleLapse(t)
+		p.scheduleLeaseExpiry(t)
 	}
 	return answer
 }
@@ -176,7 +177,7 @@
 	if t.ended != "" {
 		return platform.Answer{Code: platform.Accepted, Reason: "task has ended"}
 	}
-	if t.vm.silent {
+	if t.vm.disconnected {
 		return platform.Answer{Code: platform.Busy, Reason: "VM does not answer"}
 	}
 	switch c.Kind {
@@ -187,17 +188,17 @@
 	case platform.Throttle:
 		p.setThrottled(t, c.Throttled)
 	default:
-		return refused("unknown command")
+		return refusal("unknown command")
 	}
 	return platform.Answer{Code: platform.Accepted}
 }
 
-// commandUnknownTask buries a task that is stopped before its start arrives,
-// so that the delayed start has no effect.
+// commandUnknownTask records a tombstone for a task that is stopped before its
+// start arrives, so that the delayed start has no effect.
 func (p *Platform) commandUnknownTask(c platform.Command) platform.Answer {
 	if c.Kind == platform.Throttle {
-		return refused("unknown task")
+		return refusal("unknown task")
 	}
-	p.bury(c.Task, p.vms[c.VM])
+	p.addTombstone(c.Task, p.vms[c.VM])
 	return platform.Answer{Code: platform.Accepted, Reason: "task never starts"}
 }
--- a/internal/platform/standin/config.go
+++ b/internal/platform/standin/config.go
@@ -1,9 +1,9 @@
-// Package standin is a small platform in memory: VMs in racks and zones,
-// workers that run tasks under leases, reboots, failures and late answers. It
-// stands in for the real platform in tests, benchmarks and the demo.
+// Package standin simulates the platform in memory: VMs in racks and availability
+// zones, workers that run tasks under leases, reboots, failures and delayed
+// responses. It replaces the real platform in tests, benchmarks and the demo.
 //
-// It runs in virtual time (call Advance) or in real time (call Run), directly
-// as a platform.Client or over HTTP (see Handler).
+// It runs in virtual time (call Advance) or in real time (call Run). It is used
+// directly as a platform.Client or over HTTP (see Handler).
 package standin
 
 import (
@@ -22,17 +22,17 @@
 	Capacity model.Resources
 }
 
-// Work is how a job behaves when it runs, whatever it declared.
+// Work is how a job really behaves when it runs, independent of what it declared.
 type Work struct {
-	// Runtime is the time that the whole job needs without a checkpoint.
+	// Runtime is how long the whole job runs if it starts without a checkpoint.
 	Runtime time.Duration
-	// Used is what it really uses.
+	// Used are the resources that it really uses.
 	Used model.Resources
-	// Fails says that the task ends without success, on whichever worker.
+	// Fails is true if the task ends without success on every worker.
 	Fails bool
 }
 
-// Running describes a task to the hooks.
+// Running describes a task to the hooks OnStart and OnStop.
 type Running struct {
 	Task    model.TaskID
 	Service model.ServiceID
@@ -40,36 +40,36 @@
 	Job     model.JobID
 	VM      model.VMID
 	Zone    model.ZoneID
-	// Killed says that the task was cut off rather than told to stop.
+	// Killed is true if the task was killed instead of stopped gracefully.
 	Killed bool
 }
 
-// Config describes the platform.
+// Config configures a Platform.
 type Config struct {
 	VMs []VM
-	// Seed fixes every random choice.
+	// Seed determines all random choices.
 	Seed uint64
 	// Start is the first instant of virtual time.
 	Start model.Instant
-	// Now is the clock in real time; nil runs in virtual time.
+	// Now is the clock for real time; nil selects virtual time.
 	Now func() model.Instant
-	// RebootTime is how long a reboot takes, plus up to half as much again
-	// at random; 0 stands for 90 s.
+	// RebootTime is how long a reboot takes at least; a random duration of up to
+	// half of it is added. 0 means 90 s.
 	RebootTime time.Duration
-	// StopGrace is how long a task that is told to stop takes to end.
+	// StopGrace is how long a task takes to end after it is told to stop.
 	StopGrace time.Duration
-	// UsageEvery is the interval of measurement, UsageLag how late it shows;
-	// 0 stands for 15 s and 30 s.
+	// UsageEvery is the interval between measurements, UsageLag the delay until
+	// one is listed; 0 means 15 s and 30 s.
 	UsageEvery, UsageLag time.Duration
-	// Remember is how long ended tasks stay listed; 0 stands for an hour.
+	// Remember is how long ended tasks and answers are retained; 0 means an hour.
 	Remember time.Duration
-	// Behaviour tells how a job's task behaves; nil runs each for 10 s at its
-	// size. Instances of services run until they are stopped.
+	// Behaviour returns how a job's task behaves. With nil each runs for 10 s and
+	// uses its declared size. Instances of services run until they are stopped.
 	Behaviour func(platform.TaskSpec) Work
-	// WrongVM is the probability that a reboot hits another VM instead.
+	// WrongVM is the probability that a reboot command reboots another VM.
 	WrongVM float64
-	// OnStart and OnStop are called, without a lock held, when a task starts
-	// and when it is told to stop or is killed.
+	// OnStart is called when a task starts, OnStop when it is told to stop or is
+	// killed. No lock is held during the calls.
 	OnStart, OnStop func(Running)
 }
 
@@ -77,12 +77,12 @@
 	defaultRebootTime = 90 * time.Second
 	defaultUsageEvery = 15 * time.Second
 	defaultUsageLag   = 30 * time.Second
-	defaultRemember   = time.Hour
+	defaultRetention  = time.Hour
 	defaultRuntime    = 10 * time.Second
-	// badWorkerRuntime is how soon a task fails on a worker that fails all.
-	badWorkerRuntime = 2 * time.Second
-	// advanceEvery is the resolution in real time.
-	advanceEvery = 5 * time.Millisecond
+	// faultyWorkerRuntime is how soon a task fails on a faulty worker.
+	faultyWorkerRuntime = 2 * time.Second
+	// advanceInterval is the time resolution in real time.
+	advanceInterval = 5 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -96,7 +96,7 @@
 		c.UsageLag = defaultUsageLag
 	}
 	if c.Remember <= 0 {
-		c.Remember = defaultRemember
+		c.Remember = defaultRetention
 	}
 	if c.Behaviour == nil {
 		c.Behaviour = func(s platform.TaskSpec) Work { return Work{Runtime: defaultRuntime, Used: s.Size} }
--- a/internal/platform/standin/failure.go
+++ b/internal/platform/standin/failure.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Select picks VMs for the failure calls.
+// Select reports whether a fault applies to a VM.
 type Select func(VM) bool
 
 // OneVM selects a VM by ID.
@@ -20,15 +20,15 @@
 // Zone selects the VMs of an availability zone.
 func Zone(zone model.ZoneID) Select { return func(v VM) bool { return v.Zone == zone } }
 
-// Fail kills VMs with all their tasks until they are repaired.
+// Fail takes VMs down and kills all their tasks. They stay down until Repair.
 func (p *Platform) Fail(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) { p.failVM(v) })
 }
 
-// Repair boots VMs that failed.
+// Repair boots VMs that are down.
 func (p *Platform) Repair(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if v.health == model.VMDown {
 			v.boot++
@@ -38,49 +38,49 @@
 	})
 }
 
-// Silence cuts VMs off from the platform: their tasks go on until their
-// leases lapse, and nothing that they report arrives.
+// Silence disconnects VMs from the platform: their tasks keep running until their
+// leases expire, and none of their reports arrive.
 func (p *Platform) Silence(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) {
-		if !v.silent {
-			v.silent = true
-			v.since = p.now
+		if !v.disconnected {
+			v.disconnected = true
+			v.healthSince = p.now
 			v.revision = p.nextRevision()
 		}
 	})
 }
 
-// Reconnect ends Silence; what was held back is reported.
+// Reconnect undoes Silence; the withheld reports arrive.
 func (p *Platform) Reconnect(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) {
-		if !v.silent {
+		if !v.disconnected {
 			return
 		}
-		v.silent = false
-		v.since = p.now
+		v.disconnected = false
+		v.healthSince = p.now
 		v.revision = p.nextRevision()
-		p.showTasks(v)
+		p.revealTasks(v)
 	})
 }
 
-// Break makes a worker fail every task it starts; Mend ends that.
-func (p *Platform) Break(worker model.WorkerID) { p.setBad(worker, true) }
+// Break makes a worker fail every job's task that it starts, until Mend.
+func (p *Platform) Break(worker model.WorkerID) { p.setFaulty(worker, true) }
 
-// Mend makes a worker good again.
-func (p *Platform) Mend(worker model.WorkerID) { p.setBad(worker, false) }
+// Mend undoes Break.
+func (p *Platform) Mend(worker model.WorkerID) { p.setFaulty(worker, false) }
 
-// Add adds a VM, or brings one back that was removed.
+// Add adds a VM, or adds one again that was removed.
 func (p *Platform) Add(v VM) {
-	defer p.enter()()
+	defer p.lock()()
 	p.addVM(v)
-	p.vms[v.ID].since = p.now
+	p.vms[v.ID].healthSince = p.now
 }
 
-// Remove takes VMs away with all their tasks.
+// Remove removes VMs and kills all their tasks.
 func (p *Platform) Remove(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) {
 		p.failVM(v)
 		delete(p.vms, v.ID)
@@ -88,9 +88,9 @@
 	})
 }
 
-// RebootUnasked reboots VMs that nobody asked to reboot.
+// RebootUnasked reboots VMs without a command.
 func (p *Platform) RebootUnasked(which Select) {
-	defer p.enter()()
+	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if v.health == model.VMUp {
 			p.reboot(v)
@@ -98,9 +98,9 @@
 	})
 }
 
-func (p *Platform) setBad(worker model.WorkerID, bad bool) {
-	defer p.enter()()
-	p.bad[worker] = bad
+func (p *Platform) setFaulty(worker model.WorkerID, faulty bool) {
+	defer p.lock()()
+	p.faulty[worker] = faulty
 }
 
 func (p *Platform) each(which Select, do func(*vm)) {
@@ -126,18 +126,18 @@
 	}
 }
 
-// showTasks reports what ended while the VM was cut off.
-func (p *Platform) showTasks(v *vm) {
+// revealTasks lets the tasks be listed that ended while the VM was disconnected.
+func (p *Platform) revealTasks(v *vm) {
 	for _, c := range append([]change(nil), p.changes...) {
 		t := p.tasks[c.task]
 		if t != nil && t.vm == v && t.hidden && t.revision == c.revision && t.ended != "" {
 			t.hidden = false
-			p.touch(t)
+			p.recordChange(t)
 		}
 	}
 }
 
-// reboot takes a VM down and up again under another boot ID.
+// reboot restarts a VM with a new boot ID.
 func (p *Platform) reboot(v *vm) {
 	v.epoch++
 	epoch := v.epoch
--- a/internal/platform/standin/list.go
+++ b/internal/platform/standin/list.go
@@ -11,7 +11,7 @@
 
 // VMs implements platform.Client.
 func (p *Platform) VMs(_ context.Context, since platform.Cursor) (platform.VMList, error) {
-	defer p.enter()()
+	defer p.lock()()
 	after := parseCursor(since)
 	list := platform.VMList{Full: after == 0, Since: since, Next: formatCursor(p.revision), At: p.now}
 	for _, id := range p.vmOrder {
@@ -29,19 +29,19 @@
 
 func (v *vm) report() platform.VMReport {
 	health := v.health
-	if v.silent && health == model.VMUp {
+	if v.disconnected && health == model.VMUp {
 		health = model.VMUnknown
 	}
 	return platform.VMReport{
 		VM: v.ID, Worker: v.Worker, Zone: v.Zone, Rack: v.Rack, Capacity: v.Capacity,
-		Health: platform.HealthName(health), HealthSince: v.since, BootID: v.bootID(),
+		Health: platform.HealthName(health), HealthSince: v.healthSince, BootID: v.bootID(),
 		Drained: v.drained, Fence: v.fence, Revision: v.revision,
 	}
 }
 
 // Tasks implements platform.Client.
 func (p *Platform) Tasks(_ context.Context, since platform.Cursor) (platform.TaskList, error) {
-	defer p.enter()()
+	defer p.lock()()
 	after := parseCursor(since)
 	p.compact()
 	first := sort.Search(len(p.changes), func(i int) bool { return p.changes[i].revision > after })
@@ -57,7 +57,7 @@
 
 // Task implements platform.Client.
 func (p *Platform) Task(_ context.Context, id model.TaskID) (platform.TaskReport, bool, error) {
-	defer p.enter()()
+	defer p.lock()()
 	t := p.tasks[id]
 	if t == nil {
 		return platform.TaskReport{}, false, nil
@@ -73,9 +73,9 @@
 	return r
 }
 
-// Usage implements platform.Client. Its cursor counts measurements.
+// Usage implements platform.Client. Its cursor is the number of the measurement.
 func (p *Platform) Usage(_ context.Context, since platform.Cursor) (platform.UsageList, error) {
-	defer p.enter()()
+	defer p.lock()()
 	sample := uint64(max(p.now.Add(-p.config.UsageLag), 0)) / uint64(p.config.UsageEvery.Milliseconds())
 	list := platform.UsageList{Next: formatCursor(sample)}
 	if sample <= parseCursor(since) {
@@ -89,7 +89,7 @@
 }
 
 func (p *Platform) usageOf(v *vm, at model.Instant) []platform.Usage {
-	if v == nil || v.silent {
+	if v == nil || v.disconnected {
 		return nil
 	}
 	var all []platform.Usage
@@ -110,7 +110,7 @@
 	return all
 }
 
-// compact drops stale entries once they are most of the list.
+// compact removes stale entries once they are more than half of the list.
 func (p *Platform) compact() {
 	const slack = 1024
 	if len(p.changes) < 2*len(p.tasks)+slack {
@@ -127,7 +127,8 @@
 
 func formatCursor(n uint64) platform.Cursor { return platform.Cursor(strconv.FormatUint(n, 10)) }
 
-// parseCursor reads what formatCursor wrote; anything else asks for all.
+// parseCursor is the inverse of formatCursor. Any other text requests the complete
+// list.
 func parseCursor(c platform.Cursor) uint64 {
 	n, err := strconv.ParseUint(string(c), 10, 64)
 	if err != nil {
--- a/internal/platform/standin/platform.go
+++ b/internal/platform/standin/platform.go
@@ -12,47 +12,48 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// Platform is the stand-in. It is safe for concurrent use and implements
-// platform.Client without any fault on the way; see Unreliable for those.
+// Platform is the simulated platform. It is safe for concurrent use and implements
+// platform.Client without network faults; see Unreliable for those.
 type Platform struct {
-	mu     sync.Mutex
-	config Config
-	random *rand.Rand
-	now    model.Instant
-	events eventQueue
-	order  uint64
+	mu         sync.Mutex
+	config     Config
+	random     *rand.Rand
+	now        model.Instant
+	events     eventQueue
+	eventCount uint64
 
 	revision uint64
 	term     uint64
 	vms      map[model.VMID]*vm
-	// vmOrder keeps lists and random choices deterministic.
+	// vmOrder is the order of addition. It makes lists and random choices
+	// deterministic.
 	vmOrder []model.VMID
 	removed []removal
 	tasks   map[model.TaskID]*task
-	// changes lists task changes by revision; an entry is stale when the
+	// changes lists the changes of tasks by revision. An entry is stale if the
 	// task has a later revision.
 	changes  []change
 	answers  map[model.CommandID]platform.Answer
 	progress map[model.JobID]time.Duration
-	bad      map[model.WorkerID]bool
+	faulty   map[model.WorkerID]bool
 	hooks    []func()
 	tally    Tally
 }
 
 type vm struct {
 	VM
-	health   model.VMHealth
-	since    model.Instant
-	boot     int
-	drained  bool
-	fence    platform.Fence
-	revision uint64
-	// silent: cut off from the platform, while its tasks go on.
-	silent bool
-	tasks  map[model.TaskID]*task
-	// taskFence is the highest ownership generation of an accepted start.
+	health      model.VMHealth
+	healthSince model.Instant
+	boot        int
+	drained     bool
+	fence       platform.Fence
+	revision    uint64
+	// disconnected VMs can't reach the platform, but their tasks keep running.
+	disconnected bool
+	tasks        map[model.TaskID]*task
+	// taskFence is the highest ownership generation among accepted starts.
 	taskFence uint64
-	// epoch voids events of an earlier failure or reboot.
+	// epoch invalidates scheduled events from before the last failure or reboot.
 	epoch int
 }
 
@@ -74,20 +75,20 @@
 	ended    platform.Ended
 	endedAt  model.Instant
 	revision uint64
-	// hidden holds back the report while the VM is cut off or dead.
+	// hidden withholds the end from reports while the VM is disconnected or down.
 	hidden    bool
 	throttled bool
 	stopping  bool
 	work      Work
-	// left is the work left at the instant from.
-	left  time.Duration
-	from  model.Instant
-	start model.Instant
-	// epoch voids the event of an earlier end.
+	// remaining is the remaining work at the instant remainingAt.
+	remaining   time.Duration
+	remainingAt model.Instant
+	start       model.Instant
+	// epoch invalidates ends that were scheduled earlier.
 	epoch int
 }
 
-// New returns a platform on which all VMs are up since long ago.
+// New returns a platform on which all VMs have been up since instant 0.
 func New(config Config) *Platform {
 	p := &Platform{
 		config:   config.withDefaults(),
@@ -97,7 +98,7 @@
 		tasks:    map[model.TaskID]*task{},
 		answers:  map[model.CommandID]platform.Answer{},
 		progress: map[model.JobID]time.Duration{},
-		bad:      map[model.WorkerID]bool{},
+		faulty:   map[model.WorkerID]bool{},
 		tally:    newTally(),
 	}
 	for _, v := range config.VMs {
@@ -106,9 +107,9 @@
 	return p
 }
 
-// Run advances in real time until ctx ends.
+// Run advances the platform in real time until ctx is cancelled.
 func (p *Platform) Run(ctx context.Context) {
-	ticker := time.NewTicker(advanceEvery)
+	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -120,21 +121,21 @@
 	}
 }
 
-// Now is the platform's time.
+// Now returns the platform's time.
 func (p *Platform) Now() model.Instant {
-	defer p.enter()()
+	defer p.lock()()
 	return p.now
 }
 
-// Advance carries out everything that is due until an instant.
+// Advance runs all events that are due up to an instant.
 func (p *Platform) Advance(until model.Instant) {
-	defer p.enter()()
+	defer p.lock()()
 	p.advance(until)
 }
 
-// enter locks the platform, brings real time up to date, and returns what
-// unlocks it and then calls the hooks that are due.
-func (p *Platform) enter() func() {
+// lock locks the platform and advances it if it runs in real time. The returned
+// function unlocks it and then calls the queued hooks.
+func (p *Platform) lock() func() {
 	p.mu.Lock()
 	if p.config.Now != nil {
 		p.advance(p.config.Now())
@@ -161,8 +162,8 @@
 func (p *Platform) after(delay time.Duration, run func()) { p.at(p.now.Add(delay), run) }
 
 func (p *Platform) at(when model.Instant, run func()) {
-	p.order++
-	heap.Push(&p.events, event{at: when, order: p.order, run: run})
+	p.eventCount++
+	heap.Push(&p.events, event{at: when, sequence: p.eventCount, run: run})
 }
 
 func (p *Platform) nextRevision() uint64 {
@@ -181,14 +182,14 @@
 
 func (p *Platform) setHealth(v *vm, health model.VMHealth) {
 	v.health = health
-	v.since = p.now
+	v.healthSince = p.now
 	v.revision = p.nextRevision()
 }
 
 type event struct {
-	at    model.Instant
-	order uint64
-	run   func()
+	at       model.Instant
+	sequence uint64
+	run      func()
 }
 
 // eventQueue is a heap by instant, then by order of insertion.
@@ -199,7 +200,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
--- a/internal/platform/standin/standin_test.go
+++ b/internal/platform/standin/standin_test.go
@@ -34,30 +34,29 @@
 	return answers[len(answers)-1].Code
 }
 
-// Symptom: a job that was cancelled, or given up, runs all the same.
-// Sequence: its start is on the way for long; it is stopped, or its lease ends,
-// or its VM gets another owner; then the start arrives.
-// Cause: nothing at the receiver fences the late start.
+// A delayed start must have no effect if in the meantime the task was stopped, its
+// lease expired, its VM got another owner or the leader was replaced. Without a
+// fence at the receiver, a job that was cancelled or given up would run.
 func TestLateStartHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	p := New(twoVMs())
 	is.Equal(send(t, p, platform.Command{ID: "stop/t1", Kind: platform.Stop, Task: "t1", Fence: platform.Fence{Term: 1}}), platform.Accepted)
 	is.Equal(send(t, p, start("t1", 9000)), platform.Refused)
-	is.Equal(send(t, p, start("t2", 1000)), platform.Refused) // its lease is over
+	is.Equal(send(t, p, start("t2", 1000)), platform.Refused) // its lease has expired
 	newer := start("t3", 9000)
 	newer.Fence.Generation = 2
 	is.Equal(send(t, p, newer), platform.Accepted)
-	is.Equal(send(t, p, start("t4", 9000)), platform.Stale) // an older owner's
+	is.Equal(send(t, p, start("t4", 9000)), platform.Stale) // of an earlier owner
 	old := start("t5", 9000)
 	old.Fence = platform.Fence{Term: 0, Generation: 9}
-	is.Equal(send(t, p, old), platform.Stale) // a replaced leader's
+	is.Equal(send(t, p, old), platform.Stale) // of a replaced leader
 	is.Equal(p.Tally().Starts, map[model.JobID]int{"job-t3": 1})
 }
 
-// Symptom: a VM is drained again after its maintenance ended, or reboots twice.
-// Sequence: drain, reboot and return are sent; copies arrive later, in any order.
-// Cause: the receiver can't tell a copy from a new command.
-func TestLateCopiesOfMaintenance(t *testing.T) {
+// Copies of drain, reboot and return commands that arrive after the maintenance has
+// ended must have no effect, in whatever order they arrive. If the receiver couldn't
+// tell a copy from a new command, the VM would be drained again or rebooted twice.
+func TestDuplicatedMaintenanceCommandsHaveNoEffect(t *testing.T) {
 	is := is.New(t)
 	p := New(twoVMs())
 	command := func(id string, kind platform.Kind, generation uint64, boot string) platform.Command {
@@ -69,17 +68,16 @@
 	is.Equal(send(t, p, command("x", platform.Return, 5, "")), platform.Accepted)
 	is.Equal(send(t, p, command("d2", platform.Drain, 5, "")), platform.Stale)
 	is.Equal(send(t, p, command("r2", platform.Reboot, 5, "a-boot-2")), platform.Stale)
-	is.Equal(send(t, p, command("r3", platform.Reboot, 6, "a-boot-1")), platform.Refused) // not this boot
+	is.Equal(send(t, p, command("r3", platform.Reboot, 6, "a-boot-1")), platform.Refused) // not the current boot ID
 	list, _ := p.VMs(context.Background(), "")
 	is.Equal(list.VMs[0].Drained, false)
 	is.Equal(list.VMs[0].BootID, "a-boot-2")
 	is.Equal(p.Tally().Reboots, map[model.VMID]int{"a": 1})
 }
 
-// Symptom: a job runs on two workers at once.
-// Sequence: a worker is cut off; its leases are not renewed; it goes on.
-// Cause: the worker does not end its tasks by itself.
-func TestLeaseEndsAtSilentWorker(t *testing.T) {
+// A disconnected worker must end its tasks by itself when their leases expire;
+// otherwise a job could run on two workers at once.
+func TestLeaseEndsOnDisconnectedWorker(t *testing.T) {
 	is := is.New(t)
 	c := twoVMs()
 	c.Behaviour = func(platform.TaskSpec) Work { return Work{Runtime: time.Hour} }
@@ -95,18 +93,18 @@
 	is.Equal(len(stopped), 1)
 	is.True(stopped[0].Killed)
 	list, _ := p.Tasks(context.Background(), "")
-	is.Equal(len(list.Tasks), 0) // nobody knows yet
+	is.Equal(len(list.Tasks), 0) // the end is not reported yet
 	p.Reconnect(OneVM("a"))
 	list, _ = p.Tasks(context.Background(), "")
 	is.Equal(list.Tasks[0].Ended, platform.Lapsed)
 }
 
-// The HTTP client and handler carry lists, commands and verdicts.
+// The HTTP client and handler transmit lists, commands and verdicts.
 func TestOverHTTP(t *testing.T) {
 	is := is.New(t)
 	p := New(twoVMs())
-	bad := p.Unreliable(1, Faults{})
-	server := httptest.NewServer(Handler(bad))
+	client := p.Unreliable(1, Faults{})
+	server := httptest.NewServer(Handler(client))
 	defer server.Close()
 	c, err := platform.NewHTTP(platform.HTTPOptions{Address: server.URL})
 	is.NoErr(err)
@@ -126,11 +124,11 @@
 	next, err := c.VMs(ctx, list.Next)
 	is.NoErr(err)
 	is.Equal(len(next.VMs), 0) // nothing changed
-	bad.SetFaults(Faults{LoseAnswer: 1})
+	client.SetFaults(Faults{LoseAnswer: 1})
 	_, err = c.Send(ctx, []platform.Command{start("t3", 900_000)})
 	is.Equal(platform.VerdictOf(err), model.MayHaveRun)
-	is.Equal(len(p.Tally().Starts), 2) // and it did run
-	bad.SetFaults(Faults{Refuse: 1})
+	is.Equal(len(p.Tally().Starts), 2) // the command took effect
+	client.SetFaults(Faults{Refuse: 1})
 	_, err = c.Send(ctx, nil)
 	is.Equal(platform.VerdictOf(err), model.NotRun) // 503
 	server.Close()
--- a/internal/platform/standin/tally.go
+++ b/internal/platform/standin/tally.go
@@ -8,46 +8,46 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// Tally counts what really happened, for tests and benchmarks to hold against
-// what the system believes.
+// Tally counts what really happened. Tests and benchmarks compare it with the
+// state of the controller.
 type Tally struct {
-	// Reboots counts commanded and unasked reboots by VM.
+	// Reboots counts all reboots by VM, whether commanded or not.
 	Reboots map[model.VMID]int
 	// Asked counts the reboot commands that were accepted, by VM.
 	Asked map[model.VMID]int
-	// WrongReboots counts those that hit another VM than was named.
+	// WrongReboots counts the reboots of another VM than the command's.
 	WrongReboots int
-	// Starts counts the attempts that ran, by job.
+	// Starts counts the started attempts by job.
 	Starts map[model.JobID]int
-	// Done counts the attempts that ended with success, by job.
+	// Done counts the successful attempts by job.
 	Done map[model.JobID]int
-	// Overlaps counts the starts of a job while another attempt of it ran.
+	// Overlaps counts the starts of a job while another attempt of it was running.
 	Overlaps int
-	// Wasted is the run time of job attempts that did not succeed.
+	// Wasted is the total run time of job attempts that did not succeed.
 	Wasted time.Duration
-	// Useful is the run time of job attempts that succeeded.
+	// Useful is the total run time of job attempts that succeeded.
 	Useful time.Duration
 
-	live map[model.JobID]int
+	running map[model.JobID]int
 }
 
 func newTally() Tally {
-	return Tally{Reboots: map[model.VMID]int{}, Asked: map[model.VMID]int{}, Starts: map[model.JobID]int{}, Done: map[model.JobID]int{}, live: map[model.JobID]int{}}
+	return Tally{Reboots: map[model.VMID]int{}, Asked: map[model.VMID]int{}, Starts: map[model.JobID]int{}, Done: map[model.JobID]int{}, running: map[model.JobID]int{}}
 }
 
 // Tally returns a copy of the counts.
 func (p *Platform) Tally() Tally {
-	defer p.enter()()
+	defer p.lock()()
 	t := p.tally
 	t.Reboots = maps.Clone(t.Reboots)
 	t.Asked = maps.Clone(t.Asked)
 	t.Starts = maps.Clone(t.Starts)
 	t.Done = maps.Clone(t.Done)
-	t.live = maps.Clone(t.live)
+	t.running = maps.Clone(t.running)
 	return t
 }
 
-// Truth is how a VM really is.
+// Truth is the actual state of a VM.
 type Truth struct {
 	VM
 	Health  model.VMHealth
@@ -57,24 +57,24 @@
 	Since   model.Instant
 	// Instances counts the running instances by service.
 	Instances map[model.ServiceID]int
-	// Used is what the running tasks really use.
+	// Used are the resources that the running tasks really use.
 	Used model.Resources
 }
 
-// Truth lists how the VMs really are, in the order in which they were added.
+// Truth returns the actual state of all VMs in the order in which they were added.
 func (p *Platform) Truth() []Truth {
-	defer p.enter()()
+	defer p.lock()()
 	all := make([]Truth, 0, len(p.vms))
 	for _, id := range p.vmOrder {
 		if v := p.vms[id]; v != nil {
-			all = append(all, v.truth())
+			all = append(all, v.actual())
 		}
 	}
 	return all
 }
 
-func (v *vm) truth() Truth {
-	t := Truth{VM: v.VM, Health: v.health, Silent: v.silent, Drained: v.drained, BootID: v.bootID(), Since: v.since, Instances: map[model.ServiceID]int{}}
+func (v *vm) actual() Truth {
+	t := Truth{VM: v.VM, Health: v.health, Silent: v.disconnected, Drained: v.drained, BootID: v.bootID(), Since: v.healthSince, Instances: map[model.ServiceID]int{}}
 	for _, running := range v.tasks {
 		t.Used = t.Used.Plus(running.work.Used)
 		if running.spec.Service != "" && !running.stopping {
@@ -84,9 +84,9 @@
 	return t
 }
 
-// Serving lists the running instances, as their announcements would.
+// Serving returns the running instances, as their announcements would list them.
 func (p *Platform) Serving() map[model.TaskID]bool {
-	defer p.enter()()
+	defer p.lock()()
 	serving := map[model.TaskID]bool{}
 	for _, v := range p.vms {
 		for id, t := range v.tasks {
@@ -98,24 +98,24 @@
 	return serving
 }
 
-func (p *Platform) noteStart(t *task) {
+func (p *Platform) countStart(t *task) {
 	job := t.spec.Job
 	if job == "" {
 		return
 	}
-	if p.tally.live[job] > 0 {
+	if p.tally.running[job] > 0 {
 		p.tally.Overlaps++
 	}
-	p.tally.live[job]++
+	p.tally.running[job]++
 	p.tally.Starts[job]++
 }
 
-func (p *Platform) noteEnd(t *task) {
+func (p *Platform) countEnd(t *task) {
 	job := t.spec.Job
 	if job == "" {
 		return
 	}
-	p.tally.live[job]--
+	p.tally.running[job]--
 	if t.ended == platform.Succeeded {
 		p.tally.Done[job]++
 		p.tally.Useful += p.now.Sub(t.start)
--- a/internal/platform/standin/unreliable.go
+++ b/internal/platform/standin/unreliable.go
@@ -11,33 +11,33 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// Faults are the probabilities, for each call, of what goes wrong on the way.
+// Faults holds the probability of each network fault per call.
 type Faults struct {
-	// Refuse: the call does not leave; the verdict is NotRun.
+	// Refuse: the request is not sent; the verdict is NotRun.
 	Refuse float64
-	// LoseRequest: the call leaves and does not arrive.
+	// LoseRequest: the request is sent but does not arrive.
 	LoseRequest float64
-	// LoseAnswer: the call takes effect and its answer does not arrive.
+	// LoseAnswer: the call takes effect but the response does not arrive.
 	LoseAnswer float64
-	// Late: a command takes effect up to LateBy later, and possibly after
-	// commands that were sent after it; the caller gets no answer.
+	// Late: each command arrives up to LateBy later, possibly after commands that
+	// were sent after it; the client gets no response.
 	Late float64
-	// Double: a command takes effect now and arrives again up to LateBy later.
+	// Double: each command arrives now and once more up to LateBy later.
 	Double float64
-	// OldList: a list is the answer to an earlier call.
+	// OldList: the response is the list of an earlier call.
 	OldList float64
-	// LateBy bounds delays; 0 stands for 30 s.
+	// LateBy bounds the delays; 0 means 30 s.
 	LateBy time.Duration
 }
 
-const defaultLateBy = 30 * time.Second
+const defaultMaxDelay = 30 * time.Second
 
 var (
 	errRefused = errors.New("connection refused")
 	errLost    = errors.New("no answer")
 )
 
-// Unreliable is a Client that reaches the platform over a bad network.
+// Unreliable is a platform.Client with network faults.
 type Unreliable struct {
 	platform *Platform
 
@@ -48,12 +48,12 @@
 	tasks  platform.TaskList
 }
 
-// Unreliable returns a client with faults; each has its own seed.
+// Unreliable returns a client with faults that are drawn from its own seed.
 func (p *Platform) Unreliable(seed uint64, faults Faults) *Unreliable {
 	return &Unreliable{platform: p, random: rand.New(rand.NewPCG(seed, seed+1)), faults: faults}
 }
 
-// SetFaults changes the probabilities.
+// SetFaults replaces the probabilities.
 func (u *Unreliable) SetFaults(faults Faults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -62,11 +62,11 @@
 
 // VMs implements platform.Client.
 func (u *Unreliable) VMs(ctx context.Context, since platform.Cursor) (platform.VMList, error) {
-	if err := u.before("list VMs"); err != nil {
+	if err := u.requestFault("list VMs"); err != nil {
 		return platform.VMList{}, err
 	}
 	if u.chance(func(f Faults) float64 { return f.OldList }) {
-		return u.oldVMs(), nil
+		return u.previousVMs(), nil
 	}
 	list, err := u.platform.VMs(ctx, since)
 	u.keepVMs(list)
@@ -75,11 +75,11 @@
 
 // Tasks implements platform.Client.
 func (u *Unreliable) Tasks(ctx context.Context, since platform.Cursor) (platform.TaskList, error) {
-	if err := u.before("list tasks"); err != nil {
+	if err := u.requestFault("list tasks"); err != nil {
 		return platform.TaskList{}, err
 	}
 	if u.chance(func(f Faults) float64 { return f.OldList }) {
-		return u.oldTasks(), nil
+		return u.previousTasks(), nil
 	}
 	list, err := u.platform.Tasks(ctx, since)
 	u.keepTasks(list)
@@ -88,7 +88,7 @@
 
 // Usage implements platform.Client.
 func (u *Unreliable) Usage(ctx context.Context, since platform.Cursor) (platform.UsageList, error) {
-	if err := u.before("list usage"); err != nil {
+	if err := u.requestFault("list usage"); err != nil {
 		return platform.UsageList{}, err
 	}
 	return u.platform.Usage(ctx, since)
@@ -96,7 +96,7 @@
 
 // Task implements platform.Client.
 func (u *Unreliable) Task(ctx context.Context, id model.TaskID) (platform.TaskReport, bool, error) {
-	if err := u.before("ask about task"); err != nil {
+	if err := u.requestFault("ask about task"); err != nil {
 		return platform.TaskReport{}, false, err
 	}
 	return u.platform.Task(ctx, id)
@@ -105,19 +105,19 @@
 // Send implements platform.Client.
 func (u *Unreliable) Send(ctx context.Context, commands []platform.Command) ([]platform.Answer, error) {
 	const op = "send commands"
-	if err := u.before(op); err != nil {
+	if err := u.requestFault(op); err != nil {
 		return nil, err
 	}
 	if u.chance(func(f Faults) float64 { return f.Late }) {
 		u.deliverLater(commands)
-		return nil, lost(op)
+		return nil, lostError(op)
 	}
 	answers, err := u.platform.Send(ctx, commands)
 	if u.chance(func(f Faults) float64 { return f.Double }) {
 		u.deliverLater(commands)
 	}
 	if u.chance(func(f Faults) float64 { return f.LoseAnswer }) {
-		return nil, lost(op)
+		return nil, lostError(op)
 	}
 	return answers, err
 }
@@ -134,34 +134,34 @@
 	u.tasks = list
 }
 
-// oldVMs is the answer to the call before; empty at first.
-func (u *Unreliable) oldVMs() platform.VMList {
+// previousVMs returns the last list that was received, empty before the first.
+func (u *Unreliable) previousVMs() platform.VMList {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.vms
 }
 
-func (u *Unreliable) oldTasks() platform.TaskList {
+func (u *Unreliable) previousTasks() platform.TaskList {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.tasks
 }
 
-func (u *Unreliable) before(op string) error {
+func (u *Unreliable) requestFault(op string) error {
 	if u.chance(func(f Faults) float64 { return f.Refuse }) {
 		return &platform.Error{Verdict: model.NotRun, Op: op, Cause: errRefused}
 	}
 	if u.chance(func(f Faults) float64 { return f.LoseRequest }) {
-		return lost(op)
+		return lostError(op)
 	}
 	return nil
 }
 
-// deliverLater hands each command over at its own random time, so that they
-// arrive out of order.
+// deliverLater delivers each command after a random delay of its own, so that
+// they arrive out of order.
 func (u *Unreliable) deliverLater(commands []platform.Command) {
 	p := u.platform
-	defer p.enter()()
+	defer p.lock()()
 	for _, c := range commands {
 		p.after(u.delay(), func() { p.accept(c) })
 	}
@@ -172,7 +172,7 @@
 	defer u.mu.Unlock()
 	bound := u.faults.LateBy
 	if bound <= 0 {
-		bound = defaultLateBy
+		bound = defaultMaxDelay
 	}
 	return time.Duration(u.random.Int64N(int64(bound)))
 }
@@ -184,6 +184,6 @@
 	return probability > 0 && u.random.Float64() < probability
 }
 
-func lost(op string) error {
+func lostError(op string) error {
 	return &platform.Error{Verdict: model.MayHaveRun, Op: op, Cause: errLost}
 }
