--- a/cmd/comfreyloom/member_test.go
+++ b/cmd/comfreyloom/member_test.go
@@ -206,7 +206,7 @@
 
 // submit hands a job in at any entry VM until it is accepted.
 func (s *memberSite) submit(id string, count int, ms int) {
-	body := standin.Job{Count: count, CPU: 500, Run: ms, Estimate: ms}.Text()
+	body := standin.Job{Count: count, MilliCPU: 500, RunMS: ms, EstimateMS: ms}.Body()
 	turn := 0
 	s.until("job "+id+" is accepted", func() bool {
 		turn++
@@ -260,9 +260,9 @@
 	for i := range memberEntries {
 		s.start(fmt.Sprintf("entry%d", i), false)
 	}
-	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.Config(1, 3000)[:12])
+	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.ConfigBody(1, 3000)[:12])
 	is.True(status == 0 || status == http.StatusBadRequest) // it may not listen yet; never accepted
-	config := standin.Config(3, 3000)
+	config := standin.ConfigBody(3, 3000)
 	turn := 0
 	s.until("the configuration is accepted", func() bool {
 		turn++
@@ -270,7 +270,7 @@
 		return status == http.StatusOK
 	})
 	for i := range 2 {
-		w, err := standin.Start(fmt.Sprintf("i-%d", i), s.network+".200:0", "p", operators, nil)
+		w, err := standin.StartWorker(fmt.Sprintf("i-%d", i), s.network+".200:0", "p", operators, nil)
 		s.must(err)
 		s.workers = append(s.workers, w)
 	}
--- a/cmd/comfreyloom/soak_test.go
+++ b/cmd/comfreyloom/soak_test.go
@@ -146,7 +146,7 @@
 		operators = append(operators, s.address(core, 1))
 	}
 	s.births++
-	w, err := standin.Start(fmt.Sprintf("i-%d-%d", i, s.births), address, "p", operators, s.ledger)
+	w, err := standin.StartWorker(fmt.Sprintf("i-%d-%d", i, s.births), address, "p", operators, s.ledger)
 	s.must(err)
 	if i < len(s.workers) {
 		s.workers[i] = w
@@ -162,7 +162,7 @@
 	version := s.sent
 	s.mu.Unlock()
 	core := s.cores()[s.random.IntN(memberCores)]
-	status, _ := s.call(http.MethodPost, s.address(core, 1), standin.ConfigPath, standin.Config(version, 3000+version))
+	status, _ := s.call(http.MethodPost, s.address(core, 1), standin.ConfigPath, standin.ConfigBody(version, 3000+version))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if status == http.StatusOK {
@@ -180,7 +180,7 @@
 		case <-time.After(time.Duration(60+random.IntN(120)) * time.Millisecond):
 		}
 		id := fmt.Sprintf("%016x", n)
-		body := standin.Job{Run: 20 + random.IntN(900), Count: 1 + random.IntN(4), CPU: 700}.Text()
+		body := standin.Job{RunMS: 20 + random.IntN(900), Count: 1 + random.IntN(4), MilliCPU: 700}.Body()
 		entry := s.address(fmt.Sprintf("entry%d", random.IntN(memberEntries)), 2)
 		status, _ := s.call(http.MethodPost, entry, standin.JobPath(id), body)
 		s.mu.Lock()
