--- a/cmd/comfreyloom/capacity_load_test.go
+++ b/cmd/comfreyloom/capacity_load_test.go
@@ -148,7 +148,7 @@
 // failures takes a VM away every two seconds.
 func (r *capacityRun) failures() {
 	count := int(capacitySpan / (2 * time.Second))
-	vm := func(n int) standin.Select {
+	vm := func(n int) standin.Selector {
 		return standin.OneVM(model.VMID(fmt.Sprintf("kl/vm-%04d", n*r.workers/count)))
 	}
 	r.report("failures", capacitySpan, count, func() {
@@ -220,7 +220,7 @@
 	return answer.StatusCode, string(text)
 }
 
-func (r *capacityRun) noteStart(task standin.Running) {
+func (r *capacityRun) noteStart(task standin.TaskInfo) {
 	if task.Job == "" {
 		return
 	}
--- a/cmd/comfreyloom/capacity_test.go
+++ b/cmd/comfreyloom/capacity_test.go
@@ -142,7 +142,7 @@
 	p := standin.New(standin.Config{
 		VMs: r.vms(), Now: now, Start: now(), OnStop: host.Stop, Behaviour: capacityWork,
 		RebootTime: 5 * time.Second,
-		OnStart: func(task standin.Running) {
+		OnStart: func(task standin.TaskInfo) {
 			r.noteStart(task)
 			r.startLater(host, task)
 		},
@@ -163,7 +163,7 @@
 
 // startLater spreads the starts of instances over the time in which they renew.
 // Started together they renew together, and a figure tells how they met.
-func (r *capacityRun) startLater(host *demo.Instances, task standin.Running) {
+func (r *capacityRun) startLater(host *demo.Instances, task standin.TaskInfo) {
 	if task.Service == "" {
 		return
 	}
--- a/cmd/comfreyloom/script_platform_test.go
+++ b/cmd/comfreyloom/script_platform_test.go
@@ -34,10 +34,10 @@
 		VMs: siteVMs(*zones, *racks), Now: func() model.Instant { return model.InstantOf(time.Now()) },
 		Start: model.InstantOf(time.Now()), RebootTime: 200 * time.Millisecond,
 		Behaviour: func(platform.TaskSpec) standin.Work { return standin.Work{Runtime: *runtime} },
-		OnStart:   func(r standin.Running) { running.add(r, 1); host.Start(r) },
-		OnStop:    func(r standin.Running) { running.add(r, -1); host.Stop(r) },
+		OnStart:   func(r standin.TaskInfo) { running.add(r, 1); host.Start(r) },
+		OnStop:    func(r standin.TaskInfo) { running.add(r, -1); host.Stop(r) },
 	})
-	p.Break(model.WorkerID(*broken))
+	p.InjectWorkerFault(model.WorkerID(*broken))
 	go p.Run(context.Background())
 	serveOrExit(*listen, platformControl(p, host, running))
 }
@@ -48,7 +48,7 @@
 	now, least int
 }
 
-func (c *instances) add(r standin.Running, n int) {
+func (c *instances) add(r standin.TaskInfo, n int) {
 	if r.Service == "" {
 		return
 	}
@@ -97,7 +97,7 @@
 		for _, n := range tally.Starts {
 			most = max(most, n)
 		}
-		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Done), most)
+		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Succeeded), most)
 	})
 	mux.HandleFunc("GET /control/runs/{key}", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "runs: %d\n", host.Runs(r.PathValue("key")))
@@ -121,7 +121,7 @@
 }
 
 // domainOf is an availability zone, or a rack in it when the query names one.
-func domainOf(r *http.Request) standin.Select {
+func domainOf(r *http.Request) standin.Selector {
 	zone := model.ZoneID(r.PathValue("zone"))
 	if rack := r.URL.Query().Get("rack"); rack != "" {
 		return standin.Rack(zone, model.RackID(rack))
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -88,7 +88,7 @@
 	if !holds {
 		return
 	}
-	least := map[platform.Kind]model.MaintenancePhase{
+	least := map[platform.CommandKind]model.MaintenancePhase{
 		platform.Drain: model.PhaseDraining, platform.Undrain: model.PhaseDraining,
 		platform.Reboot: model.PhaseRebooting, platform.Return: model.PhaseSoaking,
 	}[c.Kind]
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -92,7 +92,7 @@
 // addVMCommand adds a command for a VM. Its ID contains the revision of the
 // observed VM, so that a resend has the same ID until the platform reports a
 // change.
-func (m *commander) addVMCommand(kind platform.Kind, p *model.Permit, bootID string) {
+func (m *commander) addVMCommand(kind platform.CommandKind, p *model.Permit, bootID string) {
 	id := fmt.Sprintf("%s/%s/%d/%d", kind, p.VM, p.Generation, m.observed.vms[p.VM].Revision)
 	if kind == platform.Reboot {
 		id = fmt.Sprintf("%s/%s/%d/%s/%d", kind, p.VM, p.Generation, bootID, m.controller.softState.rebootAttempts[p.VM])
@@ -185,7 +185,7 @@
 	m.addTaskCommand(kind, t, fmt.Sprintf("%s/%s/%d", kind, t.ID, m.observed.tasks[t.ID].Revision))
 }
 
-func (m *commander) addTaskCommand(kind platform.Kind, t *model.Task, id string) *platform.Command {
+func (m *commander) addTaskCommand(kind platform.CommandKind, t *model.Task, id string) *platform.Command {
 	generation := t.Generation
 	if owner := m.view.Owners[t.VM]; owner != nil && kind == platform.Start {
 		generation = owner.Generation
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -38,7 +38,7 @@
 // rebootedTwice returns the VMs that were commanded to reboot more than once.
 func (s *sim) rebootedTwice() []model.VMID {
 	var twice []model.VMID
-	for id, n := range s.platform.Tally().Asked {
+	for id, n := range s.platform.Tally().RebootCommands {
 		if n > 1 {
 			twice = append(twice, id)
 		}
@@ -83,10 +83,10 @@
 		}
 		return true
 	}))
-	for _, v := range s.platform.Truth() {
-		is.True(!drained[v.ID] || !v.Drained)                          // accept work again
-		is.True(!drained[v.ID] || s.platform.Tally().Asked[v.ID] == 0) // were not rebooted
-		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)    // and do not count as done
+	for _, v := range s.platform.ActualVMs() {
+		is.True(!drained[v.ID] || !v.Drained)                                   // accept work again
+		is.True(!drained[v.ID] || s.platform.Tally().RebootCommands[v.ID] == 0) // were not rebooted
+		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)             // and do not count as done
 	}
 	s.finishWave(t)
 }
@@ -196,7 +196,7 @@
 	s.step(30 * time.Second)
 	s.elect("b")
 	commands := s.node("b").counters.commands
-	is.True(s.until(time.Minute, func() bool { return len(s.platform.Tally().Done) == 10 }))
+	is.True(s.until(time.Minute, func() bool { return len(s.platform.Tally().Succeeded) == 10 }))
 	is.Equal(len(s.platform.Tally().Starts), 10) // no cancelled job was started
 	is.True(commands.Count() < 10+15+30)         // each job and lease once, not 500 changes
 	is.Equal(s.invariantViolations(), nil)
@@ -236,7 +236,7 @@
 // as the effect, the right VM would never reboot.
 func TestWrongVMRebooted(t *testing.T) {
 	is := is.New(t)
-	s := smallSim(6, simOptions{platform: standin.Config{RebootTime: 30 * time.Second, WrongVM: 0.5}, config: Config{RebootTimeout: time.Minute}})
+	s := smallSim(6, simOptions{platform: standin.Config{RebootTime: 30 * time.Second, WrongVMProbability: 0.5}, config: Config{RebootTimeout: time.Minute}})
 	is.True(s.until(50*time.Minute, s.waveDone("kernel")))
 	tally := s.platform.Tally()
 	is.True(tally.WrongReboots > 0)
--- a/internal/controller/manifest_jobs_test.go
+++ b/internal/controller/manifest_jobs_test.go
@@ -66,7 +66,7 @@
 	s.platform.Repair(standin.OneVM(failedVM))
 	// A worker that fails every task is detected and gets no more work.
 	brokenWorker := sortedTasks(s.view(), func(t *model.Task) bool { return t.Service == "checks" })[0].Worker
-	s.platform.Break(brokenWorker)
+	s.platform.InjectWorkerFault(brokenWorker)
 	for i := range 60 {
 		submit(fmt.Sprint("more", i), func(*model.JobSpec) {})
 	}
--- a/internal/controller/manifest_random_test.go
+++ b/internal/controller/manifest_random_test.go
@@ -134,8 +134,8 @@
 	everything := func(standin.VM) bool { return true }
 	c.platform.Repair(everything)
 	c.platform.Reconnect(everything)
-	for _, v := range c.platform.Truth() {
-		c.platform.Mend(v.Worker)
+	for _, v := range c.platform.ActualVMs() {
+		c.platform.ClearWorkerFault(v.Worker)
 	}
 	c.site = smallSite()
 	c.site.Revision = c.view().Site.Revision + 1
--- a/internal/controller/manifest_wave_test.go
+++ b/internal/controller/manifest_wave_test.go
@@ -14,7 +14,7 @@
 // all VMs if only is empty.
 func (s *sim) rebootsCommanded(only model.PoolID) int {
 	n := 0
-	for id, asked := range s.platform.Tally().Asked {
+	for id, asked := range s.platform.Tally().RebootCommands {
 		if only == "" || s.view().Owners[id].Pool == only {
 			n += asked
 		}
@@ -43,14 +43,14 @@
 				s := simInWave(t, phase, simOptions{platform: standin.Config{StopGrace: time.Minute}})
 				late := 0
 				for _, p := range s.view().Permits {
-					if p.Phase >= model.PhaseRebooting && (c.pool == "" || p.Pool == c.pool) && s.platform.Tally().Asked[p.VM] == 0 {
+					if p.Phase >= model.PhaseRebooting && (c.pool == "" || p.Pool == c.pool) && s.platform.Tally().RebootCommands[p.VM] == 0 {
 						late++ // its reboot was already committed
 					}
 				}
 				before := s.rebootsCommanded(c.pool)
 				s.applyChange(t, 15*time.Minute, c.change)
 				is.True(s.rebootsCommanded(c.pool) <= before+late)
-				for _, v := range s.platform.Truth() {
+				for _, v := range s.platform.ActualVMs() {
 					is.True(!v.Drained || s.view().Permits[v.ID] != nil)
 				}
 				if c.pool == "" {
--- a/internal/controller/path_test.go
+++ b/internal/controller/path_test.go
@@ -36,7 +36,7 @@
 	for i := range 20 {
 		s.submit(job(fmt.Sprintf("j%02d", i), "drafts", model.Normal, cores(1), 10*time.Second))
 	}
-	jobsDone := func() bool { return len(s.platform.Tally().Done) == 20 }
+	jobsDone := func() bool { return len(s.platform.Tally().Succeeded) == 20 }
 	is.True(s.until(time.Minute, jobsDone))
 	is.True(s.until(2*time.Hour, s.waveDone("kernel")))
 	for id, n := range s.platform.Tally().Reboots {
--- a/internal/controller/policy_run_test.go
+++ b/internal/controller/policy_run_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func (r *policyRun) recordStart(s standin.Running) {
+func (r *policyRun) recordStart(s standin.TaskInfo) {
 	at, known := r.submitted[s.Job]
 	if known && r.view().Jobs[s.Job].Spec.Priority == model.Urgent {
 		r.waits = append(r.waits, r.platform.Now().Sub(at).Seconds())
@@ -145,7 +145,7 @@
 	delete(r.submitted, s.Job)
 }
 
-func (r *policyRun) recordStop(s standin.Running) {
+func (r *policyRun) recordStop(s standin.TaskInfo) {
 	j := r.view().Jobs[s.Job]
 	if j == nil || s.Killed || j.Cancelled {
 		return
@@ -196,8 +196,8 @@
 // injectFailures injects the failures and cancellations due at a step of the
 // wave.
 func (r *policyRun) injectFailures(step int) {
-	vms := r.platform.Truth()
-	randomVM := func() standin.Truth { return vms[r.random.IntN(len(vms))] }
+	vms := r.platform.ActualVMs()
+	randomVM := func() standin.ActualVM { return vms[r.random.IntN(len(vms))] }
 	switch step {
 	case 200:
 		r.injectFailure(standin.OneVM(randomVM().ID), 8*time.Minute)
@@ -214,8 +214,8 @@
 	}
 }
 
-func (r *policyRun) injectFailure(which standin.Select, repair time.Duration) {
-	for _, v := range r.platform.Truth() {
+func (r *policyRun) injectFailure(which standin.Selector, repair time.Duration) {
+	for _, v := range r.platform.ActualVMs() {
 		if !which(v.VM) {
 			continue
 		}
--- a/internal/controller/policy_test.go
+++ b/internal/controller/policy_test.go
@@ -34,7 +34,7 @@
 	tally := r.platform.Tally()
 	wrong := tally.Overlaps
 	for id, j := range r.view().Jobs {
-		done := tally.Done[id]
+		done := tally.Succeeded[id]
 		switch {
 		case j.State == model.JobDone && done == 0, !j.Spec.Idempotent && tally.Starts[id] > 1:
 			wrong++
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -35,8 +35,8 @@
 func newFaultInjection(seed uint64, draw func(n int) int, o simOptions) *faultInjection {
 	o.platform.RebootTime = 30 * time.Second
 	o.platform.StopGrace = 2 * time.Second
-	o.platform.WrongVM = 0.1
-	o.platform.Remember = 3 * time.Hour
+	o.platform.WrongVMProbability = 0.1
+	o.platform.Retention = 3 * time.Hour
 	o.config.RebootTimeout = time.Minute
 	o.platform.Behaviour = func(s platform.TaskSpec) standin.Work {
 		n := len(s.Payload)
@@ -45,8 +45,8 @@
 	return &faultInjection{sim: smallSim(seed, o), draw: draw, site: smallSite()}
 }
 
-func (c *faultInjection) vm() standin.Truth {
-	truth := c.platform.Truth()
+func (c *faultInjection) vm() standin.ActualVM {
+	truth := c.platform.ActualVMs()
 	return truth[c.draw(len(truth))]
 }
 
@@ -65,15 +65,15 @@
 	case 3, 4:
 		c.platform.Repair(func(standin.VM) bool { return true })
 	case 5:
-		c.platform.Silence(standin.OneVM(c.vm().ID))
+		c.platform.Disconnect(standin.OneVM(c.vm().ID))
 	case 6, 7:
 		c.platform.Reconnect(func(standin.VM) bool { return true })
 	case 8:
-		c.platform.Break(c.vm().Worker)
+		c.platform.InjectWorkerFault(c.vm().Worker)
 	case 9:
-		c.platform.Mend(c.vm().Worker)
+		c.platform.ClearWorkerFault(c.vm().Worker)
 	case 10:
-		c.platform.RebootUnasked(standin.OneVM(c.vm().ID))
+		c.platform.RebootUnexpectedly(standin.OneVM(c.vm().ID))
 	case 11:
 		c.elect(simNodes[c.draw(3)])
 	case 12:
@@ -84,7 +84,7 @@
 		clear(c.log.partitioned)
 	case 14:
 		rate := float64(c.draw(3)) / 10
-		c.client.SetFaults(standin.Faults{Refuse: rate / 2, LoseRequest: rate / 2, LoseAnswer: rate, Late: rate, Double: rate, OldList: rate, LateBy: 40 * time.Second})
+		c.client.SetFaults(standin.Faults{Refuse: rate / 2, LoseRequest: rate / 2, LoseResponse: rate, Delay: rate, Duplicate: rate, StaleList: rate, MaxDelay: 40 * time.Second})
 	case 15:
 		c.client.SetFaults(standin.Faults{})
 	case 16:
@@ -95,7 +95,7 @@
 		c.cancelSome()
 	case 22:
 		v := c.vm()
-		c.platform.Silence(standin.Rack(v.Zone, v.Rack))
+		c.platform.Disconnect(standin.Rack(v.Zone, v.Rack))
 	case 21:
 		if c.waveDone(c.site.Waves[0].ID)() {
 			c.nextWave()
@@ -150,7 +150,7 @@
 		}
 	}
 	// A reboot that was carried out on the wrong VM is commanded again.
-	for id, n := range tally.Asked {
+	for id, n := range tally.RebootCommands {
 		if n > c.waves+1+tally.WrongReboots {
 			all = append(all, fmt.Sprintf("platform: VM %s was rebooted %d times in %d waves", id, n, c.waves+1))
 		}
@@ -170,8 +170,8 @@
 	everything := func(standin.VM) bool { return true }
 	c.platform.Repair(everything)
 	c.platform.Reconnect(everything)
-	for _, v := range c.platform.Truth() {
-		c.platform.Mend(v.Worker)
+	for _, v := range c.platform.ActualVMs() {
+		c.platform.ClearWorkerFault(v.Worker)
 	}
 	var wrong []string
 	if !c.untilBy(4*time.Second, recoveryLimit, func() bool { return c.unfinished() == "" }) {
@@ -190,7 +190,7 @@
 		if !j.State.Final() && !fails {
 			return fmt.Sprintf("job %s is %s: %s", id, j.State, j.Reason)
 		}
-		if j.State == model.JobDone && c.platform.Tally().Done[id] == 0 {
+		if j.State == model.JobDone && c.platform.Tally().Succeeded[id] == 0 {
 			return fmt.Sprintf("job %s is done but did not run", id)
 		}
 	}
@@ -200,7 +200,7 @@
 	if !c.waveDone(c.site.Waves[0].ID)() || len(c.view().Permits) > 0 {
 		return "the wave is not done"
 	}
-	for _, v := range c.platform.Truth() {
+	for _, v := range c.platform.ActualVMs() {
 		if v.Drained {
 			return "VM " + string(v.ID) + " is left drained"
 		}
--- a/internal/controller/reported_tasks.go
+++ b/internal/controller/reported_tasks.go
@@ -39,7 +39,7 @@
 
 func notUp(v *fleet.VM) bool { return v != nil && v.Listed != nil && v.Listed.Health != model.VMUp }
 
-func endAction(ix *fleet.Index, t *model.Task, ended platform.Ended) state.Action {
+func endAction(ix *fleet.Index, t *model.Task, ended platform.TaskEnd) state.Action {
 	outcome := outcomeOf(t, ended)
 	job := ix.Job(t.Job)
 	moved := outcome == state.OutcomeStopped && job != nil && !job.Cancelled
@@ -51,7 +51,7 @@
 
 // outcomeOf translates the platform's report. A lapse that the platform reports
 // is certain: the task has ended and may have done part of its work.
-func outcomeOf(t *model.Task, ended platform.Ended) state.TaskOutcome {
+func outcomeOf(t *model.Task, ended platform.TaskEnd) state.TaskOutcome {
 	switch ended {
 	case platform.Succeeded:
 		return state.OutcomeSucceeded
@@ -69,7 +69,7 @@
 
 // recordOutcome records how a task ended, for run time estimates and for
 // health.
-func (c *Controller) recordOutcome(ix *fleet.Index, t *model.Task, ended platform.Ended) {
+func (c *Controller) recordOutcome(ix *fleet.Index, t *model.Task, ended platform.TaskEnd) {
 	if ended != platform.Succeeded && ended != platform.Failed {
 		return
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -119,7 +119,7 @@
 			b.Fatal(violations)
 		}
 		twice := 0
-		for _, n := range s.platform.Tally().Asked {
+		for _, n := range s.platform.Tally().RebootCommands {
 			if n > 1 {
 				twice++
 			}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -106,7 +106,7 @@
 	// startup is how long an instance takes to start serving.
 	startup time.Duration
 	started map[model.TaskID]model.Instant
-	onStart func(standin.Running)
+	onStart func(standin.TaskInfo)
 }
 
 const simStart = model.Instant(1_800_000_000_000)
@@ -124,7 +124,7 @@
 	s := &sim{log: newMemLog(o.state, o.seed), nodes: map[model.NodeID]*Controller{}, startup: 3 * time.Second, started: map[model.TaskID]model.Instant{}}
 	p := o.platform
 	p.Seed, p.Start = o.seed, simStart
-	p.OnStart = func(r standin.Running) {
+	p.OnStart = func(r standin.TaskInfo) {
 		s.started[r.Task] = s.platform.Now()
 		if s.onStart != nil {
 			s.onStart(r)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -94,7 +94,7 @@
 	now := func() model.Instant { return model.InstantOf(time.Now()) }
 	s.platform = standin.New(standin.Config{
 		VMs: vms(), Now: now, Start: now(), RebootTime: rebootTime, StopGrace: stopGrace,
-		UsageEvery: time.Second, UsageLag: time.Second,
+		UsageInterval: time.Second, UsageLag: time.Second,
 		Behaviour: func(platform.TaskSpec) standin.Work { return standin.Work{Runtime: jobTime} },
 		OnStart:   s.instances.Start, OnStop: s.instances.Stop,
 	})
--- a/internal/demo/instances.go
+++ b/internal/demo/instances.go
@@ -33,7 +33,7 @@
 }
 
 // Start is the platform's hook for a task that starts.
-func (h *Instances) Start(r standin.Running) {
+func (h *Instances) Start(r standin.TaskInfo) {
 	if r.Service == "" {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // Stop is the platform's hook for a task that is told to stop, or is killed.
-func (h *Instances) Stop(r standin.Running) {
+func (h *Instances) Stop(r standin.TaskInfo) {
 	u := h.take(r.Task)
 	switch {
 	case u == nil:
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -4,32 +4,32 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Kind is what a command does. Its value is used on the wire.
-type Kind string
+// CommandKind is what a command does. Its value is used on the wire.
+type CommandKind string
 
 const (
 	// Drain stops the platform from starting tasks on the VM.
-	Drain Kind = "drain"
+	Drain CommandKind = "drain"
 	// Undrain ends a drain that was not followed by a reboot.
-	Undrain Kind = "undrain"
+	Undrain CommandKind = "undrain"
 	// Reboot restarts the VM if its boot ID is still the one in the command.
-	Reboot Kind = "reboot"
+	Reboot CommandKind = "reboot"
 	// Return ends the maintenance of a VM that was rebooted.
-	Return Kind = "return"
+	Return CommandKind = "return"
 	// Start runs a task on a worker until its lease expires.
-	Start Kind = "start"
+	Start CommandKind = "start"
 	// Renew extends the leases of several tasks to the same instant.
-	Renew Kind = "renew"
+	Renew CommandKind = "renew"
 	// Checkpoint saves a task's progress for its job and ends the task.
-	Checkpoint Kind = "checkpoint"
+	Checkpoint CommandKind = "checkpoint"
 	// Throttle sets whether a task runs with a reduced share of the processor.
-	Throttle Kind = "throttle"
+	Throttle CommandKind = "throttle"
 	// Stop ends a task. A task that has not started yet never starts.
-	Stop Kind = "stop"
+	Stop CommandKind = "stop"
 )
 
 // ForVM reports whether the command is for a VM rather than for tasks.
-func (k Kind) ForVM() bool {
+func (k CommandKind) ForVM() bool {
 	switch k {
 	case Drain, Undrain, Reboot, Return:
 		return true
@@ -40,7 +40,7 @@
 
 // Step is the position of a command in the maintenance of a VM. A command is
 // refused once a later step of the same generation was accepted.
-func (k Kind) Step() int {
+func (k CommandKind) Step() int {
 	switch k {
 	case Drain:
 		return 1
@@ -62,7 +62,7 @@
 	// Generation is the generation of the permit for VM commands, and the
 	// generation of the VM's ownership for tasks.
 	Generation uint64 `json:"generation"`
-	// Step orders the VM commands of one generation; see Kind.Step.
+	// Step orders the VM commands of one generation; see CommandKind.Step.
 	Step int `json:"step,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 // fields are used.
 type Command struct {
 	ID    model.CommandID `json:"id"`
-	Kind  Kind            `json:"kind"`
+	Kind  CommandKind     `json:"kind"`
 	Fence Fence           `json:"fence"`
 
 	// VM is set for VM commands and for Start.
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, &Error{Verdict: model.NotRun, Op: op, Cause: err}
 	}
-	var response CommandAnswer
+	var response CommandResponse
 	if _, err := c.call(ctx, op, http.MethodPost, PathCommands, body, &response); err != nil {
 		return nil, err
 	}
@@ -133,9 +133,9 @@
 	Commands []Command `json:"commands"`
 }
 
-// CommandAnswer is the body of the response to a CommandRequest. Answers are in
+// CommandResponse is the body of the response to a CommandRequest. Answers are in
 // the order of the commands.
-type CommandAnswer struct {
+type CommandResponse struct {
 	Answers []Answer `json:"answers"`
 }
 
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -41,22 +41,22 @@
 	Removed []model.VMID  `json:"removed,omitempty"`
 }
 
-// Ended is how a task ended; it is empty while the task runs.
-type Ended string
+// TaskEnd is how a task ended; it is empty while the task runs.
+type TaskEnd string
 
 const (
 	// Succeeded: the task ended with success.
-	Succeeded Ended = "succeeded"
+	Succeeded TaskEnd = "succeeded"
 	// Failed: the task ended without success.
-	Failed Ended = "failed"
+	Failed TaskEnd = "failed"
 	// Stopped: a Stop ended it.
-	Stopped Ended = "stopped"
+	Stopped TaskEnd = "stopped"
 	// Checkpointed: a Checkpoint ended it; the job's next task continues from there.
-	Checkpointed Ended = "checkpointed"
+	Checkpointed TaskEnd = "checkpointed"
 	// Lapsed: its lease expired.
-	Lapsed Ended = "lapsed"
+	Lapsed TaskEnd = "lapsed"
 	// NeverStarted: its start was refused, or it was stopped before it started.
-	NeverStarted Ended = "never-started"
+	NeverStarted TaskEnd = "never-started"
 )
 
 // TaskReport is the platform's report of one task.
@@ -64,8 +64,8 @@
 	Task   model.TaskID   `json:"task"`
 	Worker model.WorkerID `json:"worker"`
 	// Ended is empty while the task runs.
-	Ended     Ended `json:"ended,omitempty"`
-	Throttled bool  `json:"throttled,omitempty"`
+	Ended     TaskEnd `json:"ended,omitempty"`
+	Throttled bool    `json:"throttled,omitempty"`
 	// Revision grows with every change of the task except renewals.
 	Revision uint64 `json:"revision"`
 }
--- a/internal/platform/standin/command.go
+++ b/internal/platform/standin/command.go
@@ -30,7 +30,7 @@
 	answer.ID = c.ID
 	if answer.Code != platform.Busy {
 		p.answers[c.ID] = answer
-		p.after(p.config.Remember, func() { delete(p.answers, c.ID) })
+		p.after(p.config.Retention, func() { delete(p.answers, c.ID) })
 	}
 	return answer
 }
@@ -85,7 +85,7 @@
 	case platform.Undrain, platform.Return:
 		v.drained = false
 	case platform.Reboot:
-		p.tally.Asked[v.ID]++
+		p.tally.RebootCommands[v.ID]++
 		p.reboot(p.rebootTarget(v))
 	}
 	return platform.Answer{Code: platform.Accepted}
@@ -105,7 +105,7 @@
 // rebootTarget returns the VM that a reboot command reboots, which may be the
 // wrong one.
 func (p *Platform) rebootTarget(v *vm) *vm {
-	if p.config.WrongVM == 0 || p.random.Float64() >= p.config.WrongVM {
+	if p.config.WrongVMProbability == 0 || p.random.Float64() >= p.config.WrongVMProbability {
 		return v
 	}
 	other := p.vms[p.vmOrder[p.random.IntN(len(p.vmOrder))]]
--- a/internal/platform/standin/config.go
+++ b/internal/platform/standin/config.go
@@ -32,8 +32,8 @@
 	Fails bool
 }
 
-// Running describes a task to the hooks OnStart and OnStop.
-type Running struct {
+// TaskInfo describes a task to the hooks OnStart and OnStop.
+type TaskInfo struct {
 	Task    model.TaskID
 	Service model.ServiceID
 	Ordinal int
@@ -58,19 +58,19 @@
 	RebootTime time.Duration
 	// StopGrace is how long a task takes to end after it is told to stop.
 	StopGrace time.Duration
-	// UsageEvery is the interval between measurements, UsageLag the delay until
+	// UsageInterval is the interval between measurements, UsageLag the delay until
 	// one is listed; 0 means 15 s and 30 s.
-	UsageEvery, UsageLag time.Duration
-	// Remember is how long ended tasks and answers are retained; 0 means an hour.
-	Remember time.Duration
+	UsageInterval, UsageLag time.Duration
+	// Retention is how long ended tasks and answers are retained; 0 means an hour.
+	Retention time.Duration
 	// Behaviour returns how a job's task behaves. With nil each runs for 10 s and
 	// uses its declared size. Instances of services run until they are stopped.
 	Behaviour func(platform.TaskSpec) Work
-	// WrongVM is the probability that a reboot command reboots another VM.
-	WrongVM float64
+	// WrongVMProbability is the probability that a reboot command reboots another VM.
+	WrongVMProbability float64
 	// OnStart is called when a task starts, OnStop when it is told to stop or is
 	// killed. No lock is held during the calls.
-	OnStart, OnStop func(Running)
+	OnStart, OnStop func(TaskInfo)
 }
 
 const (
@@ -89,14 +89,14 @@
 	if c.RebootTime <= 0 {
 		c.RebootTime = defaultRebootTime
 	}
-	if c.UsageEvery <= 0 {
-		c.UsageEvery = defaultUsageEvery
+	if c.UsageInterval <= 0 {
+		c.UsageInterval = defaultUsageEvery
 	}
 	if c.UsageLag <= 0 {
 		c.UsageLag = defaultUsageLag
 	}
-	if c.Remember <= 0 {
-		c.Remember = defaultRetention
+	if c.Retention <= 0 {
+		c.Retention = defaultRetention
 	}
 	if c.Behaviour == nil {
 		c.Behaviour = func(s platform.TaskSpec) Work { return Work{Runtime: defaultRuntime, Used: s.Size} }
--- a/internal/platform/standin/failure.go
+++ b/internal/platform/standin/failure.go
@@ -6,28 +6,28 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Select reports whether a fault applies to a VM.
-type Select func(VM) bool
+// Selector reports whether a fault applies to a VM.
+type Selector func(VM) bool
 
 // OneVM selects a VM by ID.
-func OneVM(id model.VMID) Select { return func(v VM) bool { return v.ID == id } }
+func OneVM(id model.VMID) Selector { return func(v VM) bool { return v.ID == id } }
 
 // Rack selects the VMs of a rack.
-func Rack(zone model.ZoneID, rack model.RackID) Select {
+func Rack(zone model.ZoneID, rack model.RackID) Selector {
 	return func(v VM) bool { return v.Zone == zone && v.Rack == rack }
 }
 
 // Zone selects the VMs of an availability zone.
-func Zone(zone model.ZoneID) Select { return func(v VM) bool { return v.Zone == zone } }
+func Zone(zone model.ZoneID) Selector { return func(v VM) bool { return v.Zone == zone } }
 
 // Fail takes VMs down and kills all their tasks. They stay down until Repair.
-func (p *Platform) Fail(which Select) {
+func (p *Platform) Fail(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) { p.failVM(v) })
 }
 
 // Repair boots VMs that are down.
-func (p *Platform) Repair(which Select) {
+func (p *Platform) Repair(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if v.health == model.VMDown {
@@ -38,9 +38,9 @@
 	})
 }
 
-// Silence disconnects VMs from the platform: their tasks keep running until their
+// Disconnect disconnects VMs from the platform: their tasks keep running until their
 // leases expire, and none of their reports arrive.
-func (p *Platform) Silence(which Select) {
+func (p *Platform) Disconnect(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if !v.disconnected {
@@ -51,8 +51,8 @@
 	})
 }
 
-// Reconnect undoes Silence; the withheld reports arrive.
-func (p *Platform) Reconnect(which Select) {
+// Reconnect undoes Disconnect; the withheld reports arrive.
+func (p *Platform) Reconnect(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if !v.disconnected {
@@ -65,11 +65,12 @@
 	})
 }
 
-// Break makes a worker fail every job's task that it starts, until Mend.
-func (p *Platform) Break(worker model.WorkerID) { p.setFaulty(worker, true) }
+// InjectWorkerFault makes a worker fail every job's task that it starts, until
+// ClearWorkerFault.
+func (p *Platform) InjectWorkerFault(worker model.WorkerID) { p.setFaulty(worker, true) }
 
-// Mend undoes Break.
-func (p *Platform) Mend(worker model.WorkerID) { p.setFaulty(worker, false) }
+// ClearWorkerFault undoes InjectWorkerFault.
+func (p *Platform) ClearWorkerFault(worker model.WorkerID) { p.setFaulty(worker, false) }
 
 // Add adds a VM, or adds one again that was removed.
 func (p *Platform) Add(v VM) {
@@ -79,7 +80,7 @@
 }
 
 // Remove removes VMs and kills all their tasks.
-func (p *Platform) Remove(which Select) {
+func (p *Platform) Remove(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) {
 		p.failVM(v)
@@ -88,8 +89,8 @@
 	})
 }
 
-// RebootUnasked reboots VMs without a command.
-func (p *Platform) RebootUnasked(which Select) {
+// RebootUnexpectedly reboots VMs without a command.
+func (p *Platform) RebootUnexpectedly(which Selector) {
 	defer p.lock()()
 	p.each(which, func(v *vm) {
 		if v.health == model.VMUp {
@@ -103,7 +104,7 @@
 	p.faulty[worker] = faulty
 }
 
-func (p *Platform) each(which Select, do func(*vm)) {
+func (p *Platform) each(which Selector, do func(*vm)) {
 	for _, id := range p.vmOrder {
 		if v := p.vms[id]; v != nil && which(v.VM) {
 			do(v)
--- a/internal/platform/standin/handler.go
+++ b/internal/platform/standin/handler.go
@@ -65,7 +65,7 @@
 		return
 	}
 	answers, err := c.Send(r.Context(), request.Commands)
-	respond(w, r, platform.CommandAnswer{Answers: answers}, err)
+	respond(w, r, platform.CommandResponse{Answers: answers}, err)
 }
 
 func respond(w http.ResponseWriter, r *http.Request, response any, err error) {
--- a/internal/platform/standin/list.go
+++ b/internal/platform/standin/list.go
@@ -76,12 +76,12 @@
 // Usage implements platform.Client. Its cursor is the number of the measurement.
 func (p *Platform) Usage(_ context.Context, since platform.Cursor) (platform.UsageList, error) {
 	defer p.lock()()
-	sample := uint64(max(p.now.Add(-p.config.UsageLag), 0)) / uint64(p.config.UsageEvery.Milliseconds())
+	sample := uint64(max(p.now.Add(-p.config.UsageLag), 0)) / uint64(p.config.UsageInterval.Milliseconds())
 	list := platform.UsageList{Next: formatCursor(sample)}
 	if sample <= parseCursor(since) {
 		return list, nil
 	}
-	at := model.Instant(sample) * model.Instant(p.config.UsageEvery.Milliseconds())
+	at := model.Instant(sample) * model.Instant(p.config.UsageInterval.Milliseconds())
 	for _, id := range p.vmOrder {
 		list.Usage = append(list.Usage, p.usageOf(p.vms[id], at)...)
 	}
--- a/internal/platform/standin/platform.go
+++ b/internal/platform/standin/platform.go
@@ -72,7 +72,7 @@
 	spec     platform.TaskSpec
 	vm       *vm
 	lease    model.Instant
-	ended    platform.Ended
+	ended    platform.TaskEnd
 	endedAt  model.Instant
 	revision uint64
 	// hidden withholds the end from reports while the VM is disconnected or down.
--- a/internal/platform/standin/standin_test.go
+++ b/internal/platform/standin/standin_test.go
@@ -59,7 +59,7 @@
 func TestDuplicatedMaintenanceCommandsHaveNoEffect(t *testing.T) {
 	is := is.New(t)
 	p := New(twoVMs())
-	command := func(id string, kind platform.Kind, generation uint64, boot string) platform.Command {
+	command := func(id string, kind platform.CommandKind, generation uint64, boot string) platform.Command {
 		return platform.Command{ID: model.CommandID(id), Kind: kind, VM: "a", BootID: boot, Fence: platform.Fence{Term: 1, Generation: generation, Step: kind.Step()}}
 	}
 	is.Equal(send(t, p, command("d", platform.Drain, 5, "")), platform.Accepted)
@@ -81,11 +81,11 @@
 	is := is.New(t)
 	c := twoVMs()
 	c.Behaviour = func(platform.TaskSpec) Work { return Work{Runtime: time.Hour} }
-	var stopped []Running
-	c.OnStop = func(r Running) { stopped = append(stopped, r) }
+	var stopped []TaskInfo
+	c.OnStop = func(r TaskInfo) { stopped = append(stopped, r) }
 	p := New(c)
 	is.Equal(send(t, p, start("t1", 61_000)), platform.Accepted)
-	p.Silence(OneVM("a"))
+	p.Disconnect(OneVM("a"))
 	renew := platform.Command{ID: "renew", Kind: platform.Renew, Tasks: []model.TaskID{"t1", "t9"}, LeaseUntil: 90_000, Fence: platform.Fence{Term: 1}}
 	answers, _ := p.Send(context.Background(), []platform.Command{renew})
 	is.Equal(answers[0].Missing, []model.TaskID{"t9"})
@@ -124,7 +124,7 @@
 	next, err := c.VMs(ctx, list.Next)
 	is.NoErr(err)
 	is.Equal(len(next.VMs), 0) // nothing changed
-	client.SetFaults(Faults{LoseAnswer: 1})
+	client.SetFaults(Faults{LoseResponse: 1})
 	_, err = c.Send(ctx, []platform.Command{start("t3", 900_000)})
 	is.Equal(platform.VerdictOf(err), model.MayHaveRun)
 	is.Equal(len(p.Tally().Starts), 2) // the command took effect
--- a/internal/platform/standin/tally.go
+++ b/internal/platform/standin/tally.go
@@ -13,26 +13,26 @@
 type Tally struct {
 	// Reboots counts all reboots by VM, whether commanded or not.
 	Reboots map[model.VMID]int
-	// Asked counts the reboot commands that were accepted, by VM.
-	Asked map[model.VMID]int
+	// RebootCommands counts the reboot commands that were accepted, by VM.
+	RebootCommands map[model.VMID]int
 	// WrongReboots counts the reboots of another VM than the command's.
 	WrongReboots int
 	// Starts counts the started attempts by job.
 	Starts map[model.JobID]int
-	// Done counts the successful attempts by job.
-	Done map[model.JobID]int
+	// Succeeded counts the successful attempts by job.
+	Succeeded map[model.JobID]int
 	// Overlaps counts the starts of a job while another attempt of it was running.
 	Overlaps int
-	// Wasted is the total run time of job attempts that did not succeed.
-	Wasted time.Duration
-	// Useful is the total run time of job attempts that succeeded.
-	Useful time.Duration
+	// WastedTime is the total run time of job attempts that did not succeed.
+	WastedTime time.Duration
+	// UsefulTime is the total run time of job attempts that succeeded.
+	UsefulTime time.Duration
 
 	running map[model.JobID]int
 }
 
 func newTally() Tally {
-	return Tally{Reboots: map[model.VMID]int{}, Asked: map[model.VMID]int{}, Starts: map[model.JobID]int{}, Done: map[model.JobID]int{}, running: map[model.JobID]int{}}
+	return Tally{Reboots: map[model.VMID]int{}, RebootCommands: map[model.VMID]int{}, Starts: map[model.JobID]int{}, Succeeded: map[model.JobID]int{}, running: map[model.JobID]int{}}
 }
 
 // Tally returns a copy of the counts.
@@ -40,31 +40,31 @@
 	defer p.lock()()
 	t := p.tally
 	t.Reboots = maps.Clone(t.Reboots)
-	t.Asked = maps.Clone(t.Asked)
+	t.RebootCommands = maps.Clone(t.RebootCommands)
 	t.Starts = maps.Clone(t.Starts)
-	t.Done = maps.Clone(t.Done)
+	t.Succeeded = maps.Clone(t.Succeeded)
 	t.running = maps.Clone(t.running)
 	return t
 }
 
-// Truth is the actual state of a VM.
-type Truth struct {
+// ActualVM is the actual state of a VM.
+type ActualVM struct {
 	VM
-	Health  model.VMHealth
-	Silent  bool
-	Drained bool
-	BootID  string
-	Since   model.Instant
+	Health       model.VMHealth
+	Disconnected bool
+	Drained      bool
+	BootID       string
+	Since        model.Instant
 	// Instances counts the running instances by service.
 	Instances map[model.ServiceID]int
 	// Used are the resources that the running tasks really use.
 	Used model.Resources
 }
 
-// Truth returns the actual state of all VMs in the order in which they were added.
-func (p *Platform) Truth() []Truth {
+// ActualVMs returns the actual state of all VMs in the order in which they were added.
+func (p *Platform) ActualVMs() []ActualVM {
 	defer p.lock()()
-	all := make([]Truth, 0, len(p.vms))
+	all := make([]ActualVM, 0, len(p.vms))
 	for _, id := range p.vmOrder {
 		if v := p.vms[id]; v != nil {
 			all = append(all, v.actual())
@@ -73,8 +73,8 @@
 	return all
 }
 
-func (v *vm) actual() Truth {
-	t := Truth{VM: v.VM, Health: v.health, Silent: v.disconnected, Drained: v.drained, BootID: v.bootID(), Since: v.healthSince, Instances: map[model.ServiceID]int{}}
+func (v *vm) actual() ActualVM {
+	t := ActualVM{VM: v.VM, Health: v.health, Disconnected: v.disconnected, Drained: v.drained, BootID: v.bootID(), Since: v.healthSince, Instances: map[model.ServiceID]int{}}
 	for _, running := range v.tasks {
 		t.Used = t.Used.Plus(running.work.Used)
 		if running.spec.Service != "" && !running.stopping {
@@ -117,9 +117,9 @@
 	}
 	p.tally.running[job]--
 	if t.ended == platform.Succeeded {
-		p.tally.Done[job]++
-		p.tally.Useful += p.now.Sub(t.start)
+		p.tally.Succeeded[job]++
+		p.tally.UsefulTime += p.now.Sub(t.start)
 		return
 	}
-	p.tally.Wasted += p.now.Sub(t.start)
+	p.tally.WastedTime += p.now.Sub(t.start)
 }
--- a/internal/platform/standin/task.go
+++ b/internal/platform/standin/task.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func outcomeOf(t *task) platform.Ended {
+func outcomeOf(t *task) platform.TaskEnd {
 	if t.work.Fails {
 		return platform.Failed
 	}
@@ -92,7 +92,7 @@
 }
 
 // stop tells a task to end, which it does after the grace period.
-func (p *Platform) stop(t *task, how platform.Ended) {
+func (p *Platform) stop(t *task, how platform.TaskEnd) {
 	if t.ended != "" || t.stopping {
 		return
 	}
@@ -109,7 +109,7 @@
 	})
 }
 
-func (p *Platform) endTask(t *task, how platform.Ended, killed bool) {
+func (p *Platform) endTask(t *task, how platform.TaskEnd, killed bool) {
 	t.ended = how
 	t.endedAt = p.now
 	delete(t.vm.tasks, t.id)
@@ -119,7 +119,7 @@
 	}
 	t.hidden = t.vm.disconnected
 	p.recordChange(t)
-	p.after(p.config.Remember, func() { p.forget(t) })
+	p.after(p.config.Retention, func() { p.forget(t) })
 }
 
 // kill ends a task because its VM failed. The worker can't report the end, so the
@@ -138,7 +138,7 @@
 		t.hidden = false
 		p.recordChange(t)
 	})
-	p.at(max(t.lease, p.now).Add(p.config.Remember), func() { p.forget(t) })
+	p.at(max(t.lease, p.now).Add(p.config.Retention), func() { p.forget(t) })
 }
 
 func (p *Platform) forget(t *task) {
@@ -152,11 +152,11 @@
 	p.changes = append(p.changes, change{t.revision, t.id})
 }
 
-func (p *Platform) queueHook(f func(Running), t *task, killed bool) {
+func (p *Platform) queueHook(f func(TaskInfo), t *task, killed bool) {
 	if f == nil {
 		return
 	}
-	r := Running{Task: t.id, Service: t.spec.Service, Ordinal: t.spec.Ordinal, Job: t.spec.Job, VM: t.vm.ID, Zone: t.vm.Zone, Killed: killed}
+	r := TaskInfo{Task: t.id, Service: t.spec.Service, Ordinal: t.spec.Ordinal, Job: t.spec.Job, VM: t.vm.ID, Zone: t.vm.Zone, Killed: killed}
 	p.hooks = append(p.hooks, func() { f(r) })
 }
 
@@ -168,5 +168,5 @@
 	t := &task{id: id, vm: v, ended: platform.NeverStarted, endedAt: p.now}
 	p.tasks[id] = t
 	p.recordChange(t)
-	p.after(p.config.Remember, func() { p.forget(t) })
+	p.after(p.config.Retention, func() { p.forget(t) })
 }
--- a/internal/platform/standin/unreliable.go
+++ b/internal/platform/standin/unreliable.go
@@ -17,17 +17,17 @@
 	Refuse float64
 	// LoseRequest: the request is sent but does not arrive.
 	LoseRequest float64
-	// LoseAnswer: the call takes effect but the response does not arrive.
-	LoseAnswer float64
-	// Late: each command arrives up to LateBy later, possibly after commands that
-	// were sent after it; the client gets no response.
-	Late float64
-	// Double: each command arrives now and once more up to LateBy later.
-	Double float64
-	// OldList: the response is the list of an earlier call.
-	OldList float64
-	// LateBy bounds the delays; 0 means 30 s.
-	LateBy time.Duration
+	// LoseResponse: the call takes effect but the response does not arrive.
+	LoseResponse float64
+	// Delay: each command arrives up to MaxDelay later, possibly after commands
+	// that were sent after it; the client gets no response.
+	Delay float64
+	// Duplicate: each command arrives now and once more up to MaxDelay later.
+	Duplicate float64
+	// StaleList: the response is the list of an earlier call.
+	StaleList float64
+	// MaxDelay bounds the delays; 0 means 30 s.
+	MaxDelay time.Duration
 }
 
 const defaultMaxDelay = 30 * time.Second
@@ -65,7 +65,7 @@
 	if err := u.requestFault("list VMs"); err != nil {
 		return platform.VMList{}, err
 	}
-	if u.chance(func(f Faults) float64 { return f.OldList }) {
+	if u.chance(func(f Faults) float64 { return f.StaleList }) {
 		return u.previousVMs(), nil
 	}
 	list, err := u.platform.VMs(ctx, since)
@@ -78,7 +78,7 @@
 	if err := u.requestFault("list tasks"); err != nil {
 		return platform.TaskList{}, err
 	}
-	if u.chance(func(f Faults) float64 { return f.OldList }) {
+	if u.chance(func(f Faults) float64 { return f.StaleList }) {
 		return u.previousTasks(), nil
 	}
 	list, err := u.platform.Tasks(ctx, since)
@@ -108,15 +108,15 @@
 	if err := u.requestFault(op); err != nil {
 		return nil, err
 	}
-	if u.chance(func(f Faults) float64 { return f.Late }) {
+	if u.chance(func(f Faults) float64 { return f.Delay }) {
 		u.deliverLater(commands)
 		return nil, lostError(op)
 	}
 	answers, err := u.platform.Send(ctx, commands)
-	if u.chance(func(f Faults) float64 { return f.Double }) {
+	if u.chance(func(f Faults) float64 { return f.Duplicate }) {
 		u.deliverLater(commands)
 	}
-	if u.chance(func(f Faults) float64 { return f.LoseAnswer }) {
+	if u.chance(func(f Faults) float64 { return f.LoseResponse }) {
 		return nil, lostError(op)
 	}
 	return answers, err
@@ -170,7 +170,7 @@
 func (u *Unreliable) delay() time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	bound := u.faults.LateBy
+	bound := u.faults.MaxDelay
 	if bound <= 0 {
 		bound = defaultMaxDelay
 	}
