--- a/internal/operator/answer.go
+++ b/internal/operator/answer.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// The headers of the answer to GET /manifest.
+// The headers of the response to GET /manifest.
 const (
 	// RevisionHeader carries the revision in force.
 	RevisionHeader = "Comfreyloom-Revision"
@@ -18,17 +18,17 @@
 	IndexHeader = "Comfreyloom-Index"
 )
 
-// Failure is the answer to a request that was refused or whose outcome is
-// unknown.
+// Failure is the body of the response to a request that was refused or whose
+// outcome is unknown.
 type Failure struct {
 	Message string `json:"message"`
-	// Problems lists everything that is wrong with a manifest.
+	// Problems lists all problems of a manifest.
 	Problems []manifest.Problem `json:"problems,omitempty"`
-	// Text is the problems in words, one a line.
+	// Text holds the problems as plain text, one per line.
 	Text string `json:"text,omitempty"`
 }
 
-// ManifestAnswer is the answer to a manifest that was decided on.
+// ManifestAnswer is the body of the response to a manifest whose outcome is known.
 type ManifestAnswer struct {
 	// Outcome is accepted, already, conflict or stale.
 	Outcome string `json:"outcome"`
@@ -37,22 +37,23 @@
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest"`
 	Index    uint64 `json:"index"`
-	// InForce says, after ?wait, whether every VM has applied it; Behind
-	// names those that have not.
+	// InForce reports, after ?wait, whether every VM has applied it; Behind
+	// lists those that have not.
 	InForce *bool          `json:"in_force,omitempty"`
 	Behind  []model.NodeID `json:"behind,omitempty"`
 }
 
-func answer(w http.ResponseWriter, status int, verdict model.Verdict, body any) {
+// respond writes body as JSON with the verdict of the request.
+func respond(w http.ResponseWriter, status int, verdict model.Verdict, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(model.VerdictHeader, verdict.String())
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(body) // the peer that went away has no other answer
+	_ = encoder.Encode(body) // fails only when the peer has disconnected
 }
 
-// fail answers a request that changed nothing.
-func fail(w http.ResponseWriter, status int, message string) {
-	answer(w, status, model.NotRun, Failure{Message: message})
+// respondError responds to a request that changed nothing.
+func respondError(w http.ResponseWriter, status int, message string) {
+	respond(w, status, model.NotRun, Failure{Message: message})
 }
--- a/internal/operator/audit.go
+++ b/internal/operator/audit.go
@@ -13,7 +13,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// auditQuery is what GET /audit asks for.
+// auditQuery holds the query parameters of GET /audit.
 type auditQuery struct {
 	from   uint64
 	limit  int
@@ -21,7 +21,7 @@
 }
 
 func parseAuditQuery(r *http.Request) (auditQuery, error) {
-	q := auditQuery{limit: auditPage}
+	q := auditQuery{limit: defaultAuditLimit}
 	var err error
 	if q.follow, err = waitParameter(r, "follow"); err != nil {
 		return q, err
@@ -40,27 +40,27 @@
 	return q, nil
 }
 
-// getAudit returns records from a sequence on. With ?follow it waits so long
-// for the first of them (long poll).
+// getAudit returns the records from a sequence number on. With ?follow it waits
+// up to that long for the first of them (long poll).
 func (s *server) getAudit(w http.ResponseWriter, r *http.Request, _ string) {
 	query, err := parseAuditQuery(r)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		respondError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), query.follow)
 	defer cancel()
 	page, err := s.readAudit(ctx, query)
 	if err != nil {
-		fail(w, http.StatusInternalServerError, "the audit trail can't be read: "+err.Error())
+		respondError(w, http.StatusInternalServerError, "the audit trail can't be read: "+err.Error())
 		return
 	}
-	answer(w, http.StatusOK, model.Ran, page)
+	respond(w, http.StatusOK, model.Ran, page)
 }
 
-// readAudit reads until there is a record or ctx ends. The trail is written a
-// moment after a change is applied, so an empty page is read again after the
-// next change or pause.
+// readAudit reads until there is a record or ctx ends. The trail is written
+// shortly after a change is applied, so an empty page is read again after the
+// next change or after auditPollInterval.
 func (s *server) readAudit(ctx context.Context, q auditQuery) (audit.Page, error) {
 	for {
 		index := s.Log.View().Index
@@ -68,14 +68,14 @@
 		if err != nil || len(page.Records) > 0 || ctx.Err() != nil {
 			return page, err
 		}
-		pause, cancel := context.WithTimeout(ctx, followPause)
-		_ = s.Log.WaitApplied(pause, index+1)
+		waitCtx, cancel := context.WithTimeout(ctx, auditPollInterval)
+		_ = s.Log.WaitApplied(waitCtx, index+1)
 		cancel()
 	}
 }
 
-// followPause bounds how late a follower sees a record.
-const followPause = time.Second
+// auditPollInterval bounds the delay until a long poll returns a new record.
+const auditPollInterval = time.Second
 
 // getMetrics returns all counters of this process.
 func (s *server) getMetrics(w http.ResponseWriter, _ *http.Request, _ string) {
--- a/internal/operator/build.go
+++ b/internal/operator/build.go
@@ -11,18 +11,19 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// builder makes a Status out of a view.
+// builder builds a Status from a view.
 type builder struct {
 	view    *state.View
 	sources Sources
 	now     model.Instant
 	site    *model.Site
-	// vmTasks and quarantines count by VM.
+	// vmTasks is the number of tasks and quarantines the reason, by VM.
 	vmTasks     map[model.VMID]int
 	quarantines map[model.VMID]string
 }
 
-// BuildStatus describes a view at a time, with what the sources add.
+// BuildStatus returns the status of a view at the time now, completed by the
+// sources.
 func BuildStatus(view *state.View, sources Sources, now model.Instant) Status {
 	b := &builder{
 		view:        view,
@@ -80,7 +81,7 @@
 		byID[pools[i].Pool] = &pools[i]
 	}
 	for id, owner := range b.view.Owners {
-		b.count(byID[owner.Pool], owner, id)
+		b.countVM(byID[owner.Pool], owner, id)
 		if target := byID[owner.Target]; owner.Moving && target != nil {
 			target.Arriving++
 		}
@@ -88,8 +89,9 @@
 	return pools
 }
 
-// count adds a VM to its pool; the pool is nil when the manifest dropped it.
-func (b *builder) count(p *PoolStatus, owner *model.Ownership, id model.VMID) {
+// countVM adds a VM to its pool; p is nil when the pool is no longer in the
+// manifest.
+func (b *builder) countVM(p *PoolStatus, owner *model.Ownership, id model.VMID) {
 	if p == nil {
 		return
 	}
@@ -143,8 +145,9 @@
 	return vm
 }
 
-// budgets returns the controller's account, or a plain one from the tables: an
-// instance counts when its task runs on a VM without a permit.
+// budgets returns the controller's budgets. Where there are none, it computes
+// them from the tables alone: an instance is available when its task runs on a
+// VM without a permit.
 func (b *builder) budgets() []BudgetStatus {
 	if b.sources.Budgets != nil {
 		if budgets := b.sources.Budgets(); budgets != nil {
@@ -174,14 +177,14 @@
 }
 
 func (b *builder) waves() []WaveStatus {
-	var whys map[model.WaveID]string
+	var reasons map[model.WaveID]string
 	if b.sources.Waves != nil {
-		whys = b.sources.Waves()
+		reasons = b.sources.Waves()
 	}
 	waves := make([]WaveStatus, 0, len(b.site.Waves))
 	for i := range b.site.Waves {
 		wave := b.wave(&b.site.Waves[i])
-		wave.Why = whys[wave.Wave]
+		wave.Why = reasons[wave.Wave]
 		waves = append(waves, wave)
 	}
 	return waves
@@ -211,21 +214,21 @@
 		status.State = "done"
 		return status
 	}
-	status.End = b.estimate(w, status)
+	status.End = b.estimateEnd(w, status)
 	return status
 }
 
-// estimate extrapolates the pace so far.
-func (b *builder) estimate(w *model.Wave, s WaveStatus) *time.Time {
+// estimateEnd extrapolates the average time per VM so far.
+func (b *builder) estimateEnd(w *model.Wave, s WaveStatus) *time.Time {
 	if s.Done == 0 {
 		return nil
 	}
-	each := b.now.Sub(w.Start) / time.Duration(s.Done)
-	end := b.now.Add(each * time.Duration(s.Underway+s.Waiting)).Time()
+	perVM := b.now.Sub(w.Start) / time.Duration(s.Done)
+	end := b.now.Add(perVM * time.Duration(s.Underway+s.Waiting)).Time()
 	return &end
 }
 
-// maxWaiting bounds the waiting jobs in a status.
+// maxWaiting is the maximum number of waiting jobs in a status.
 const maxWaiting = 100
 
 func (b *builder) jobs() JobsStatus {
@@ -233,7 +236,7 @@
 	var waiting []*model.Job
 	for _, job := range b.view.Jobs {
 		status.Counts[job.State.String()]++
-		if waits(job) {
+		if isWaiting(job) {
 			waiting = append(waiting, job)
 		}
 	}
@@ -244,8 +247,9 @@
 	return status
 }
 
-// waits reports whether an operator may ask why the job does not run.
-func waits(job *model.Job) bool {
+// isWaiting reports whether the job is in a state for which an operator may need
+// the reason why it does not run.
+func isWaiting(job *model.Job) bool {
 	switch job.State {
 	case model.JobQueued, model.JobHeld, model.JobUnplaceable, model.JobOutcomeUnknown:
 		return true
@@ -254,7 +258,7 @@
 	}
 }
 
-// compareJobs puts urgent jobs first, then the oldest.
+// compareJobs sorts by priority, urgent first, then by submission time.
 func compareJobs(a, b *model.Job) int {
 	return cmp.Or(
 		cmp.Compare(b.Spec.Priority, a.Spec.Priority),
@@ -278,17 +282,18 @@
 	}
 }
 
-// where names a pool in words.
-func where(p model.PoolID) string {
+// poolLabel returns the name of a pool as the text format shows it.
+func poolLabel(p model.PoolID) string {
 	if p == "" {
 		return "(spares)"
 	}
 	return string(p)
 }
 
-func moveWords(v VMStatus) string {
+// locationLabel returns the pool of a VM, or both pools during a move.
+func locationLabel(v VMStatus) string {
 	if !v.Moving {
-		return where(v.Pool)
+		return poolLabel(v.Pool)
 	}
-	return fmt.Sprintf("%s -> %s", where(v.Pool), where(v.Target))
+	return fmt.Sprintf("%s -> %s", poolLabel(v.Pool), poolLabel(v.Target))
 }
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,7 +1,7 @@
-// Package operator serves the peers that operate a site: they hand in the
-// manifest and read status, jobs, the audit trail and counters over HTTP.
+// Package operator implements the HTTP API for the operators of a site: they
+// submit the manifest and read status, jobs, the audit trail and counters.
 //
-// Every answer carries the verdict of its request: not-run promises that
-// nothing changed, may-have-run says that the outcome is unknown and that
+// Every response carries the verdict of its request: not-run guarantees that
+// nothing changed, may-have-run means that the outcome is unknown and that
 // sending the same manifest again is safe.
 package operator
--- a/internal/operator/fake_test.go
+++ b/internal/operator/fake_test.go
@@ -21,20 +21,21 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// fakeLog applies each command at once, or loses it or its answer.
+// fakeLog applies each command at once, or fails before or after applying it.
 type fakeLog struct {
 	*state.Machine
 	mu    sync.Mutex
 	index uint64
-	// before fails a proposal that is not applied, after one that is.
-	before, after error
+	// errBeforeApply fails a proposal that is not applied, errAfterApply one
+	// that is.
+	errBeforeApply, errAfterApply error
 }
 
 func (l *fakeLog) Propose(_ context.Context, c state.Command) (state.Result, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.before != nil {
-		return state.Result{}, l.before
+	if l.errBeforeApply != nil {
+		return state.Result{}, l.errBeforeApply
 	}
 	data, err := state.Encode(c)
 	if err != nil {
@@ -42,7 +43,7 @@
 	}
 	l.index++
 	result := l.Apply(l.index, data)
-	return result, l.after
+	return result, l.errAfterApply
 }
 
 func (l *fakeLog) Confirm(context.Context) (uint64, error) { return l.Applied(), nil }
@@ -51,15 +52,15 @@
 
 func (l *fakeLog) Leader() (model.NodeID, uint64) { return "n1", 3 }
 
-// fakeInForce says who is behind.
+// fakeInForce lists the nodes that are behind.
 type fakeInForce []model.NodeID
 
 func (f fakeInForce) WaitInForce(context.Context, uint64) []model.NodeID { return f }
 
-// fakeTokens knows one token.
-type fakeTokens struct{}
+// fakeAuthorizer accepts one token.
+type fakeAuthorizer struct{}
 
-func (fakeTokens) Authorize(r *http.Request) (string, error) {
+func (fakeAuthorizer) Authorize(r *http.Request) (string, error) {
 	if r.Header.Get("Authorization") != "Bearer good" {
 		return "", errors.New("wrong token")
 	}
@@ -74,7 +75,7 @@
 	return New(Config{
 		Site:       "port-klang",
 		Log:        l,
-		Authorizer: fakeTokens{},
+		Authorizer: fakeAuthorizer{},
 		InForce:    fakeInForce(behind),
 		Audit:      audit.Tail{Source: l},
 		Logger:     &log.Logger{Handler: discard.Default, Level: log.FatalLevel},
@@ -90,8 +91,8 @@
 	return w
 }
 
-// text returns the example manifest under another revision.
-func text(t testing.TB, revision int) string {
+// exampleManifest returns the example manifest with the given revision.
+func exampleManifest(t testing.TB, revision int) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("..", "..", "examples", "port-klang", "site.ini"))
 	if err != nil {
--- a/internal/operator/manifest.go
+++ b/internal/operator/manifest.go
@@ -17,40 +17,42 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// fileName stands in the problems of a manifest that came without a name.
-const fileName = "manifest"
+// manifestFileName is the file name in problems: a manifest sent over HTTP has
+// none.
+const manifestFileName = "manifest"
 
-// putManifest checks a manifest, hands it to the control log and tells what
-// became of it.
+// putManifest checks a manifest, proposes it to the control log and responds
+// with the outcome.
 func (s *server) putManifest(w http.ResponseWriter, r *http.Request, actor string) {
 	wait, err := waitParameter(r, "wait")
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		respondError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	text, status, err := readBody(w, r)
 	if err != nil {
-		fail(w, status, err.Error())
+		respondError(w, status, err.Error())
 		return
 	}
-	site, problems := s.parse(text)
+	site, problems := s.parseManifest(text)
 	if len(problems) > 0 {
-		failProblems(w, problems)
+		respondProblems(w, problems)
 		return
 	}
 	result, err := s.propose(r.Context(), actor, text, site)
 	if err != nil {
-		proposeFailure(w, err)
+		respondProposeError(w, err)
 		return
 	}
 	if result.Refused != "" || result.Manifest == nil {
-		fail(w, http.StatusConflict, string(result.Refused))
+		respondError(w, http.StatusConflict, string(result.Refused))
 		return
 	}
-	s.answerManifest(w, r, site.Revision, result.Manifest, wait)
+	s.respondManifest(w, r, site.Revision, result.Manifest, wait)
 }
 
-// readBody reads the text within its bound. The status tells why it failed.
+// readBody reads the text, at most inifile.MaxSize bytes. The status is the HTTP
+// status of the response when it fails.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, int, error) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, inifile.MaxSize))
 	var tooLarge *http.MaxBytesError
@@ -63,23 +65,23 @@
 	return text, http.StatusOK, nil
 }
 
-// parse checks the text and that it is meant for this site: a manifest of
-// another site would move every VM.
-func (s *server) parse(text []byte) (*model.Site, []manifest.Problem) {
-	site, problems := manifest.Parse(fileName, text)
+// parseManifest checks the text and that it belongs to this site: the manifest
+// of another site would move every VM.
+func (s *server) parseManifest(text []byte) (*model.Site, []manifest.Problem) {
+	site, problems := manifest.Parse(manifestFileName, text)
 	if len(problems) == 0 && s.Site != "" && site.Name != s.Site {
 		message := fmt.Sprintf("is %q; allowed: %s, the site of this VM", site.Name, s.Site)
-		problems = []manifest.Problem{{File: fileName, Section: "site", Key: "name", Message: message}}
+		problems = []manifest.Problem{{File: manifestFileName, Section: "site", Key: "name", Message: message}}
 	}
 	return site, problems
 }
 
-func failProblems(w http.ResponseWriter, problems []manifest.Problem) {
+func respondProblems(w http.ResponseWriter, problems []manifest.Problem) {
 	lines := make([]string, 0, len(problems))
 	for _, p := range problems {
 		lines = append(lines, p.String())
 	}
-	answer(w, http.StatusBadRequest, model.NotRun, Failure{
+	respond(w, http.StatusBadRequest, model.NotRun, Failure{
 		Message:  fmt.Sprintf("the manifest has %d problems; nothing changed", len(problems)),
 		Problems: problems,
 		Text:     strings.Join(lines, "\n"),
@@ -103,23 +105,23 @@
 	})
 }
 
-func (s *server) answerManifest(w http.ResponseWriter, r *http.Request, asked uint64, m *state.ManifestResult, wait time.Duration) {
+func (s *server) respondManifest(w http.ResponseWriter, r *http.Request, requested uint64, m *state.ManifestResult, wait time.Duration) {
 	body := ManifestAnswer{Revision: m.Revision, Digest: m.Digest, Index: m.Index}
 	switch m.Outcome {
 	case state.ManifestConflict:
 		body.Outcome = "conflict"
 		body.Message = fmt.Sprintf("revision %d is in force with another text, digest %s; nothing changed", m.Revision, m.Digest)
-		answer(w, http.StatusConflict, model.NotRun, body)
+		respond(w, http.StatusConflict, model.NotRun, body)
 		return
 	case state.ManifestStale:
 		body.Outcome = "stale"
-		body.Message = fmt.Sprintf("revision %d is in force, digest %s, and revision %d is older; nothing changed", m.Revision, m.Digest, asked)
-		answer(w, http.StatusConflict, model.NotRun, body)
+		body.Message = fmt.Sprintf("revision %d is in force, digest %s, and revision %d is older; nothing changed", m.Revision, m.Digest, requested)
+		respond(w, http.StatusConflict, model.NotRun, body)
 		return
 	case state.ManifestAlreadyAccepted:
 		body.Outcome = "already"
 		body.Message = "this manifest was accepted before"
-		if m.Revision != asked {
+		if m.Revision != requested {
 			body.Message = fmt.Sprintf("this manifest was accepted before; revision %d has replaced it since", m.Revision)
 		}
 	default:
@@ -128,11 +130,11 @@
 		s.Logger.WithFields(log.Fields{"revision": m.Revision, "digest": m.Digest}).Info("manifest accepted")
 	}
 	s.waitInForce(r.Context(), &body, wait)
-	answer(w, http.StatusOK, model.Ran, body)
+	respond(w, http.StatusOK, model.Ran, body)
 }
 
-// waitInForce waits until every VM has applied the manifest. The manifest
-// stays accepted when some have not: they follow by themselves.
+// waitInForce waits until every VM has applied the manifest. The manifest stays
+// accepted when some have not: they catch up with the log on their own.
 func (s *server) waitInForce(ctx context.Context, body *ManifestAnswer, wait time.Duration) {
 	if wait == 0 {
 		return
@@ -151,7 +153,7 @@
 func (s *server) getManifest(w http.ResponseWriter, _ *http.Request, _ string) {
 	view := s.Log.View()
 	if view.Site == nil {
-		fail(w, http.StatusNotFound, "no manifest was accepted yet")
+		respondError(w, http.StatusNotFound, "no manifest was accepted yet")
 		return
 	}
 	h := w.Header()
@@ -160,5 +162,5 @@
 	h.Set(RevisionHeader, fmt.Sprint(view.Site.Revision))
 	h.Set(DigestHeader, view.ManifestDigest)
 	h.Set(IndexHeader, fmt.Sprint(view.ManifestIndex))
-	_, _ = w.Write(view.ManifestText) // the peer that went away has no other answer
+	_, _ = w.Write(view.ManifestText) // fails only when the peer has disconnected
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// MaxWait bounds the time an answer is held back for ?wait and ?follow.
+	// MaxWait is the longest time that ?wait and ?follow may delay a response.
 	MaxWait = 5 * time.Minute
-	// proposeTimeout bounds the time until a manifest is in the log.
+	// proposeTimeout is the timeout for the proposal of a manifest to the log.
 	proposeTimeout = 15 * time.Second
-	// retryAfter is when to come back after a refusal for lack of a leader.
+	// retryAfter is the Retry-After time when a manifest could not be proposed,
+	// as without a leader.
 	retryAfter = 2 * time.Second
-	// auditPage is how many audit records an answer holds by default.
-	auditPage = 200
+	// defaultAuditLimit is the default number of audit records in a response.
+	defaultAuditLimit = 200
 )
 
-// Authorizer checks who sent a request; it returns the name of the token.
+// Authorizer authenticates a request and returns the name of its token.
 type Authorizer interface {
 	Authorize(r *http.Request) (name string, err error)
 }
 
-// InForce knows which VMs have applied an index.
+// InForce reports which VMs have applied an index.
 type InForce interface {
 	// WaitInForce waits until all VMs have applied the index or ctx ends,
-	// and returns those that are not known to have.
+	// and returns the VMs that are not known to have applied it.
 	WaitInForce(ctx context.Context, index uint64) (behind []model.NodeID)
 }
 
@@ -46,10 +47,10 @@
 	Read(from uint64, limit int) (audit.Page, error)
 }
 
-// Config says what the handler works on. All members but Site, Logger,
+// Config holds the dependencies of the handler. All fields but Site, Logger,
 // Registry and Sources must be set.
 type Config struct {
-	// Site is the name that a manifest must carry; empty accepts any.
+	// Site is the site name that a manifest must have; empty accepts any.
 	Site       string
 	Log        state.Log
 	Authorizer Authorizer
@@ -61,7 +62,7 @@
 	Clock      func() time.Time
 }
 
-// server answers the operators' requests.
+// server handles the operators' requests.
 type server struct {
 	Config
 	requests metrics.Counter
@@ -69,7 +70,7 @@
 	panics   metrics.Counter
 }
 
-// New returns the handler of the operators' listener.
+// New returns the HTTP handler of the operators' listener.
 func New(c Config) http.Handler {
 	if c.Registry == nil {
 		c.Registry = metrics.NewRegistry()
@@ -86,58 +87,60 @@
 	return s.routes()
 }
 
-// handle answers an authorised request of actor.
-type handle func(w http.ResponseWriter, r *http.Request, actor string)
+// actorHandler handles an authorised request; actor is the token name and the
+// remote address.
+type actorHandler func(w http.ResponseWriter, r *http.Request, actor string)
 
 func (s *server) routes() http.Handler {
 	router := httprouter.New()
-	router.PUT("/manifest", s.authorised(s.putManifest))
-	router.GET("/manifest", s.authorised(s.getManifest))
-	router.GET("/status", s.authorised(s.getStatus))
-	router.GET("/jobs", s.authorised(s.getJobs))
-	router.GET("/audit", s.authorised(s.getAudit))
-	router.GET("/metrics", s.authorised(s.getMetrics))
+	router.PUT("/manifest", s.authorise(s.putManifest))
+	router.GET("/manifest", s.authorise(s.getManifest))
+	router.GET("/status", s.authorise(s.getStatus))
+	router.GET("/jobs", s.authorise(s.getJobs))
+	router.GET("/audit", s.authorise(s.getAudit))
+	router.GET("/metrics", s.authorise(s.getMetrics))
 	router.NotFound = http.HandlerFunc(s.notFound)
 	router.MethodNotAllowed = http.HandlerFunc(s.methodNotAllowed)
-	router.PanicHandler = s.recovered
+	router.PanicHandler = s.recoverPanic
 	return router
 }
 
-// authorised checks the token before anything of the request is read.
-func (s *server) authorised(do handle) httprouter.Handle {
+// authorise checks the token before anything else of the request is read.
+func (s *server) authorise(next actorHandler) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		s.requests.Inc(1)
 		name, err := s.Authorizer.Authorize(r)
 		if err != nil {
 			s.refused.Inc(1)
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			fail(w, http.StatusUnauthorized, "the request needs a valid bearer token: Authorization: Bearer TOKEN")
+			respondError(w, http.StatusUnauthorized, "the request needs a valid bearer token: Authorization: Bearer TOKEN")
 			return
 		}
-		do(w, r, fmt.Sprintf("%s@%s", name, r.RemoteAddr))
+		next(w, r, fmt.Sprintf("%s@%s", name, r.RemoteAddr))
 	}
 }
 
 func (s *server) notFound(w http.ResponseWriter, _ *http.Request) {
-	fail(w, http.StatusNotFound, "no such path; there are /manifest, /status, /jobs, /audit and /metrics")
+	respondError(w, http.StatusNotFound, "no such path; there are /manifest, /status, /jobs, /audit and /metrics")
 }
 
 func (s *server) methodNotAllowed(w http.ResponseWriter, _ *http.Request) {
-	fail(w, http.StatusMethodNotAllowed, "the path does not take this method; allowed: "+w.Header().Get("Allow"))
+	respondError(w, http.StatusMethodNotAllowed, "the path does not take this method; allowed: "+w.Header().Get("Allow"))
 }
 
-// recovered answers for a handler that panicked; it may have proposed.
-func (s *server) recovered(w http.ResponseWriter, r *http.Request, cause any) {
+// recoverPanic responds in place of a handler that panicked. The handler may have
+// proposed a command, so the verdict is may-have-run.
+func (s *server) recoverPanic(w http.ResponseWriter, r *http.Request, cause any) {
 	s.panics.Inc(1)
 	s.Logger.WithFields(log.Fields{"path": r.URL.Path, "stack": string(debug.Stack())}).
 		Error(fmt.Sprintf("operator request panicked: %v", cause))
-	answer(w, http.StatusInternalServerError, model.MayHaveRun, Failure{Message: "internal error"})
+	respond(w, http.StatusInternalServerError, model.MayHaveRun, Failure{Message: "internal error"})
 }
 
-// newCommandID returns an ID that no other command has.
+// newCommandID returns a unique command ID.
 func newCommandID() model.CommandID { return model.CommandID(uuid.NewString()) }
 
-// waitParameter reads a duration of the query; 0 when it is absent.
+// waitParameter parses a duration from the query; 0 when it is absent.
 func waitParameter(r *http.Request, key string) (time.Duration, error) {
 	text := r.URL.Query().Get(key)
 	if text == "" {
@@ -150,14 +153,15 @@
 	return d, nil
 }
 
-// proposeFailure tells the outcome of a command that has no result.
-func proposeFailure(w http.ResponseWriter, err error) {
+// respondProposeError responds to a proposal that failed: either the command was
+// not proposed, or its outcome is unknown.
+func respondProposeError(w http.ResponseWriter, err error) {
 	if errors.Is(err, state.ErrNotProposed) {
 		w.Header().Set("Retry-After", fmt.Sprint(int(retryAfter.Seconds())))
-		fail(w, http.StatusServiceUnavailable, "the manifest was not handed to the control log, so nothing changed: "+err.Error())
+		respondError(w, http.StatusServiceUnavailable, "the manifest was not handed to the control log, so nothing changed: "+err.Error())
 		return
 	}
-	answer(w, http.StatusGatewayTimeout, model.MayHaveRun, Failure{
+	respond(w, http.StatusGatewayTimeout, model.MayHaveRun, Failure{
 		Message: "the outcome is unknown: the manifest may come into force or not. " +
 			"Sending the same file again is safe and tells what happened: " + err.Error(),
 	})
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -37,49 +37,50 @@
 	h := newHandler(newFakeLog(), "n7")
 	is.Equal(send(h, "GET", "/manifest", "").Code, http.StatusNotFound)
 
-	w := send(h, "PUT", "/manifest?wait=1ms", text(t, 1))
+	w := send(h, "PUT", "/manifest?wait=1ms", exampleManifest(t, 1))
 	is.Equal(w.Code, http.StatusOK)
 	is.Equal(verdict(w), "ran")
 	body := decode[ManifestAnswer](t, w)
 	is.Equal(body.Outcome, "accepted")
 	is.Equal(*body.InForce, false)
-	is.Equal(body.Behind, []model.NodeID{"n7"}) // names those that are not in force
+	is.Equal(body.Behind, []model.NodeID{"n7"}) // lists the VMs that have not applied it
 
 	w = send(h, "GET", "/manifest", "")
-	is.Equal(w.Body.String(), text(t, 1))
-	is.Equal(w.Header().Get(DigestHeader), manifest.Digest([]byte(text(t, 1))))
+	is.Equal(w.Body.String(), exampleManifest(t, 1))
+	is.Equal(w.Header().Get(DigestHeader), manifest.Digest([]byte(exampleManifest(t, 1))))
 	page := decode[audit.Page](t, send(h, "GET", "/audit", ""))
 	is.Equal(len(page.Records), 1)
 	is.True(strings.HasPrefix(page.Records[0].Actor, "pipeline@"))
 	is.Equal(send(h, "GET", "/metrics", "").Code, http.StatusOK)
 }
 
-// Symptom: two operators each believe that their manifest is in force.
-// Sequence: both send revision 2 with different texts at the same time, and
-// each sends again. Cause: a revision that is not decided in the log.
+// Several operators send different manifests with the same revision at the same
+// time, and the one that was accepted sends it again. The log must decide for
+// one of them; otherwise two operators would each believe that their manifest is
+// in force.
 func TestOperatorsRaceWithOneRevision(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	h := newHandler(l)
-	const rivals = 8
-	answers := make([]*httptest.ResponseRecorder, rivals)
+	const operators = 8
+	responses := make([]*httptest.ResponseRecorder, operators)
 	var wg conc.WaitGroup
-	for i := range rivals {
+	for i := range operators {
 		wg.Go(func() {
-			own := text(t, 2) + fmt.Sprintf("\n# by operator %d\n", i)
-			answers[i] = send(h, "PUT", "/manifest", own)
-			if answers[i].Code == http.StatusOK {
-				answers[i] = send(h, "PUT", "/manifest", own)
+			own := exampleManifest(t, 2) + fmt.Sprintf("\n# by operator %d\n", i)
+			responses[i] = send(h, "PUT", "/manifest", own)
+			if responses[i].Code == http.StatusOK {
+				responses[i] = send(h, "PUT", "/manifest", own)
 			}
 		})
 	}
 	wg.Wait()
-	won := 0
-	for _, w := range answers {
+	accepted := 0
+	for _, w := range responses {
 		body := decode[ManifestAnswer](t, w)
-		is.Equal(body.Digest, l.View().ManifestDigest) // everybody learns the winner
+		is.Equal(body.Digest, l.View().ManifestDigest) // every response names the manifest in force
 		if w.Code == http.StatusOK {
-			won++
+			accepted++
 			is.Equal(body.Outcome, "already")
 			continue
 		}
@@ -87,30 +88,30 @@
 		is.Equal(body.Outcome, "conflict")
 		is.Equal(verdict(w), "not-run")
 	}
-	is.Equal(won, 1)
+	is.Equal(accepted, 1)
 	is.Equal(l.Violations(), nil)
 }
 
-// Symptom: an operator whose answer was lost is told that the manifest was
-// refused. Sequence: the answer is lost after the commit, a later revision is
-// accepted, the operator sends again. Cause: only the manifest in force known.
-func TestResendAfterLostAnswer(t *testing.T) {
+// The response to an accepted manifest is lost, a later revision is accepted, and
+// the operator sends the first one again. It must be reported as accepted before,
+// which fails when only the manifest in force is remembered.
+func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	h := newHandler(l)
-	l.after = fmt.Errorf("connection reset: %w", state.ErrOutcomeUnknown)
-	w := send(h, "PUT", "/manifest", text(t, 1))
+	l.errAfterApply = fmt.Errorf("connection reset: %w", state.ErrOutcomeUnknown)
+	w := send(h, "PUT", "/manifest", exampleManifest(t, 1))
 	is.Equal(w.Code, http.StatusGatewayTimeout)
 	is.Equal(verdict(w), "may-have-run")
 	is.True(strings.Contains(decode[Failure](t, w).Message, "again is safe"))
 
-	l.after = nil
-	is.Equal(decode[ManifestAnswer](t, send(h, "PUT", "/manifest", text(t, 1))).Outcome, "already")
-	is.Equal(send(h, "PUT", "/manifest", text(t, 3)).Code, http.StatusOK)
-	again := decode[ManifestAnswer](t, send(h, "PUT", "/manifest", text(t, 1)))
+	l.errAfterApply = nil
+	is.Equal(decode[ManifestAnswer](t, send(h, "PUT", "/manifest", exampleManifest(t, 1))).Outcome, "already")
+	is.Equal(send(h, "PUT", "/manifest", exampleManifest(t, 3)).Code, http.StatusOK)
+	again := decode[ManifestAnswer](t, send(h, "PUT", "/manifest", exampleManifest(t, 1)))
 	is.Equal(again.Outcome, "already")
-	is.Equal(again.Revision, uint64(3)) // and names what replaced it
-	w = send(h, "PUT", "/manifest", text(t, 2))
+	is.Equal(again.Revision, uint64(3)) // the revision that replaced it
+	w = send(h, "PUT", "/manifest", exampleManifest(t, 2))
 	is.Equal(w.Code, http.StatusConflict)
 	is.Equal(decode[ManifestAnswer](t, w).Outcome, "stale")
 }
@@ -119,25 +120,25 @@
 	is := is.New(t)
 	l := newFakeLog()
 	h := newHandler(l)
-	is.Equal(send(h, "PUT", "/manifest", text(t, 1)).Code, http.StatusOK)
+	is.Equal(send(h, "PUT", "/manifest", exampleManifest(t, 1)).Code, http.StatusOK)
 	before := l.View().Digest
 
-	l.before = state.ErrNotProposed
-	w := send(h, "PUT", "/manifest", text(t, 2))
+	l.errBeforeApply = state.ErrNotProposed
+	w := send(h, "PUT", "/manifest", exampleManifest(t, 2))
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get("Retry-After"), "2")
 	is.Equal(verdict(w), "not-run")
-	l.before = nil
+	l.errBeforeApply = nil
 
 	cases := []struct {
 		method, target, body string
 		status               int
 	}{
 		{"PUT", "/manifest", "revision = 2", 400},
-		{"PUT", "/manifest", strings.Replace(text(t, 2), "port-klang", "kapljica", 1), 400},
+		{"PUT", "/manifest", strings.Replace(exampleManifest(t, 2), "port-klang", "kapljica", 1), 400},
 		{"PUT", "/manifest", strings.Repeat("#", 2<<20), 413},
-		{"PUT", "/manifest?wait=10", text(t, 2), 400},
-		{"PUT", "/manifest?wait=1h", text(t, 2), 400},
+		{"PUT", "/manifest?wait=10", exampleManifest(t, 2), 400},
+		{"PUT", "/manifest?wait=1h", exampleManifest(t, 2), 400},
 		{"POST", "/manifest", "", 405},
 		{"GET", "/audit?from=-1", "", 400},
 		{"GET", "/audit?limit=0", "", 400},
@@ -151,7 +152,7 @@
 		is.True(decode[Failure](t, w).Message != "")
 	}
 	w = httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest("PUT", "/manifest", strings.NewReader(text(t, 2))))
+	h.ServeHTTP(w, httptest.NewRequest("PUT", "/manifest", strings.NewReader(exampleManifest(t, 2))))
 	is.Equal(w.Code, http.StatusUnauthorized)
 	is.Equal(l.View().Digest, before)
 }
@@ -163,11 +164,11 @@
 	var wg conc.WaitGroup
 	var page audit.Page
 	wg.Go(func() { page = decode[audit.Page](t, send(h, "GET", "/audit?from=1&follow=60s", "")) })
-	is.Equal(send(h, "PUT", "/manifest", text(t, 1)).Code, http.StatusOK)
+	is.Equal(send(h, "PUT", "/manifest", exampleManifest(t, 1)).Code, http.StatusOK)
 	wg.Wait()
 	is.Equal(len(page.Records), 1)
 	is.Equal(page.Next, uint64(2))
-	// A caller that goes away ends the wait.
+	// A client that disconnects ends the wait.
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	r := httptest.NewRequest("GET", "/audit?from=2&follow=60s", nil).WithContext(ctx)
@@ -175,12 +176,12 @@
 	h.ServeHTTP(httptest.NewRecorder(), r)
 }
 
-func TestStatusTellsWhy(t *testing.T) {
+func TestStatusGivesReasons(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	h := newHandler(l)
 	is.Equal(send(h, "GET", "/status", "").Code, http.StatusOK) // before the first manifest
-	send(h, "PUT", "/manifest", text(t, 1))
+	send(h, "PUT", "/manifest", exampleManifest(t, 1))
 	_, err := l.Propose(t.Context(), state.Command{ID: "p", Term: 1, At: 5, Plan: &state.Plan{Actions: []state.Action{
 		{Reason: "pool berths is below min_vms", BeginMove: &state.BeginMove{VM: "v1", Target: "berths"}},
 		{BeginMove: &state.BeginMove{VM: "v2"}},
@@ -207,11 +208,11 @@
 	is.Equal(decode[JobList](t, send(h, "GET", "/jobs?team=planners", "")).Total, 0)
 }
 
-// Any body is answered with a verdict, and changes something only when the
-// answer says so.
+// Any body gets a response with a verdict, and changes the manifest in force only
+// when the response reports success.
 func FuzzPutManifest(f *testing.F) {
 	f.Add([]byte("[site]\nname = port-klang\nrevision = 1\n"))
-	f.Add([]byte(text(f, 1)))
+	f.Add([]byte(exampleManifest(f, 1)))
 	l := newFakeLog()
 	h := newHandler(l)
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -226,7 +227,7 @@
 	})
 }
 
-// The queries of GET /audit are numbers and durations within their bounds.
+// Accepted queries of GET /audit hold numbers and durations within their bounds.
 func FuzzAuditQuery(f *testing.F) {
 	f.Add("from=1&limit=2&follow=1s")
 	f.Fuzz(func(t *testing.T, query string) {
@@ -239,12 +240,11 @@
 	})
 }
 
-// Symptom: a VM is shown ready with revision 3 after it was seen with 4.
-// Sequence: it lost its disk and catches up; the tables are read for a status,
-// then revision 4 is applied and the VM becomes ready, then the status asks
-// whether it is. Cause: the two parts of the status are of two moments, the
-// promise of the later one.
-func TestStatusOfAVMThatCatchesUp(t *testing.T) {
+// A VM that lost its disk catches up while a status is built: revision 4 is
+// applied and the VM becomes ready after the tables were read but before its
+// readiness is. The status would then show the VM ready with revision 3 after it
+// was seen with 4, so readiness must be read first.
+func TestStatusDuringCatchUp(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	apply := func(revision uint64) {
@@ -263,7 +263,7 @@
 		apply(4)
 		return []NodeStatus{{Node: "n1", Ready: true}}
 	}
-	h := New(Config{Site: "port-klang", Log: l, Authorizer: fakeTokens{}, Sources: Sources{Nodes: ready}, Clock: time.Now})
+	h := New(Config{Site: "port-klang", Log: l, Authorizer: fakeAuthorizer{}, Sources: Sources{Nodes: ready}, Clock: time.Now})
 	status := decode[Status](t, send(h, "GET", "/status", ""))
 	is.True(status.Nodes[0].Ready)
 	is.Equal(status.Revision, uint64(4))
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -8,14 +8,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Status is the answer to GET /status: the replicated tables as of Index, and
-// what this VM and the controller know besides.
+// Status is the body of the response to GET /status: the replicated tables as of
+// Index, completed by data of this VM and of the controller.
 type Status struct {
 	Site string `json:"site"`
 	// Revision and Digest are those of the manifest in force at this VM.
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest,omitempty"`
-	// Index is the last index applied here, StateDigest that of the tables.
+	// Index is the last index applied here, StateDigest the digest of the tables.
 	Index       uint64         `json:"index"`
 	StateDigest string         `json:"state_digest"`
 	Leader      model.NodeID   `json:"leader,omitempty"`
@@ -26,10 +26,10 @@
 	Budgets     []BudgetStatus `json:"budgets"`
 	Waves       []WaveStatus   `json:"waves"`
 	Jobs        JobsStatus     `json:"jobs"`
-	// Checks are the invariants that do not hold; none in a sound system.
+	// Checks are the violated invariants; none in a correct system.
 	Checks []state.Violation `json:"checks_broken"`
-	// Measures are the users' three measures, by name, when the controller
-	// runs here.
+	// Measures holds the users' three measures by name, when the controller runs
+	// here.
 	Measures map[string]float64 `json:"measures,omitempty"`
 }
 
@@ -50,7 +50,8 @@
 	Pool model.PoolID `json:"pool"`
 	Min  int          `json:"min_vms"`
 	Max  int          `json:"max_vms"`
-	// VMs serve the pool, Leaving and Arriving are on the move.
+	// VMs counts those that serve the pool; Leaving and Arriving count those that
+	// are moving out of and into it.
 	VMs         int `json:"vms"`
 	Leaving     int `json:"leaving"`
 	Arriving    int `json:"arriving"`
@@ -59,7 +60,7 @@
 	Tasks       int `json:"tasks"`
 }
 
-// VMStatus tells why a VM is where it is.
+// VMStatus describes one VM and why it is in its pool.
 type VMStatus struct {
 	VM         model.VMID   `json:"vm"`
 	Pool       model.PoolID `json:"pool"`
@@ -72,22 +73,24 @@
 	Phase      string       `json:"phase,omitempty"`
 	Quarantine string       `json:"quarantine,omitempty"`
 	Tasks      int          `json:"tasks"`
-	// Health, Zone and Rack are known where the controller runs.
+	// Health, Zone and Rack are set only where the controller runs.
 	Health string       `json:"health,omitempty"`
 	Zone   model.ZoneID `json:"availability_zone,omitempty"`
 	Rack   model.RackID `json:"rack,omitempty"`
 }
 
-// BudgetStatus is the account of one availability budget.
+// BudgetStatus describes one availability budget.
 type BudgetStatus struct {
 	Service   model.ServiceID `json:"service"`
 	Pool      model.PoolID    `json:"pool"`
 	Instances int             `json:"instances"`
 	Least     int             `json:"min_available"`
 	Available int             `json:"available"`
-	// Reserve is what the worst next failure would take.
+	// Reserve is the number of instances that the worst next failure would make
+	// unavailable.
 	Reserve int `json:"reserve"`
-	// Left may still be made unavailable on purpose.
+	// Left is the number of instances that may still be made unavailable on
+	// purpose.
 	Left int    `json:"left"`
 	Why  string `json:"why"`
 }
@@ -100,7 +103,8 @@
 	State string `json:"state"`
 	VMs   int    `json:"vms"`
 	Done  int    `json:"done"`
-	// Underway are under maintenance now, Waiting are still to come.
+	// Underway counts the VMs under maintenance now, Waiting those that are still
+	// to be maintained.
 	Underway int `json:"under_way"`
 	Waiting  int `json:"waiting"`
 	// End is estimated from the VMs done so far; nil when none is.
@@ -108,14 +112,15 @@
 	Why string     `json:"why,omitempty"`
 }
 
-// JobsStatus counts the jobs and tells why some wait.
+// JobsStatus counts the jobs by state and lists waiting ones with their reasons.
 type JobsStatus struct {
 	Counts map[string]int `json:"counts"`
-	// Waiting holds the oldest waiting jobs, urgent ones first.
+	// Waiting holds at most maxWaiting waiting jobs, urgent ones first and then by
+	// age.
 	Waiting []JobStatus `json:"waiting"`
 }
 
-// JobStatus is one job.
+// JobStatus describes one job.
 type JobStatus struct {
 	Job       model.JobID  `json:"job"`
 	Team      model.TeamID `json:"team"`
@@ -129,29 +134,29 @@
 	Moves     int          `json:"moves"`
 }
 
-// Sources adds what the replicated tables don't hold. A nil member leaves its
-// part as the tables show it.
+// Sources provides data that the replicated tables don't hold. Where a field is
+// nil, the status holds only what the tables provide.
 type Sources struct {
 	// Nodes lists the processes of the site.
 	Nodes func() []NodeStatus
-	// VMs returns what the platform said about each VM.
+	// VMs returns each VM as the platform last reported it.
 	VMs func() map[model.VMID]*model.VM
-	// Budgets accounts for the budgets with health and next failures; nil
-	// where the controller does not run.
+	// Budgets returns the budgets with health and the next failure taken into
+	// account; nil where the controller does not run.
 	Budgets func() []BudgetStatus
-	// Waves says why a wave does not go on, by wave.
+	// Waves returns the reason why a wave does not make progress, by wave.
 	Waves func() map[model.WaveID]string
-	// Checks returns the invariants that broke in this process.
+	// Checks returns the invariants that were violated in this process.
 	Checks func() []state.Violation
 	// Measures returns the users' measures by name.
 	Measures func() map[string]float64
 }
 
-// status describes this process. How the processes stand is asked before the
-// tables are read: "ready" promises that the tables hold what a quorum
-// confirmed, so tables that were read earlier may be older than the promise.
-// One notices by a VM that is shown ready with an older revision than it was
-// seen with before, while it catches up with the log after a restart.
+// status returns the status of this process. The state of the processes is read
+// before the tables: "ready" guarantees that the tables hold what a quorum
+// confirmed, which would not be true of tables read earlier. In the other order
+// a VM that catches up with the log after a restart would be shown ready with an
+// older revision than it was seen with before.
 func (s *server) status() Status {
 	var nodes []NodeStatus
 	if s.Sources.Nodes != nil {
@@ -166,10 +171,10 @@
 func (s *server) getStatus(w http.ResponseWriter, r *http.Request, _ string) {
 	status := s.status()
 	if r.URL.Query().Get("format") != "text" {
-		answer(w, http.StatusOK, model.Ran, status)
+		respond(w, http.StatusOK, model.Ran, status)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set(model.VerdictHeader, model.Ran.String())
-	_ = WriteText(w, status) // the peer that went away has no other answer
+	_ = WriteText(w, status) // fails only when the peer has disconnected
 }
--- a/internal/operator/text.go
+++ b/internal/operator/text.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// table writes rows with aligned columns and keeps the first error.
+// table writes rows with aligned columns; flushing it returns the first error.
 type table struct{ out *tabwriter.Writer }
 
 func (t table) row(cells ...any) {
@@ -17,7 +17,7 @@
 	_, _ = fmt.Fprintln(t.out)
 }
 
-// WriteText writes a status as tables for people.
+// WriteText writes a status as human-readable tables.
 func WriteText(w io.Writer, s Status) error {
 	t := table{tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
 	t.row("site", s.Site, "revision", s.Revision, "index", s.Index, "leader", s.Leader, "term", s.Term)
@@ -36,8 +36,8 @@
 	if len(s.Checks) == 0 {
 		t.row("checks", "all hold")
 	}
-	for _, b := range s.Checks {
-		t.row("BROKEN", b.Invariant, b.Detail)
+	for _, v := range s.Checks {
+		t.row("BROKEN", v.Invariant, v.Detail)
 	}
 }
 
@@ -56,7 +56,7 @@
 	t.row()
 	t.row("POOL", "MIN", "MAX", "VMS", "LEAVING", "ARRIVING", "MAINTENANCE", "QUARANTINE", "TASKS")
 	for _, p := range s.Pools {
-		t.row(where(p.Pool), p.Min, p.Max, p.VMs, p.Leaving, p.Arriving, p.Maintenance, p.Quarantined, p.Tasks)
+		t.row(poolLabel(p.Pool), p.Min, p.Max, p.VMs, p.Leaving, p.Arriving, p.Maintenance, p.Quarantined, p.Tasks)
 	}
 }
 
@@ -95,6 +95,6 @@
 	t.row()
 	t.row("VM", "POOL", "HEALTH", "MAINTENANCE", "TASKS", "WHY HERE")
 	for _, v := range s.VMs {
-		t.row(v.VM, moveWords(v), v.Health, v.Phase, v.Tasks, v.Why)
+		t.row(v.VM, locationLabel(v), v.Health, v.Phase, v.Tasks, v.Why)
 	}
 }
