--- a/internal/manifest/check.go
+++ b/internal/manifest/check.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// checker checks what holds between sections: references, sizes and whether
-// the availability budgets can be kept at all.
+// checker checks the rules across sections: references, sizes and whether the
+// availability budgets can be met at all.
 type checker struct {
 	parser *parser
 	pools  map[model.PoolID]*model.Pool
@@ -23,7 +23,7 @@
 	for i := range site.Services {
 		c.checkService(&site.Services[i], c.parser.services[i])
 	}
-	c.checkTotals(site)
+	c.checkPoolTotals(site)
 	for i := range site.Waves {
 		c.checkWave(&site.Waves[i], c.parser.waves[i])
 	}
@@ -56,44 +56,45 @@
 		return
 	}
 	c.checkSize(service, pool, s)
-	c.checkRoom(service, pool, s)
+	c.checkInstancesFit(service, pool, s)
 	c.checkBudget(service, pool, s)
 	if service.Connections < service.Slots {
 		s.report("connections", "is %d; allowed: at least slots, which is %d", service.Connections, service.Slots)
 	}
 }
 
-// checkSize: one instance must fit one VM.
+// checkSize checks that one instance fits one VM.
 func (c *checker) checkSize(service *model.Service, pool *model.Pool, s section) {
-	over := func(key string, fits bool, size, shape string) {
+	checkFits := func(key string, fits bool, size, shape string) {
 		if !fits {
 			s.report(key, "is %s; allowed: at most what a VM of pool %s offers, which is %s", size, pool.ID, shape)
 		}
 	}
 	size, shape := service.Size, pool.Shape
-	over("processors", size.MilliCPU <= shape.MilliCPU,
+	checkFits("processors", size.MilliCPU <= shape.MilliCPU,
 		formatProcessors(size.MilliCPU), formatProcessors(shape.MilliCPU))
-	over("memory", size.MemoryMB <= shape.MemoryMB, formatMemory(size.MemoryMB), formatMemory(shape.MemoryMB))
-	over("accelerators", size.Accelerators <= shape.Accelerators,
+	checkFits("memory", size.MemoryMB <= shape.MemoryMB, formatMemory(size.MemoryMB), formatMemory(shape.MemoryMB))
+	checkFits("accelerators", size.Accelerators <= shape.Accelerators,
 		fmt.Sprint(size.Accelerators), fmt.Sprint(shape.Accelerators))
 }
 
-// checkRoom: the instances must fit the pool's most VMs, whole instances on
-// each VM.
-func (c *checker) checkRoom(service *model.Service, pool *model.Pool, s section) {
-	room := roomOn(pool.Shape, service.Size)
-	if room == 0 || room*pool.MaxVMs >= service.Instances {
+// checkInstancesFit checks that the instances fit on max_vms VMs of the pool, with
+// whole instances on each VM.
+func (c *checker) checkInstancesFit(service *model.Service, pool *model.Pool, s section) {
+	perVM := instancesPerVM(pool.Shape, service.Size)
+	if perVM == 0 || perVM*pool.MaxVMs >= service.Instances {
 		return
 	}
 	s.report("instances", "is %d; allowed: at most %d, since one VM of pool %s holds %d of them and max_vms is %d",
-		service.Instances, room*pool.MaxVMs, pool.ID, room, pool.MaxVMs)
+		service.Instances, perVM*pool.MaxVMs, pool.ID, perVM, pool.MaxVMs)
 }
 
-// checkBudget: a VM must be drainable while nothing fails. Instances spread
-// evenly over the least number of VMs; the fullest VM holds the most of them.
-// A budget that forbids to drain it would stop every wave for ever.
+// checkBudget checks that any VM can be drained while nothing has failed. The
+// instances spread evenly over the smallest number of VMs, and the fullest of
+// these holds the most. A budget that forbids draining it would stop every wave
+// forever.
 func (c *checker) checkBudget(service *model.Service, pool *model.Pool, s section) {
-	vms := leastVMs(service, pool)
+	vms := fewestVMs(service, pool)
 	if vms == 0 {
 		return
 	}
@@ -113,55 +114,56 @@
 		service.Instances, fullest, left, service.MinAvailable, left)
 }
 
-// leastVMs returns on how few VMs the instances may stand: min_vms, or more
-// when so many do not fit on them. It is 0 when an instance fits no VM, which
-// is reported by itself.
-func leastVMs(service *model.Service, pool *model.Pool) int {
-	room := roomOn(pool.Shape, service.Size)
-	if room == 0 {
+// fewestVMs returns the smallest number of VMs on which the instances may run:
+// min_vms, or more when the instances don't fit on these. It is 0 when an instance
+// fits no VM, which checkSize reports.
+func fewestVMs(service *model.Service, pool *model.Pool) int {
+	perVM := instancesPerVM(pool.Shape, service.Size)
+	if perVM == 0 {
 		return 0
 	}
-	return max(pool.MinVMs, ceilDiv(service.Instances, room))
+	return max(pool.MinVMs, ceilDiv(service.Instances, perVM))
 }
 
-// roomOn returns how many instances of a size one VM holds.
-func roomOn(shape, size model.Resources) int {
-	room := int64(MaxInstances)
+// instancesPerVM returns how many instances of a size fit on one VM.
+func instancesPerVM(shape, size model.Resources) int {
+	count := int64(MaxInstances)
 	for _, pair := range [][2]int64{
 		{shape.MilliCPU, size.MilliCPU},
 		{shape.MemoryMB, size.MemoryMB},
 		{shape.Accelerators, size.Accelerators},
 	} {
 		if pair[1] > 0 {
-			room = min(room, pair[0]/pair[1])
+			count = min(count, pair[0]/pair[1])
 		}
 	}
-	return int(max(room, 0))
+	return int(max(count, 0))
 }
 
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
-// checkTotals: all instances of a pool's services must fit its most VMs.
-func (c *checker) checkTotals(site *model.Site) {
+// checkPoolTotals checks that all instances of a pool's services fit on max_vms
+// VMs.
+func (c *checker) checkPoolTotals(site *model.Site) {
 	for i := range site.Pools {
 		pool := &site.Pools[i]
-		var need model.Resources
+		var required model.Resources
 		for j := range site.Services {
 			if service := &site.Services[j]; service.Pool == pool.ID {
-				need = need.Plus(times(service.Size, service.Instances))
+				required = required.Plus(multiply(service.Size, service.Instances))
 			}
 		}
-		c.checkTotal(pool, need, c.parser.pools[i])
+		c.checkPoolTotal(pool, required, c.parser.pools[i])
 	}
 }
 
-func (c *checker) checkTotal(pool *model.Pool, need model.Resources, s section) {
-	offer := times(pool.Shape, pool.MaxVMs)
-	if need.Fits(offer) {
+func (c *checker) checkPoolTotal(pool *model.Pool, required model.Resources, s section) {
+	capacity := multiply(pool.Shape, pool.MaxVMs)
+	if required.Fits(capacity) {
 		return
 	}
 	s.report("max_vms", "is too small: the instances of the pool's services need %s, and %d VMs of %s offer %s; "+
-		"allowed: enough VMs for all instances", describe(need), pool.MaxVMs, describe(pool.Shape), describe(offer))
+		"allowed: enough VMs for all instances", formatResources(required), pool.MaxVMs, formatResources(pool.Shape), formatResources(capacity))
 }
 
 func (c *checker) checkWave(wave *model.Wave, s section) {
@@ -172,7 +174,7 @@
 	}
 }
 
-func times(r model.Resources, n int) model.Resources {
+func multiply(r model.Resources, n int) model.Resources {
 	return model.Resources{
 		MilliCPU:     r.MilliCPU * int64(n),
 		MemoryMB:     r.MemoryMB * int64(n),
@@ -180,7 +182,7 @@
 	}
 }
 
-func describe(r model.Resources) string {
+func formatResources(r model.Resources) string {
 	return fmt.Sprintf("%s cores, %s, %d accelerators",
 		formatProcessors(r.MilliCPU), formatMemory(r.MemoryMB), r.Accelerators)
 }
--- a/internal/manifest/keys.go
+++ b/internal/manifest/keys.go
@@ -7,7 +7,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/inifile"
 )
 
-// Unit says how the text of a key is read.
+// Unit is the syntax and unit of a key's value.
 type Unit string
 
 // The units of keys.
@@ -28,11 +28,11 @@
 	UnitProcessors Unit = "processors"
 	// UnitPriority is urgent, normal or batch.
 	UnitPriority Unit = "priority"
-	// UnitWindows is a list of daily spans in UTC, such as 06:00-10:00.
+	// UnitWindows is a list of daily time spans in UTC, such as 06:00-10:00.
 	UnitWindows Unit = "windows"
-	// UnitRoutes is a list of method and path prefix, such as POST /plans.
+	// UnitRoutes is a list of methods with path prefixes, such as POST /plans.
 	UnitRoutes Unit = "routes"
-	// UnitTime is a time by RFC 3339.
+	// UnitTime is a time in RFC 3339 format.
 	UnitTime Unit = "time"
 )
 
@@ -48,21 +48,23 @@
 
 // Key describes one key of the manifest.
 type Key struct {
-	// Section is the kind of section, without the name.
+	// Section is the kind of section, without its name.
 	Section string
 	Name    string
 	Unit    Unit
-	// Default is in force when the key is absent; inifile.Required for none.
+	// Default applies when the key is absent; inifile.Required marks a key without
+	// a default.
 	Default string
 	// Low and High bound the value in the base unit: a count, nanoseconds,
-	// bytes or thousandths of a core. They mean nothing to other units.
+	// bytes or thousandths of a core. Other units ignore them.
 	Low, High int64
 	Meaning   string
 }
 
-// The bounds of numbers, in the unit of the name.
+// The bounds of values, in the unit that the name gives.
 const (
-	// MaxRevision is the largest number that survives a reader with floats.
+	// MaxRevision is the largest revision that a JSON parser which stores numbers
+	// as 64-bit floats reads exactly.
 	MaxRevision = 1 << 53
 	// MaxVMs bounds the VMs of one pool, and the sum of all pools' minimums.
 	MaxVMs = 20_000
@@ -71,7 +73,7 @@
 	// MaxSlots and MaxConnections bound one instance.
 	MaxSlots       = 1_024
 	MaxConnections = 65_536
-	// MaxQueue bounds the requests of one service that wait.
+	// MaxQueue bounds the queued requests of one service.
 	MaxQueue = 100_000
 	// MaxTeamJobs and MaxTeamRequests bound a team's quotas.
 	MaxTeamJobs     = 50_000
@@ -84,18 +86,19 @@
 	MaxQuotaMilliCPU     = MaxVMs * int64(MaxMilliCPU)
 	MaxQuotaMemory       = 1_000_000 * int64(1e12)
 	MaxQuotaAccelerators = MaxVMs * MaxAccelerators
-	// MinMemory is the least memory, in bytes; memory is counted in MB.
+	// MinMemory is the smallest memory size, in bytes; memory is counted in MB.
 	MinMemory = int64(1e6)
 	// MaxSections bounds the sections of one kind.
 	MaxSections = 1_000
-	// MinTimeout and MaxTimeout bound the time of a request.
+	// MinTimeout and MaxTimeout bound the timeout of a request.
 	MinTimeout = 10 * time.Millisecond
 	MaxTimeout = time.Hour
-	// MaxSoak bounds the time a VM soaks after a reboot.
+	// MaxSoak bounds how long a VM must be healthy after a reboot before it counts
+	// as available.
 	MaxSoak = 24 * time.Hour
 )
 
-// keys is the table, in the order in which the sections stand in a file.
+// keys is the table of all keys, in the order of the sections in a file.
 var keys = []Key{
 	{sectionSite, "name", UnitName, inifile.Required, 0, 0, "the site; must equal [node] site in every VM's settings"},
 	{sectionSite, "revision", UnitCount, inifile.Required, 1, MaxRevision, "number of the pipeline's run; it only grows"},
@@ -144,7 +147,7 @@
 // Required reports whether the key must be present.
 func (k Key) Required() bool { return k.Default == inifile.Required }
 
-// Bounds returns what is allowed, in words.
+// Bounds describes the allowed values as text.
 func (k Key) Bounds() string {
 	switch k.Unit {
 	case UnitName, UnitNames:
@@ -170,8 +173,9 @@
 	}
 }
 
-// lookup returns the key of a section. Both are constants of this package.
-func lookup(section, name string) Key {
+// lookupKey returns the key of a section. It panics for an unknown one, since
+// section and name are constants of this package.
+func lookupKey(section, name string) Key {
 	for _, k := range keys {
 		if k.Section == section && k.Name == name {
 			return k
--- a/internal/manifest/parse.go
+++ b/internal/manifest/parse.go
@@ -20,11 +20,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse reads a manifest. It returns the site, or every problem of the file,
-// sorted, and no site. The name file stands in the problems only.
+// Parse parses a manifest. It returns either the site or all problems of the
+// text, sorted. The file name is used only in the problems.
 func Parse(file string, text []byte) (*model.Site, []Problem) {
 	p := &parser{file: inifile.Load(file, text)}
-	if problems := p.file.Problems(); unreadable(problems) {
+	if problems := p.file.Problems(); isUnreadable(problems) {
 		return nil, problems
 	}
 	site := p.site()
@@ -38,9 +38,9 @@
 	return nil, slices.Compact(problems)
 }
 
-// unreadable reports that the text is not an INI file at all, so that no key
-// could be read and further problems would only mislead.
-func unreadable(problems []Problem) bool {
+// isUnreadable reports whether the text is not an INI file at all. Then no key
+// could be read, and further problems would only mislead.
+func isUnreadable(problems []Problem) bool {
 	return len(problems) == 1 && problems[0].Section == "" && problems[0].Key == ""
 }
 
@@ -52,21 +52,21 @@
 	)
 }
 
-// parser reads the sections of a file into a site.
+// parser converts the sections of a file into a site.
 type parser struct {
 	file *inifile.File
-	// services and others keep the sections by name, for the checks across
-	// sections to report at the right place.
+	// pools, services and waves hold the sections in the order of the site's
+	// lists, so that checks across sections report at the right section.
 	pools    []section
 	services []section
 	waves    []section
 }
 
 func (p *parser) site() *model.Site {
-	head := section{p.file.Section(sectionSite), sectionSite}
+	s := section{p.file.Section(sectionSite), sectionSite}
 	return &model.Site{
-		Name:     head.name("name"),
-		Revision: uint64(head.count("revision")),
+		Name:     s.name("name"),
+		Revision: uint64(s.count("revision")),
 		Policy:   p.policy(),
 		Pools:    p.readPools(),
 		Services: p.readServices(),
@@ -75,8 +75,9 @@
 	}
 }
 
-// named returns the sections of a kind, sorted by name, after checking names.
-func (p *parser) named(kind string) []section {
+// namedSections returns the sections of a kind, sorted by name, and checks their
+// names.
+func (p *parser) namedSections(kind string) []section {
 	var sections []section
 	last := ""
 	for _, ini := range p.file.Named(kind) {
@@ -103,7 +104,7 @@
 }
 
 func (p *parser) readPools() []model.Pool {
-	p.pools = p.named(sectionPool)
+	p.pools = p.namedSections(sectionPool)
 	pools := make([]model.Pool, 0, len(p.pools))
 	for _, s := range p.pools {
 		pools = append(pools, model.Pool{
@@ -119,7 +120,7 @@
 }
 
 func (p *parser) readServices() []model.Service {
-	p.services = p.named(sectionService)
+	p.services = p.namedSections(sectionService)
 	services := make([]model.Service, 0, len(p.services))
 	for _, s := range p.services {
 		instances := int(s.count("instances"))
@@ -140,31 +141,31 @@
 	return services
 }
 
-// minAvailable reads the availability budget from the one of its two keys
-// that is present.
+// minAvailable returns the availability budget from whichever of its two keys is
+// present.
 func (s section) minAvailable(instances int) int {
-	least := int(s.count("min_available"))
-	most := int(s.count("max_unavailable"))
+	minAvailable := int(s.count("min_available"))
+	maxUnavailable := int(s.count("max_unavailable"))
 	switch {
 	case s.ini.Has("min_available") && s.ini.Has("max_unavailable"):
 		s.report("max_unavailable", "stands beside min_available; allowed: one of the two")
 	case s.ini.Has("max_unavailable"):
-		if most > instances {
-			s.report("max_unavailable", "is %d; allowed: at most instances, which is %d", most, instances)
+		if maxUnavailable > instances {
+			s.report("max_unavailable", "is %d; allowed: at most instances, which is %d", maxUnavailable, instances)
 		}
-		return instances - most
+		return instances - maxUnavailable
 	case s.ini.Has("min_available"):
-		if least > instances {
-			s.report("min_available", "is %d; allowed: at most instances, which is %d", least, instances)
+		if minAvailable > instances {
+			s.report("min_available", "is %d; allowed: at most instances, which is %d", minAvailable, instances)
 		}
 	default:
 		s.report("min_available", "is missing; allowed: min_available or max_unavailable")
 	}
-	return least
+	return minAvailable
 }
 
 func (p *parser) readTeams() []model.Team {
-	sections := p.named(sectionTeam)
+	sections := p.namedSections(sectionTeam)
 	teams := make([]model.Team, 0, len(sections))
 	for _, s := range sections {
 		teams = append(teams, model.Team{
@@ -178,7 +179,7 @@
 }
 
 func (p *parser) readWaves() []model.Wave {
-	p.waves = p.named(sectionWave)
+	p.waves = p.namedSections(sectionWave)
 	waves := make([]model.Wave, 0, len(p.waves))
 	for _, s := range p.waves {
 		waves = append(waves, model.Wave{
@@ -192,7 +193,7 @@
 	return waves
 }
 
-// convert types the names of a list; nil stays nil.
+// convert converts a list of names to type T; nil stays nil.
 func convert[T ~string](names []string) []T {
 	var typed []T
 	for _, name := range names {
--- a/internal/manifest/parse_test.go
+++ b/internal/manifest/parse_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// Symptom: a bad manifest is accepted in part, or the operator mends one
-// mistake a run. Sequence: the example with one line changed. Cause: a rule
-// that is not checked, or a check that ends at the first problem.
-func TestBadInputNamesPlaceAndWhatIsAllowed(t *testing.T) {
+// Changes one line of the example in each case and expects a problem at the right
+// section and key. It fails when a rule is not checked, or when the checks end at
+// the first problem, so that an operator could mend only one mistake per run.
+func TestProblemsNamePlaceAndAllowedValues(t *testing.T) {
 	cases := []struct{ from, to, section, key, message string }{
 		{"revision = 1", "revision = one", "site", "revision", "whole number"},
 		{"revision = 1", "revision = 0", "site", "revision", "from 1"},
@@ -72,7 +72,7 @@
 	for _, c := range cases {
 		t.Run(c.to, func(t *testing.T) {
 			is := is.New(t)
-			is.True(strings.Contains(text, c.from)) // the case changes something
+			is.True(strings.Contains(text, c.from)) // otherwise the case would change nothing
 			site, problems := Parse("site.ini", []byte(strings.Replace(text, c.from, c.to, 1)))
 			is.True(site == nil)
 			found := slices.ContainsFunc(problems, func(p Problem) bool {
@@ -96,7 +96,7 @@
 	is.Equal(len(problems), 3)
 }
 
-// The longest prefix decides, whatever the order within the file.
+// The longest matching prefix applies, independent of the order in the file.
 func TestRoutesAreOrdered(t *testing.T) {
 	is := is.New(t)
 	site, _ := Parse("site.ini", example(t, "port-klang"))
@@ -105,7 +105,7 @@
 	is.True(drafts.Routes[0].Idempotent)
 }
 
-// A text of any kind yields either a site or problems with the file's name.
+// Any text results in either a site or problems that name the file.
 func FuzzParse(f *testing.F) {
 	f.Add(example(f, "port-klang"))
 	f.Add([]byte("[site]\nname = x\nrevision = 1\n[pool a]\nmin_vms=1"))
@@ -123,7 +123,7 @@
 	})
 }
 
-// The operators' page must show the table that the reader follows.
+// The operators' page must show the table of keys that the parser uses.
 func TestPageShowsTheTable(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operations", "manifest.md"))
 	if err != nil {
--- a/internal/manifest/values.go
+++ b/internal/manifest/values.go
@@ -13,17 +13,17 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// namePattern is what identifiers look like: they stand in URLs, headers and
-// file names.
+// namePattern matches valid identifiers, which are used in URLs, headers and file
+// names.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// routeMethods are the HTTP methods of routes; "*" stands for all.
+// routeMethods are the HTTP methods allowed in routes; "*" matches all.
 var routeMethods = []string{
 	"*", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// section reads the keys of one section as the table says.
+// section reads the keys of one section with the bounds and defaults of the table.
 type section struct {
 	ini  *inifile.Section
 	kind string
@@ -34,22 +34,22 @@
 }
 
 func (s section) count(key string) int64 {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	return s.ini.Int(key, k.Default, k.Low, k.High)
 }
 
 func (s section) weight(key string) float64 {
-	return s.ini.Float(key, lookup(s.kind, key).Default, 0, 1)
+	return s.ini.Float(key, lookupKey(s.kind, key).Default, 0, 1)
 }
 
 func (s section) duration(key string) time.Duration {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	return s.ini.Duration(key, k.Default, time.Duration(k.Low), time.Duration(k.High))
 }
 
-// memory returns whole megabytes.
+// memory returns a memory size in whole megabytes.
 func (s section) memory(key string) int64 {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	bytes := s.ini.Bytes(key, k.Default, k.Low, k.High)
 	if bytes%MinMemory != 0 {
 		s.report(key, "is not whole megabytes; allowed: %s", k.Bounds())
@@ -57,9 +57,9 @@
 	return bytes / MinMemory
 }
 
-// processors returns thousandths of a core.
+// processors returns a number of cores in thousandths.
 func (s section) processors(key string) int64 {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	text := s.ini.String(key, k.Default)
 	if text == "" {
 		return 0
@@ -95,7 +95,7 @@
 }
 
 func (s section) name(key string) string {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	text := s.ini.String(key, k.Default)
 	if text != "" && !namePattern.MatchString(text) {
 		s.report(key, "is %q; allowed: %s", text, k.Bounds())
@@ -105,7 +105,7 @@
 
 // names returns the sorted names of a list.
 func (s section) names(key string) []string {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	list := s.ini.List(key, k.Default)
 	for i, name := range list {
 		if !namePattern.MatchString(name) {
@@ -120,7 +120,7 @@
 }
 
 func (s section) priority(key string) model.Priority {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	text := s.ini.String(key, k.Default)
 	p, ok := model.ParsePriority(text)
 	if !ok {
@@ -130,7 +130,7 @@
 }
 
 func (s section) time(key string) model.Instant {
-	k := lookup(s.kind, key)
+	k := lookupKey(s.kind, key)
 	text := s.ini.String(key, k.Default)
 	if text == "" {
 		return 0
@@ -147,7 +147,7 @@
 	for _, text := range s.ini.List(key, "") {
 		w, ok := parseWindow(text)
 		if !ok {
-			s.report(key, "holds %q; allowed: %s", text, lookup(s.kind, key).Bounds())
+			s.report(key, "holds %q; allowed: %s", text, lookupKey(s.kind, key).Bounds())
 			continue
 		}
 		windows = append(windows, w)
@@ -176,9 +176,9 @@
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute, true
 }
 
-// routes returns the routes of both lists in the order in which they are
-// matched: the longest prefix first, then a named method before "*", so that
-// the order within the file does not matter.
+// routes returns the routes of both keys in the order in which they are matched:
+// the longest prefix first, then a specific method before "*", so that the order
+// in the file does not matter.
 func (s section) routes() []model.Route {
 	routes := s.routeList("idempotent_routes", true)
 	for _, route := range s.routeList("non_idempotent_routes", false) {
@@ -197,7 +197,7 @@
 		fields := strings.Fields(text)
 		if len(fields) != 2 || !slices.Contains(routeMethods, fields[0]) || !strings.HasPrefix(fields[1], "/") {
 			s.report(key, "holds %q; allowed: %s, with a method of %s", text,
-				lookup(s.kind, key).Bounds(), strings.Join(routeMethods, " "))
+				lookupKey(s.kind, key).Bounds(), strings.Join(routeMethods, " "))
 			continue
 		}
 		route := model.Route{Method: fields[0], Prefix: fields[1], Idempotent: idempotent}
