--- a/internal/settings/member.go
+++ b/internal/settings/member.go
@@ -14,72 +14,72 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Role is what a process does on a site whose VMs find each other.
+// Role is the role of a process on a site whose VMs discover each other.
 type Role string
 
 // The roles.
 const (
-	// RoleEntry answers callers and holds no state.
+	// RoleEntry serves callers and holds no state.
 	RoleEntry Role = "entry"
-	// RoleCore holds the control log and answers operators and workers.
+	// RoleCore stores the control log and serves operators and workers.
 	RoleCore Role = "core"
 )
 
-// Member are the settings of a process on a site whose VMs find each other:
-// they name seeds instead of all VMs. They are immutable after LoadMember.
+// Member holds the settings of a process on a site whose VMs discover each other:
+// they list seeds instead of all VMs. They are immutable after LoadMember.
 type Member struct {
 	Node   MemberNode
 	Listen MemberListen
-	// Seeds are core VMs as they were when the file was written, by IP.
+	// Seeds are the IPs of core VMs at the time when the file was written.
 	Seeds  []string
 	Bounds MemberBounds
-	// Fleet and Advisor are IP:port of outside services, empty for none.
+	// Fleet and Advisor are the IP:port of external services, empty for none.
 	Fleet, Advisor string
-	// FleetRate is how many orders a second the fleet service takes from the
-	// whole site.
+	// FleetRate is the number of orders per second that the fleet service accepts
+	// from the whole site.
 	FleetRate float64
 	Log       Log
 }
 
-// MemberNode says who this process is.
+// MemberNode identifies this process.
 type MemberNode struct {
 	Name model.NodeID
 	Role Role
 	IP   string
 	Zone model.ZoneID
-	// DataFolder holds all files; empty on an entry VM.
+	// DataFolder is the folder of all stored files; empty on an entry VM.
 	DataFolder string
-	// MayFound says that the whole site starts for the first time.
+	// MayFound is set when the whole site starts for the first time.
 	MayFound bool
 }
 
-// MemberListen has an IP:port for each kind of peer.
+// MemberListen holds the listen addresses, an IP:port for each kind of peer.
 type MemberListen struct {
 	Callers, Readiness string
 	Operators          string
-	// Nodes is where the site's own processes call each other; the port is the
-	// same on all VMs. Metrics serves counters.
+	// Nodes is the address for calls between the site's own processes; its port is
+	// the same on all VMs. Metrics is the address that serves counters.
 	Nodes, Metrics string
 }
 
-// MemberBounds are the times that the site promises or is promised.
+// MemberBounds holds times that the site or its environment guarantees.
 type MemberBounds struct {
 	// LeaseMax is the longest lease that a worker grants.
 	LeaseMax time.Duration
-	// FleetTakeOver is how long two VMs must not alternate in orders for one VM
-	// of the platform.
+	// FleetTakeOver is the time within which orders for one VM of the platform must
+	// not alternate between two VMs of the site.
 	FleetTakeOver time.Duration
-	// StopWithin is the time between a request to stop and the end by force.
+	// StopWithin is the time from a request to stop until the process is killed.
 	StopWithin time.Duration
 }
 
-// IsMember reports whether a settings file is that of a process with a role.
+// IsMember reports whether a settings file is for a process with a role.
 func IsMember(text []byte) bool {
 	f := inifile.Load("settings", text)
 	return f.Has("node") && f.Section("node").Has("role")
 }
 
-// LoadMember reads and checks a file. The problems are empty when it is valid.
+// LoadMember reads and checks a file. A valid file has no problems.
 func LoadMember(path string) (*Member, []inifile.Problem, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +89,8 @@
 	return m, problems, nil
 }
 
-// ParseMember checks the text of a settings file and names every problem in it.
+// ParseMember parses and checks the text of a settings file and returns every
+// problem in it.
 func ParseMember(file string, text []byte) (*Member, []inifile.Problem) {
 	f := inifile.Load(file, text)
 	node, listen, bounds := f.Section("node"), f.Section("listen"), f.Section("bounds")
@@ -121,7 +122,7 @@
 	return m, f.Problems()
 }
 
-// readSeeds takes IPs or IP:port; only the IP says which VM it is.
+// readSeeds accepts IPs and IP:port; only the IP identifies the VM.
 func (m *Member) readSeeds(s *inifile.Section) {
 	for _, seed := range s.List("addresses", "") {
 		host, _, err := net.SplitHostPort(strings.TrimSpace(seed))
@@ -152,7 +153,8 @@
 	}
 }
 
-// NodeID names a process of the site by the address of its listener for nodes.
+// NodeID returns the ID of the process on the VM with the given IP: the address of
+// its listener for nodes.
 func (m *Member) NodeID(ip string) model.NodeID {
 	return model.NodeID(net.JoinHostPort(ip, strconv.Itoa(m.nodesPort())))
 }
--- a/internal/settings/member_test.go
+++ b/internal/settings/member_test.go
@@ -40,7 +40,7 @@
 	is.Equal(m.FleetRate, 64.0)
 }
 
-func TestMemberSettingsNameWhatIsWrong(t *testing.T) {
+func TestMemberProblemsNameTheKey(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, key string }{
 		"no disk":      {"data_folder = /data/core\n", "", "data_folder"},
 		"no operators": {"operators = 10.1.0.9:8623\n", "", "operators"},
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// votersKey is the key of [nodes] that is not a node's name.
+// votersKey is the only key of [nodes] that is not a node's name.
 const votersKey = "voters"
 
-// maxNodes is the most VMs that a site may set aside as entry VMs.
+// maxNodes is the maximum number of VMs that a site may use as entry VMs.
 const maxNodes = 18
 
 func readNode(s *inifile.Section) Node {
@@ -101,8 +101,8 @@
 	}
 }
 
-// checkVoters refuses counts that add no safety: an even number tolerates no
-// more failures than one less, and more than five slow down each commit.
+// checkVoters allows 3 or 5 voters: an even number tolerates no more failures than
+// one voter less, and more than five slow down each commit.
 func (s *Settings) checkVoters(f *inifile.File) {
 	if n := len(s.Voters); n != 3 && n != 5 {
 		f.Report("nodes", votersKey, fmt.Sprintf("names %d VMs; allowed: 3 or 5", n))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the INI file of one VM: who it is, where
-// it listens, which other VMs there are, and its bounds. What the whole site
-// shares is in the manifest instead (package manifest).
+// Package settings reads and checks the INI file of one VM: its identity, listen
+// addresses, peers and limits. Settings of the whole site are in the manifest
+// instead (package manifest).
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/samber/oops"
 )
 
-// Settings are those of one VM. They are immutable after Load.
+// Settings holds the settings of one VM. They are immutable after Load.
 type Settings struct {
 	Node     Node
 	Listen   Listen
@@ -24,7 +24,7 @@
 	Limits   Limits
 }
 
-// Node says who this VM is.
+// Node identifies this VM.
 type Node struct {
 	// Site must be the same on all VMs and in the manifest.
 	Site   string
@@ -32,11 +32,11 @@
 	VM     model.VMID
 	Zone   model.ZoneID
 	Region model.RegionID
-	// DataFolder holds all files; empty makes the VM a learner.
+	// DataFolder is the folder of all stored files; empty makes the VM a learner.
 	DataFolder string
 }
 
-// Listen has one IP:port for each kind of peer.
+// Listen holds the listen addresses, an IP:port for each kind of peer.
 type Listen struct {
 	Callers   string
 	Upstreams string
@@ -50,35 +50,36 @@
 	Address string
 }
 
-// Platform says where the platform's API is.
+// Platform holds the address of the platform's API.
 type Platform struct {
 	Address   string
 	TokenFile string
 }
 
-// Security names the token files; an empty name leaves that listener open.
+// Security holds the paths of the token files; an empty path disables
+// authentication on that listener.
 type Security struct {
 	Operators string
 	Nodes     string
 	Upstreams string
 }
 
-// Log says how much is logged and in which form.
+// Log holds the log level and format.
 type Log struct {
 	Level  string
 	Format string
 }
 
-// Limits are the bounds of one process.
+// Limits holds the limits of one process.
 type Limits struct {
 	// RequestBody bounds a caller's request body, in bytes.
 	RequestBody int64
 	// CallerConnections bounds the open connections of all callers.
 	CallerConnections int
-	// BalancerDelay is how long a stopping VM still accepts requests after
-	// it became unready, so that the balancer notices.
+	// BalancerDelay is how long a stopping VM still accepts requests after it
+	// became unready, so that the load balancer notices.
 	BalancerDelay time.Duration
-	// StopTimeout bounds a graceful stop.
+	// StopTimeout is the timeout of a graceful stop.
 	StopTimeout time.Duration
 	// SnapshotEvery is the number of log entries between snapshots.
 	SnapshotEvery int
@@ -88,7 +89,7 @@
 	UpstreamLease time.Duration
 }
 
-// Load reads and checks a file. The problems are empty when it is valid.
+// Load reads and checks a file. A valid file has no problems.
 func Load(path string) (*Settings, []inifile.Problem, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -98,7 +99,8 @@
 	return s, problems, nil
 }
 
-// Parse checks the text of a settings file and names every problem in it.
+// Parse parses and checks the text of a settings file and returns every problem in
+// it.
 func Parse(file string, text []byte) (*Settings, []inifile.Problem) {
 	f := inifile.Load(file, text)
 	s := &Settings{
@@ -117,7 +119,7 @@
 // IsVoter reports whether this VM votes in the control log.
 func (s *Settings) IsVoter() bool { return s.isVoter(s.Node.Name) }
 
-// PeerAddress returns the address of another VM, empty when unknown.
+// PeerAddress returns the address of a VM, empty when it is unknown.
 func (s *Settings) PeerAddress(name model.NodeID) string {
 	for _, p := range s.Nodes {
 		if p.Name == name {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const valid = `
+const validSettings = `
 [node]
 site = port-klang
 name = a
@@ -32,15 +32,15 @@
 
 func TestParseValid(t *testing.T) {
 	is := is.New(t)
-	s, problems := Parse("x.ini", []byte(valid))
+	s, problems := Parse("x.ini", []byte(validSettings))
 	is.Equal(len(problems), 0)
 	is.True(s.IsVoter())
 	is.Equal(s.PeerAddress("b"), "127.0.0.2:4")
 	is.Equal(s.Limits.BalancerDelay, 2*time.Second)
 }
 
-// TestParseRefuses changes the valid file by one mistake and expects a
-// problem that names section and key and says what is allowed.
+// TestParseRefuses makes one mistake in the valid file and expects a problem that
+// names section, key and the allowed values.
 func TestParseRefuses(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"unknown key", "vm = vm-a", "vm = vm-a\nvmm = 1", "x.ini: [node] vmm: is not a known key"},
@@ -62,8 +62,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(strings.Contains(valid, c.old))
-			_, problems := Parse("x.ini", []byte(strings.Replace(valid, c.old, c.new, 1)))
+			is.True(strings.Contains(validSettings, c.old))
+			_, problems := Parse("x.ini", []byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			var all []string
 			for _, p := range problems {
 				all = append(all, p.String())
@@ -74,11 +74,11 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, problems := Parse("x.ini", text)
 		if len(problems) == 0 && s.PeerAddress(s.Node.Name) != s.Listen.Nodes {
-			t.Fatal("accepted settings that contradict themselves")
+			t.Fatal("accepted settings in which [listen] nodes differs from the address in [nodes]")
 		}
 	})
 }
