--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -1,7 +1,7 @@
-// Package inifile reads INI files strictly. Reading never stops at the first
-// mistake: every problem is collected with its file, section and key, so that
-// one answer names them all. A key that no reader asked for is a problem too,
-// so that a misspelt key can't silently leave a default in force.
+// Package inifile reads INI files strictly. Reading does not stop at the first
+// mistake: every problem is collected with its file, section and key, so that all
+// of them are reported at once. A key that the program did not read is a problem
+// too, so that a misspelt key can't silently leave the default in force.
 //
 //	f := inifile.Load("site.ini", text)
 //	s := f.Section("site")
@@ -22,7 +22,7 @@
 	File    string `json:"file"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Message says what is wrong and what is allowed.
+	// Message describes the mistake and the allowed values.
 	Message string `json:"message"`
 }
 
@@ -48,8 +48,8 @@
 // MaxSize bounds the text of a file, in bytes.
 const MaxSize = 1 << 20
 
-// Load splits text into sections and keys. It always returns a file; what is
-// wrong with the text is in Problems.
+// Load parses text into sections and keys. It always returns a file; mistakes in
+// the text are returned by Problems.
 func Load(name string, text []byte) *File {
 	f := &File{name: name}
 	if len(text) > MaxSize {
@@ -65,8 +65,8 @@
 	return f
 }
 
-// loadOptions keeps doubled sections and keys visible, which the library
-// would otherwise merge: with two "[pool a]" the second would silently win.
+// loadOptions makes the library return duplicate sections and keys instead of
+// merging them: otherwise the second of two "[pool a]" would silently win.
 func loadOptions() ini.LoadOptions {
 	return ini.LoadOptions{
 		AllowShadows:               true,
@@ -80,7 +80,7 @@
 	for _, section := range parsed.Sections() {
 		name := section.Name()
 		if name == ini.DefaultSection {
-			f.refuseKeysOutside(section)
+			f.reportKeysOutsideSections(section)
 			continue
 		}
 		if seen[name] {
@@ -92,24 +92,24 @@
 	}
 }
 
-func (f *File) refuseKeysOutside(section *ini.Section) {
+func (f *File) reportKeysOutsideSections(section *ini.Section) {
 	for _, key := range section.Keys() {
 		f.Report("", key.Name(), "stands before the first section; move it into one")
 	}
 }
 
-// Section returns the section called name, or an empty one.
+// Section returns the section with the given name, or an empty one.
 func (f *File) Section(name string) *Section {
 	for _, s := range f.sections {
 		if s.name == name {
-			s.used = true
+			s.accessed = true
 			return s
 		}
 	}
-	return &Section{file: f, name: name, used: true}
+	return &Section{file: f, name: name, accessed: true}
 }
 
-// Has reports whether the file holds the section.
+// Has reports whether the file contains the section.
 func (f *File) Has(name string) bool {
 	for _, s := range f.sections {
 		if s.name == name {
@@ -123,11 +123,11 @@
 func (f *File) Named(kind string) []*Section {
 	var named []*Section
 	for _, s := range f.sections {
-		found, label, ok := strings.Cut(s.name, " ")
-		if !ok || found != kind {
+		sectionKind, label, ok := strings.Cut(s.name, " ")
+		if !ok || sectionKind != kind {
 			continue
 		}
-		s.used = true
+		s.accessed = true
 		s.label = strings.TrimSpace(label)
 		named = append(named, s)
 	}
@@ -140,12 +140,12 @@
 	f.problems = append(f.problems, Problem{File: f.name, Section: section, Key: key, Message: message})
 }
 
-// Problems returns all problems, with one for each section and key that no
-// reader asked for. Call it after everything was read.
+// Problems returns all problems, including one for each section and key that was
+// never read. Call it after all keys have been read.
 func (f *File) Problems() []Problem {
 	all := append([]Problem(nil), f.problems...)
 	for _, s := range f.sections {
-		all = append(all, s.unread()...)
+		all = append(all, s.unknownKeys()...)
 	}
 	return all
 }
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -11,21 +11,22 @@
 	"gopkg.in/ini.v1"
 )
 
-// Required as a default makes a missing key a problem.
+// Required, used as the default of a key, makes a missing key a problem.
 const Required = "\x00required"
 
-// Section is one section of a file; its readers collect problems.
+// Section is one section of a file. Its methods that read keys add a problem to
+// the file for each invalid value.
 type Section struct {
-	file   *File
-	name   string
-	label  string
-	values map[string]string
-	read   map[string]bool
-	used   bool
+	file      *File
+	name      string
+	label     string
+	values    map[string]string
+	requested map[string]bool
+	accessed  bool
 }
 
 func newSection(f *File, parsed *ini.Section) *Section {
-	s := &Section{file: f, name: parsed.Name(), values: map[string]string{}, read: map[string]bool{}}
+	s := &Section{file: f, name: parsed.Name(), values: map[string]string{}, requested: map[string]bool{}}
 	for _, key := range parsed.Keys() {
 		if len(key.ValueWithShadows()) > 1 {
 			s.Report(key.Name(), "appears twice; a key may appear once")
@@ -35,13 +36,13 @@
 	return s
 }
 
-// Name is the section's name as it stands in the file.
+// Name returns the section's name as written in the file.
 func (s *Section) Name() string { return s.name }
 
-// Label is NAME of a section "[kind NAME]" that Named returned.
+// Label returns NAME of a section "[kind NAME]" that Named returned.
 func (s *Section) Label() string { return s.label }
 
-// Report adds a problem at a key.
+// Report adds a problem with a key of the section.
 func (s *Section) Report(key, message string) { s.file.Report(s.name, key, message) }
 
 // Keys returns the keys present, sorted.
@@ -59,8 +60,8 @@
 
 // String returns the key's text, or the default when it is absent or empty.
 func (s *Section) String(key, def string) string {
-	if s.read != nil {
-		s.read[key] = true
+	if s.requested != nil {
+		s.requested[key] = true
 	}
 	if text := s.values[key]; text != "" {
 		return text
@@ -72,11 +73,12 @@
 	return ""
 }
 
-// Choice returns the key's text when it is one of allowed.
+// Choice returns the key's text and reports a problem when it is not one of
+// allowed.
 func (s *Section) Choice(key, def string, allowed ...string) string {
 	text := s.String(key, def)
-	for _, one := range allowed {
-		if text == one {
+	for _, choice := range allowed {
+		if text == choice {
 			return text
 		}
 	}
@@ -112,30 +114,31 @@
 	return value
 }
 
-// Duration returns a duration with a unit within low..high.
+// Duration returns a duration within low..high; the text must have a unit.
 func (s *Section) Duration(key, def string, low, high time.Duration) time.Duration {
 	text := s.String(key, def)
 	if text == "" {
 		return 0
 	}
 	value, err := time.ParseDuration(text)
-	if err != nil || value < low || value > high || unitless(text) {
+	if err != nil || value < low || value > high || lacksUnit(text) {
 		s.Report(key, fmt.Sprintf("is %q; allowed: a duration with its unit (ms, s, m, h) from %s to %s", text, low, high))
 	}
 	return value
 }
 
-// unitless reports the one number that time.ParseDuration takes without a unit.
-func unitless(text string) bool { return strings.Trim(text, "+-0") == "" }
+// lacksUnit reports whether text is zero without a unit, the only number that
+// time.ParseDuration accepts without one.
+func lacksUnit(text string) bool { return strings.Trim(text, "+-0") == "" }
 
-// sizeUnits are the units of Bytes, in bytes.
+// sizeUnits lists the units of sizes and their number of bytes.
 var sizeUnits = []struct {
 	suffix string
 	factor int64
 }{{"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"TB", 1e12}}
 
-// Bytes returns a size with a unit (KB, MB, GB, TB; powers of ten) in bytes,
-// within low..high.
+// Bytes returns a size in bytes within low..high; the text must have a unit (KB,
+// MB, GB or TB; powers of ten).
 func (s *Section) Bytes(key, def string, low, high int64) int64 {
 	text := s.String(key, def)
 	if text == "" {
@@ -163,7 +166,7 @@
 	return 0, false
 }
 
-// FormatSize writes a size in the largest unit that divides it.
+// FormatSize formats a size in the largest unit that divides it.
 func FormatSize(bytes int64) string {
 	for i := len(sizeUnits) - 1; i >= 0; i-- {
 		if bytes != 0 && bytes%sizeUnits[i].factor == 0 {
@@ -173,8 +176,8 @@
 	return fmt.Sprintf("%d bytes", bytes)
 }
 
-// Address returns an "IP:port". Host names are refused: a VM must come up
-// when name resolution is down.
+// Address returns an "IP:port". Host names are refused, because a VM must be able
+// to start when name resolution is down.
 func (s *Section) Address(key, def string) string {
 	text := s.String(key, def)
 	if text == "" {
@@ -186,7 +189,7 @@
 	return text
 }
 
-// List returns the parts of a comma-separated text, trimmed, without empty ones.
+// List returns the trimmed, non-empty parts of a comma-separated text.
 func (s *Section) List(key, def string) []string {
 	var parts []string
 	for _, part := range strings.Split(s.String(key, def), ",") {
@@ -197,13 +200,15 @@
 	return parts
 }
 
-func (s *Section) unread() []Problem {
-	if !s.used {
+// unknownKeys returns a problem for the section if it was never read, or else for
+// each key that was never read.
+func (s *Section) unknownKeys() []Problem {
+	if !s.accessed {
 		return []Problem{{File: s.file.name, Section: s.name, Message: "is not a known section"}}
 	}
 	var problems []Problem
 	for _, key := range s.Keys() {
-		if !s.read[key] {
+		if !s.requested[key] {
 			problems = append(problems, Problem{File: s.file.name, Section: s.name, Key: key, Message: "is not a known key of this section"})
 		}
 	}
