--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -9,88 +9,87 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// BreakKind says what is wrong at one place of the trail.
+// BreakKind is the kind of a break.
 type BreakKind string
 
 const (
-	// Gap: records are missing.
+	// Gap means that records are missing.
 	Gap BreakKind = "gap"
-	// Edit: a record does not fit the one before it.
+	// Edit means that the digest of a record does not match the record before it.
 	Edit BreakKind = "edit"
-	// Unreadable: a line is no record.
+	// Unreadable means that a line can't be decoded as a record.
 	Unreadable BreakKind = "unreadable"
 )
 
-// Break is one place where the chain does not hold.
+// Break describes one place where the chain of records is broken.
 type Break struct {
 	Kind BreakKind `json:"kind"`
 	File string    `json:"file,omitempty"`
 	Line int       `json:"line,omitempty"`
-	// Sequence is that of the first record after the break; 0 when the line
-	// can't be read.
+	// Sequence is the number of the first record after the break; 0 when the line
+	// can't be decoded.
 	Sequence uint64 `json:"sequence,omitempty"`
 	Detail   string `json:"detail"`
 }
 
-// Page is what one read returns.
+// Page is the result of one read.
 type Page struct {
 	Records []model.AuditRecord `json:"records"`
-	// Next is where the next read goes on.
+	// Next is the sequence number from which the next read continues.
 	Next uint64 `json:"next"`
-	// Breaks are those found on the way.
+	// Breaks lists the breaks found during the read.
 	Breaks []Break `json:"breaks,omitempty"`
 }
 
-// link is the end of a chain that was checked so far.
-type link struct {
+// chainEnd is the last record of the part of the chain that has been checked.
+type chainEnd struct {
 	sequence uint64
 	digest   string
 	started  bool
-	// expect is the sequence that the first record must have; 0 for any.
-	expect uint64
+	// firstSequence is the sequence that the first record must have; 0 for any.
+	firstSequence uint64
 }
 
-// follow checks that a record goes on from the link, and moves to it. The
-// first record of all has nothing before it to be checked against, unless it
-// is number 1.
-func (l *link) follow(r model.AuditRecord, file string, line int) *Break {
-	before := *l
-	*l = link{sequence: r.Sequence, digest: r.Digest, started: true}
-	first := !before.started && r.Sequence != 1
+// advance checks that record r continues the chain and makes it the new end. The
+// first record can't be checked against a previous one, unless its number is 1.
+func (e *chainEnd) advance(r model.AuditRecord, file string, line int) *Break {
+	previous := *e
+	*e = chainEnd{sequence: r.Sequence, digest: r.Digest, started: true}
+	unverifiable := !previous.started && r.Sequence != 1
 	switch {
-	case !before.started && before.expect != 0 && r.Sequence != before.expect:
-		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d stands where record %d belongs", r.Sequence, before.expect)}
-	case first:
+	case !previous.started && previous.firstSequence != 0 && r.Sequence != previous.firstSequence:
+		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d stands where record %d belongs", r.Sequence, previous.firstSequence)}
+	case unverifiable:
 		return nil
-	case r.Sequence != before.sequence+1:
-		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d follows record %d", r.Sequence, before.sequence)}
-	case r.Digest != state.ChainDigest(before.digest, r):
+	case r.Sequence != previous.sequence+1:
+		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d follows record %d", r.Sequence, previous.sequence)}
+	case r.Digest != state.ChainDigest(previous.digest, r):
 		return &Break{Edit, file, line, r.Sequence, fmt.Sprintf("record %d does not fit the one before it", r.Sequence)}
 	default:
 		return nil
 	}
 }
 
-// CheckRecords returns the breaks within records that follow one another.
+// CheckRecords returns the breaks in a sequence of records.
 func CheckRecords(records []model.AuditRecord) []Break {
-	var l link
+	var end chainEnd
 	var breaks []Break
 	for _, r := range records {
-		if b := l.follow(r, "", 0); b != nil {
+		if b := end.advance(r, "", 0); b != nil {
 			breaks = append(breaks, *b)
 		}
 	}
 	return breaks
 }
 
-// encodeLine returns the record as a line of a file.
+// encodeLine encodes the record as a line of a file.
 func encodeLine(r model.AuditRecord) ([]byte, error) {
 	line, err := json.Marshal(r)
 	return append(line, '\n'), err
 }
 
-// decodeLine is the inverse of encodeLine. It refuses unknown members: they
-// would be outside the digest.
+// decodeLine is the inverse of encodeLine. It refuses unknown members, because the
+// digest would not cover them.
 func decodeLine(line []byte) (model.AuditRecord, error) {
 	var r model.AuditRecord
 	decoder := json.NewDecoder(bytes.NewReader(line))
--- a/internal/audit/file.go
+++ b/internal/audit/file.go
@@ -20,25 +20,25 @@
 const (
 	filePrefix = "audit-"
 	fileSuffix = ".jsonl"
-	// maxLine bounds one line, in bytes: seven texts of at most
-	// state.MaxText, each byte escaped to at most six.
+	// maxLine is the maximum length of a line, in bytes: seven texts of at most
+	// state.MaxText bytes, of which each is escaped to at most six.
 	maxLine = 64 << 10
 )
 
-// file is one file of the trail; First is the sequence it starts with.
+// file is one file of the trail; firstSequence is that of its first record.
 type file struct {
-	path  string
-	first uint64
+	path          string
+	firstSequence uint64
 }
 
 func (f file) name() string { return filepath.Base(f.path) }
 
-func fileFor(dir string, first uint64) file {
+func newFile(dir string, first uint64) file {
 	return file{filepath.Join(dir, fmt.Sprintf("%s%020d%s", filePrefix, first, fileSuffix)), first}
 }
 
-// list returns the files of a folder, the oldest first.
-func list(dir string) ([]file, error) {
+// listFiles returns the files of the trail in a folder, the oldest first.
+func listFiles(dir string) ([]file, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, oops.In("audit").With("folder", dir).Wrapf(err, "list files")
@@ -56,39 +56,40 @@
 	return files, nil
 }
 
-// visit calls f for each record of the file until f returns false, and reports
-// lines that are no records. A last line without its end is a torn write and
-// is left out; Open cuts it.
-func (f file) visit(do func(r model.AuditRecord, line int) bool, broken func(Break)) error {
-	open, err := os.Open(f.path)
+// forEachRecord calls onRecord for each record of the file until it returns false,
+// and onBreak for each line that can't be decoded. A last line without a newline
+// is a torn write and is skipped; Open truncates it.
+func (f file) forEachRecord(onRecord func(r model.AuditRecord, line int) bool, onBreak func(Break)) error {
+	opened, err := os.Open(f.path)
 	if err != nil {
 		return oops.In("audit").With("file", f.path).Wrapf(err, "read")
 	}
-	defer func() { _ = open.Close() }()
-	reader := bufio.NewReaderSize(open, maxLine)
+	defer func() { _ = opened.Close() }()
+	reader := bufio.NewReaderSize(opened, maxLine)
 	for number := 1; ; number++ {
 		line, err := reader.ReadSlice('\n')
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			broken(Break{Unreadable, f.name(), number, 0, err.Error()})
+			onBreak(Break{Unreadable, f.name(), number, 0, err.Error()})
 			return nil
 		}
 		record, err := decodeLine(line)
 		if err != nil {
-			broken(Break{Unreadable, f.name(), number, 0, err.Error()})
+			onBreak(Break{Unreadable, f.name(), number, 0, err.Error()})
 			continue
 		}
-		if !do(record, number) {
+		if !onRecord(record, number) {
 			return nil
 		}
 	}
 }
 
-// cutTorn cuts a last line without its end off the file. A crash in
-// mid-append leaves one; its record comes again from the state.
-func cutTorn(path string) error {
+// truncateTornLine removes a last line without a newline from the file. A crash
+// during an append leaves such a line; its record is appended again from the
+// state.
+func truncateTornLine(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return oops.In("audit").With("file", path).Wrapf(err, "read")
@@ -101,7 +102,7 @@
 	return oops.In("audit").With("file", path).Wrapf(err, "cut torn line")
 }
 
-// syncFolder makes the creation or removal of files durable.
+// syncFolder makes the creation and removal of files in a folder durable.
 func syncFolder(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/audit/follow.go
+++ b/internal/audit/follow.go
@@ -9,22 +9,23 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Source is the part of the control log that the trail follows.
+// Source is the part of the control log from which the trail reads records.
 type Source interface {
 	View() *state.View
 	Audit(from uint64, limit int) []model.AuditRecord
 	WaitApplied(ctx context.Context, index uint64) error
 }
 
-// Run checks the chain, then appends what the source makes until ctx ends. An
-// error other than ctx's means that the trail can't be kept: the process must
-// end, or changes would go on without a durable record at this VM.
+// Run checks the chain and then appends the records of the source until ctx ends.
+// An error other than that of ctx means that the trail can't be written: the
+// process must end, otherwise changes would continue without a durable record on
+// this VM.
 func (t *Trail) Run(ctx context.Context, source Source, logger log.Interface) error {
 	breaks, err := t.Verify()
 	if err != nil {
 		return err
 	}
-	report(logger, breaks)
+	logBreaks(logger, breaks)
 	for {
 		index := source.View().Index
 		records := source.Audit(t.Last()+1, MaxRead)
@@ -32,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		report(logger, breaks)
+		logBreaks(logger, breaks)
 		if len(records) == MaxRead {
 			continue
 		}
@@ -42,7 +43,7 @@
 	}
 }
 
-func report(logger log.Interface, breaks []Break) {
+func logBreaks(logger log.Interface, breaks []Break) {
 	for _, b := range breaks {
 		logger.WithFields(log.Fields{
 			"kind": b.Kind, "file": b.File, "line": b.Line, "sequence": b.Sequence,
@@ -50,10 +51,11 @@
 	}
 }
 
-// Tail reads the records that the state keeps, for VMs without a data folder.
+// Tail reads the newest records, which the state keeps, for VMs without a data
+// folder.
 type Tail struct{ Source Source }
 
-// Read returns at most limit records from the sequence on.
+// Read returns at most limit records, starting at sequence from.
 func (t Tail) Read(from uint64, limit int) (Page, error) {
 	records := t.Source.Audit(from, min(max(limit, 1), MaxRead))
 	page := Page{Records: records, Next: from, Breaks: CheckRecords(records)}
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// DefaultFileBytes is the size at which a file is closed, in bytes.
+	// DefaultFileBytes is the size, in bytes, at which a new file is started.
 	DefaultFileBytes = 4 << 20
-	// DefaultFiles is how many files are kept; the oldest is dropped.
+	// DefaultFiles is the number of files to keep; older ones are deleted.
 	DefaultFiles = 16
-	// MaxRead bounds the records of one Page.
+	// MaxRead is the maximum number of records of a Page.
 	MaxRead = 1_000
-	// maxBreaks bounds the breaks of one answer.
+	// maxBreaks is the maximum number of breaks that a read returns.
 	maxBreaks = 64
 )
 
-// Options sets up a Trail. Zero values stand for the defaults.
+// Options configures a Trail. Zero values select the defaults.
 type Options struct {
 	FileBytes int64
 	Files     int
-	// Registry gets the counters "audit.records" and "audit.breaks".
+	// Registry receives the counters "audit.records" and "audit.breaks".
 	Registry metrics.Registry
 }
 
@@ -36,18 +36,18 @@
 	dir     string
 	options Options
 	records metrics.Counter
-	broken  metrics.Counter
+	breaks  metrics.Counter
 
 	mu    sync.Mutex
 	files []file
-	// out is the newest file, open for appending; nil before the first record.
-	out  *os.File
-	size int64
-	end  link
+	// newest is the newest file, open for appending; nil before the first record.
+	newest     *os.File
+	newestSize int64
+	end        chainEnd
 }
 
 // Open opens the trail in the folder dir, which it creates when missing, and
-// cuts a torn last line. Call Verify to check the chain of all files.
+// truncates a torn last line. Call Verify to check the chain of all files.
 func Open(dir string, o Options) (*Trail, error) {
 	if o.FileBytes <= 0 {
 		o.FileBytes = DefaultFileBytes
@@ -61,7 +61,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, oops.In("audit").With("folder", dir).Wrapf(err, "create")
 	}
-	// A new folder is durable only once the one above it is synced.
+	// A new folder is durable only once its parent is synced.
 	if err := syncFolder(filepath.Dir(dir)); err != nil {
 		return nil, err
 	}
@@ -69,9 +69,9 @@
 		dir:     dir,
 		options: o,
 		records: metrics.GetOrRegisterCounter("audit.records", o.Registry),
-		broken:  metrics.GetOrRegisterCounter("audit.breaks", o.Registry),
+		breaks:  metrics.GetOrRegisterCounter("audit.breaks", o.Registry),
 	}
-	files, err := list(dir)
+	files, err := listFiles(dir)
 	if err != nil || len(files) == 0 {
 		return t, err
 	}
@@ -82,14 +82,14 @@
 // resume opens the newest file and finds the end of the chain.
 func (t *Trail) resume() error {
 	newest := t.files[len(t.files)-1]
-	if err := cutTorn(newest.path); err != nil {
+	if err := truncateTornLine(newest.path); err != nil {
 		return err
 	}
-	// An empty newest file has lost its records to a crash before the sync;
-	// the end of the chain is then in the file before it.
+	// An empty newest file lost its records in a crash before the sync. The end of
+	// the chain is then in the file before it.
 	for i := len(t.files) - 1; i >= 0 && !t.end.started; i-- {
-		err := t.files[i].visit(func(r model.AuditRecord, _ int) bool {
-			t.end = link{sequence: r.Sequence, digest: r.Digest, started: true}
+		err := t.files[i].forEachRecord(func(r model.AuditRecord, _ int) bool {
+			t.end = chainEnd{sequence: r.Sequence, digest: r.Digest, started: true}
 			return true
 		}, func(Break) {})
 		if err != nil {
@@ -108,8 +108,8 @@
 	if err != nil {
 		return oops.In("audit").With("file", f.path).Wrapf(err, "stat")
 	}
-	t.out = out
-	t.size = info.Size()
+	t.newest = out
+	t.newestSize = info.Size()
 	return nil
 }
 
@@ -120,63 +120,62 @@
 	return t.end.sequence
 }
 
-// Append adds records and returns once they are durable. Records that the
-// trail has already are left out. A record that does not fit the chain is
-// kept all the same and returned as a Break: the state, not the file, is
-// right about what happened.
+// Append adds records and returns once they are durable. Records that the trail
+// already has are skipped. A record that does not continue the chain is stored
+// nevertheless and returned as a Break: the state, not the file, is authoritative.
 func (t *Trail) Append(records []model.AuditRecord) ([]Break, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var breaks []Break
 	var lines []byte
-	var first uint64
+	var firstSequence uint64
 	for _, r := range records {
 		if r.Sequence <= t.end.sequence {
 			continue
 		}
-		if b := t.end.follow(r, "", 0); b != nil {
+		if b := t.end.advance(r, "", 0); b != nil {
 			breaks = append(breaks, *b)
 		}
 		line, err := encodeLine(r)
 		if err != nil {
 			return breaks, oops.In("audit").Wrapf(err, "encode")
 		}
-		if first == 0 {
-			first = r.Sequence
+		if firstSequence == 0 {
+			firstSequence = r.Sequence
 		}
 		lines = append(lines, line...)
 		t.records.Inc(1)
 	}
-	t.broken.Inc(int64(len(breaks)))
+	t.breaks.Inc(int64(len(breaks)))
 	if len(lines) == 0 {
 		return breaks, nil
 	}
-	return breaks, t.write(first, lines)
+	return breaks, t.write(firstSequence, lines)
 }
 
-// write appends lines to the newest file, or to a new one when it is full.
-func (t *Trail) write(first uint64, lines []byte) error {
-	if t.out == nil || t.size >= t.options.FileBytes {
-		if err := t.rotate(first); err != nil {
+// write appends lines to the newest file, or to a new one when that is full.
+func (t *Trail) write(firstSequence uint64, lines []byte) error {
+	if t.newest == nil || t.newestSize >= t.options.FileBytes {
+		if err := t.rotate(firstSequence); err != nil {
 			return err
 		}
 	}
-	written, err := t.out.Write(lines)
-	t.size += int64(written)
+	written, err := t.newest.Write(lines)
+	t.newestSize += int64(written)
 	if err != nil {
 		return oops.In("audit").With("folder", t.dir).Wrapf(err, "append")
 	}
-	return oops.In("audit").With("folder", t.dir).Wrapf(t.out.Sync(), "sync")
+	return oops.In("audit").With("folder", t.dir).Wrapf(t.newest.Sync(), "sync")
 }
 
-// rotate starts a new file and drops the oldest beyond the bound.
-func (t *Trail) rotate(first uint64) error {
-	if t.out != nil {
-		if err := t.out.Close(); err != nil {
+// rotate starts a new file and deletes the oldest files beyond the limit.
+func (t *Trail) rotate(firstSequence uint64) error {
+	if t.newest != nil {
+		if err := t.newest.Close(); err != nil {
 			return oops.In("audit").With("folder", t.dir).Wrapf(err, "close")
 		}
 	}
-	next := fileFor(t.dir, first)
+	next := newFile(t.dir, firstSequence)
 	if err := t.openForAppend(next); err != nil {
 		return err
 	}
@@ -194,15 +193,15 @@
 func (t *Trail) Close() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.out == nil {
+	if t.newest == nil {
 		return nil
 	}
-	err := t.out.Close()
-	t.out = nil
+	err := t.newest.Close()
+	t.newest = nil
 	return oops.In("audit").With("folder", t.dir).Wrapf(err, "close")
 }
 
-// snapshotFiles returns the files as they are now.
+// snapshotFiles returns a copy of the list of files.
 func (t *Trail) snapshotFiles() []file {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// chain makes n records as the state does.
-func chain(n int) []model.AuditRecord {
+// makeChain returns n chained records, built as the state builds them.
+func makeChain(n int) []model.AuditRecord {
 	records := make([]model.AuditRecord, n)
 	before := ""
 	for i := range records {
@@ -26,7 +26,7 @@
 	return records
 }
 
-func open(t *testing.T, dir string, o Options) *Trail {
+func openTrail(t *testing.T, dir string, o Options) *Trail {
 	t.Helper()
 	trail, err := Open(dir, o)
 	if err != nil {
@@ -39,8 +39,8 @@
 func TestTrailRotatesAndResumes(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	records := chain(60)
-	trail := open(t, dir, Options{FileBytes: 1000, Files: 4})
+	records := makeChain(60)
+	trail := openTrail(t, dir, Options{FileBytes: 1000, Files: 4})
 	for _, r := range records[:40] {
 		breaks, err := trail.Append([]model.AuditRecord{r})
 		is.NoErr(err)
@@ -48,17 +48,17 @@
 	}
 	is.NoErr(trail.Close())
 
-	trail = open(t, dir, Options{FileBytes: 1000, Files: 4})
+	trail = openTrail(t, dir, Options{FileBytes: 1000, Files: 4})
 	is.Equal(trail.Last(), uint64(40))
-	breaks, err := trail.Append(records[30:]) // 31 to 40 come a second time
+	breaks, err := trail.Append(records[30:]) // 31 to 40 are appended a second time
 	is.NoErr(err)
 	is.Equal(breaks, nil)
 	breaks, err = trail.Verify()
 	is.NoErr(err)
 	is.Equal(breaks, nil)
-	files, err := list(dir)
+	files, err := listFiles(dir)
 	is.NoErr(err)
-	is.Equal(len(files), 4) // the oldest were dropped
+	is.Equal(len(files), 4) // the oldest were deleted
 
 	page, err := trail.Read(55, 3)
 	is.NoErr(err)
@@ -66,10 +66,9 @@
 	is.Equal(page.Next, uint64(58))
 }
 
-// Symptom: somebody changed, removed or damaged a line and nobody notices.
-// Sequence: write, tamper with the file, start again. Cause: records that are
-// not bound to one another.
-func TestTamperingShows(t *testing.T) {
+// Changes, removes or damages a line of a file and opens the trail again. Without
+// a digest that binds each record to the previous one, this would go unnoticed.
+func TestTamperingIsDetected(t *testing.T) {
 	cases := []struct {
 		name   string
 		tamper func(lines []string) []string
@@ -87,17 +86,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			dir := t.TempDir()
-			trail := open(t, dir, Options{})
-			_, err := trail.Append(chain(10))
+			trail := openTrail(t, dir, Options{})
+			_, err := trail.Append(makeChain(10))
 			is.NoErr(err)
 			is.NoErr(trail.Close())
-			path := fileFor(dir, 1).path
+			path := newFile(dir, 1).path
 			text, err := os.ReadFile(path)
 			is.NoErr(err)
 			lines := c.tamper(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
 			is.NoErr(os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
 
-			trail = open(t, dir, Options{})
+			trail = openTrail(t, dir, Options{})
 			breaks, err := trail.Verify()
 			is.NoErr(err)
 			is.True(len(breaks) > 0)
@@ -105,27 +104,27 @@
 			is.Equal(breaks[0].Sequence, c.at)
 			page, err := trail.Read(1, 100)
 			is.NoErr(err)
-			is.Equal(page.Breaks, breaks) // a read reports them as well
+			is.Equal(page.Breaks, breaks) // Read reports them as well
 		})
 	}
 }
 
-// Symptom: after a crash the trail refuses its next record, or loses one.
-// Sequence: the process ends in mid-append. Cause: a torn last line.
-func TestTornLineIsCut(t *testing.T) {
+// The process ends during an append and leaves a torn last line. The trail must
+// still accept its next record, and lose none.
+func TestTornLineIsTruncated(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	records := chain(3)
-	trail := open(t, dir, Options{})
+	records := makeChain(3)
+	trail := openTrail(t, dir, Options{})
 	_, err := trail.Append(records)
 	is.NoErr(err)
 	is.NoErr(trail.Close())
-	path := filepath.Join(dir, fileFor(dir, 1).name())
+	path := filepath.Join(dir, newFile(dir, 1).name())
 	text, err := os.ReadFile(path)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(path, text[:len(text)-7], 0o600))
 
-	trail = open(t, dir, Options{})
+	trail = openTrail(t, dir, Options{})
 	is.Equal(trail.Last(), uint64(2))
 	breaks, err := trail.Append(records)
 	is.NoErr(err)
