--- a/internal/datafolder/doc.go
+++ b/internal/datafolder/doc.go
@@ -1,7 +1,7 @@
-// Package datafolder is the one folder in which a voter keeps what must
-// survive: its lock, its identity, the log and the snapshot.
+// Package datafolder manages the one folder in which a voter stores its durable
+// data: the lock, the identity, the log and the snapshot.
 //
-// It gives the other storage packages a small file system interface with the
-// few operations whose order decides what a crash leaves behind, an atomic
-// replace of a file, and errors that name the file and what to do.
+// It provides the other storage packages with a small file system interface of the
+// few operations whose order decides what is on disk after a crash, an atomic
+// replacement of a file, and errors that name the file and what to do.
 package datafolder
--- a/internal/datafolder/errors.go
+++ b/internal/datafolder/errors.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// CorruptError says that a file does not hold what was made durable in it.
-// The process must not start on such a file: what it lost may be a promise.
+// CorruptError is returned when a file does not hold what was made durable in it.
+// The process must not start on such a file: the lost data may include a promise
+// to other voters, such as a vote.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -15,13 +16,13 @@
 	Remedy string
 }
 
-// Error names the file, the place, the finding and what to do.
+// Error returns the file, the offset, the reason and what to do.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%s is corrupt at offset %d: %s; %s", e.File, e.Offset, e.Why, e.Remedy)
 }
 
-// StorageError says that the file system refused an operation. After a failed
-// write or sync nobody knows what is durable, so the process must end.
+// StorageError is returned when an operation of the file system failed. After a
+// failed write or sync it is unknown what is durable, so the process must end.
 type StorageError struct {
 	File   string
 	Op     string
@@ -29,41 +30,42 @@
 	Remedy string
 }
 
-// Error names the file, the operation, the cause and what to do.
+// Error returns the operation, the file, the cause and what to do.
 func (e *StorageError) Error() string {
 	return fmt.Sprintf("%s %s: %v; %s", e.Op, e.File, e.Err, e.Remedy)
 }
 
-// Unwrap returns what the file system said.
+// Unwrap returns the error of the file system.
 func (e *StorageError) Unwrap() error { return e.Err }
 
 const (
-	remedyFull = "free space on the file system of the data folder, then start again"
-	remedyDisk = "check the disk and the mount of the data folder, then start again; " +
+	hintFull = "free space on the file system of the data folder, then start again"
+	hintDisk = "check the disk and the mount of the data folder, then start again; " +
 		"if the disk is lost, start with an empty data folder: the node rejoins as a new voter"
-	remedyRights = "give the user that runs comfreyloom read and write access to the data folder, then start again"
+	hintPermissions = "give the user that runs comfreyloom read and write access to the data folder, then start again"
 )
 
-// RemedyRejoin is what to do about a folder whose content cannot be trusted.
+// RemedyRejoin tells the operator what to do about a folder whose content can't be
+// trusted.
 const RemedyRejoin = "move the whole data folder away and start with an empty one: " +
 	"the node rejoins as a new voter, provided that a majority of the other voters run"
 
-// Failed wraps an error of the file system with the file, the operation and a
-// remedy. It returns nil for nil.
+// Failed wraps an error of the file system in a StorageError that tells the
+// operator what to do. It returns nil for nil.
 func Failed(op, file string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &StorageError{File: file, Op: op, Err: err, Remedy: remedyFor(err)}
+	return &StorageError{File: file, Op: op, Err: err, Remedy: hintFor(err)}
 }
 
-func remedyFor(err error) string {
+func hintFor(err error) string {
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
-		return remedyFull
+		return hintFull
 	case errors.Is(err, syscall.EACCES), errors.Is(err, syscall.EPERM):
-		return remedyRights
+		return hintPermissions
 	default:
-		return remedyDisk
+		return hintDisk
 	}
 }
--- a/internal/datafolder/fakedisk/crash.go
+++ b/internal/datafolder/fakedisk/crash.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Restart returns the disk as the next process sees it when only the process
-// ended; the old one fails from now on.
+// Restart returns the disk as the next process sees it after a restart of the
+// process alone; every later call on d fails.
 func (d *Disk) Restart() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -19,21 +19,21 @@
 	return next
 }
 
-// Reboot returns the disk as it may look after the machine crashed; the old
-// one fails from now on.
+// Reboot returns the disk in a random state that is possible after a crash of the
+// machine; every later call on d fails.
 func (d *Disk) Reboot(random *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crashed = true
 	next := New()
 	next.dirs = maps.Clone(d.dirs)
-	for _, name := range d.touched() {
+	for _, name := range d.allNames() {
 		kept := d.names[name]
 		if kept != d.durable[name] && random.IntN(2) == 0 {
 			kept = d.durable[name]
 		}
 		if kept != nil {
-			data := kept.afterCrash(random)
+			data := kept.dataAfterCrash(random)
 			next.names[name] = &inode{data: data, synced: len(data)}
 		}
 	}
@@ -41,7 +41,8 @@
 	return next
 }
 
-func (d *Disk) touched() []string {
+// allNames returns the sorted names of all files, durable or not.
+func (d *Disk) allNames() []string {
 	all := maps.Clone(d.durable)
 	maps.Copy(all, d.names)
 	return slices.Sorted(maps.Keys(all))
@@ -49,10 +50,10 @@
 
 const sectorSize = 512
 
-// afterCrash returns what is left of a file.
-func (n *inode) afterCrash(random *rand.Rand) []byte {
+// dataAfterCrash returns the content of a file after a crash.
+func (n *inode) dataAfterCrash(random *rand.Rand) []byte {
 	unsynced := len(n.data) - n.synced
-	if n.broken || unsynced == 0 {
+	if n.syncFailed || unsynced == 0 {
 		return slices.Clone(n.data[:n.synced])
 	}
 	switch random.IntN(4) {
@@ -63,11 +64,12 @@
 	case 2:
 		return slices.Clone(n.data[:n.synced+random.IntN(unsynced)])
 	default:
-		return n.withEmptySectors(random)
+		return n.withZeroedSectors(random)
 	}
 }
 
-func (n *inode) withEmptySectors(random *rand.Rand) []byte {
+// withZeroedSectors returns the content with some of the unsynced sectors zeroed.
+func (n *inode) withZeroedSectors(random *rand.Rand) []byte {
 	data := slices.Clone(n.data)
 	for from := n.synced; from < len(data); {
 		next := min((from/sectorSize+1)*sectorSize, len(data))
@@ -79,21 +81,21 @@
 	return data
 }
 
-// Flip changes one bit of a file, durably.
+// Flip inverts one bit of a file, durably.
 func (d *Disk) Flip(name string, offset int, bit uint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.names[name].data[offset] ^= 1 << (bit % 8)
 }
 
-// Zero clears bytes of a file, durably, as a lost block does.
+// Zero sets a range of bytes of a file to zero, durably, as a lost block would.
 func (d *Disk) Zero(name string, from, to int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.names[name].data[from:to])
 }
 
-// Truncate cuts a file to size bytes, durably.
+// Truncate truncates a file to size bytes, durably.
 func (d *Disk) Truncate(name string, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/datafolder/fakedisk/disk.go
+++ b/internal/datafolder/fakedisk/disk.go
@@ -1,12 +1,11 @@
-// Package fakedisk is a file system in memory for crash tests: it forgets what
-// was not synced, fails chosen calls, and can be full. It is imported by tests
-// only.
+// Package fakedisk is an in-memory file system for crash tests: it loses unsynced
+// data, makes selected calls fail, and can be full. It is imported by tests only.
 //
-// It is as unkind as a real one may be. After a crash each name in a directory
-// that was not synced is either the old or the new one, independent of the
-// others; unsynced bytes are lost, kept in part, or kept with whole sectors
-// empty. After a failed sync the bytes read back as if they were there and the
-// next sync reports success, yet they are lost at the next crash.
+// It shows the worst behaviour that a real file system may show. After a crash each
+// name in a directory that was not synced is either the old or the new one,
+// independent of the others; unsynced bytes are lost, kept in part, or kept with
+// whole sectors zeroed. After a failed sync the bytes can be read and the next sync
+// reports success, but they are lost in the next crash.
 package fakedisk
 
 import (
@@ -21,14 +20,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/datafolder"
 )
 
-// ErrCrash is what a fault returns to stop the machine in the middle of a
-// call; every later call fails with it too.
+// ErrCrash is returned by a Fault to crash the machine in the middle of a call;
+// every later call fails with it too.
 var ErrCrash = errors.New("fakedisk: the machine crashed")
 
-// Kind names a call that changes the disk or makes it durable.
+// Kind is the kind of a call that changes the disk or makes changes durable.
 type Kind string
 
-// The kinds of calls that a fault sees.
+// The kinds of calls that are passed to a Fault.
 const (
 	Create  Kind = "create"
 	Write   Kind = "write"
@@ -38,14 +37,14 @@
 	SyncDir Kind = "sync dir"
 )
 
-// Op is one call. Number counts from 1.
+// Op describes one call. Number counts from 1.
 type Op struct {
 	Number int
 	Kind   Kind
 	File   string
 }
 
-// Fault returns nil to let a call pass, or the error with which it fails.
+// Fault returns nil to let a call succeed, or the error with which it fails.
 type Fault func(Op) error
 
 // Disk implements datafolder.FS.
@@ -62,10 +61,10 @@
 
 type inode struct {
 	data []byte
-	// synced bytes at the front survive a crash.
+	// synced is the number of bytes at the start that survive a crash.
 	synced int
-	// broken is set by a failed sync: nothing more becomes durable.
-	broken bool
+	// syncFailed is set by a failed sync; no further data becomes durable.
+	syncFailed bool
 }
 
 // New returns an empty disk.
@@ -78,24 +77,24 @@
 	}
 }
 
-// SetFault installs the fault that decides about every later call; nil lets
-// all pass.
+// SetFault sets the fault that is asked for every later call; with nil all calls
+// succeed.
 func (d *Disk) SetFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 }
 
-// Ops is the number of calls so far.
+// Ops returns the number of calls so far.
 func (d *Disk) Ops() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ops
 }
 
-// enter counts a call and asks the fault. A call that crashes the machine may
-// take effect in part, hence apply: whether the caller should go on.
-func (d *Disk) enter(kind Kind, file string) (apply bool, err error) {
+// beginOp counts a call and asks the fault for its result. A call that crashes the
+// machine may still take effect; apply reports whether the caller should apply it.
+func (d *Disk) beginOp(kind Kind, file string) (apply bool, err error) {
 	if d.crashed {
 		return false, ErrCrash
 	}
@@ -159,7 +158,7 @@
 func (d *Disk) Create(name string) (datafolder.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	apply, err := d.enter(Create, name)
+	apply, err := d.beginOp(Create, name)
 	if !apply {
 		return nil, err
 	}
@@ -172,7 +171,7 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	apply, err := d.enter(Rename, to)
+	apply, err := d.beginOp(Rename, to)
 	if !apply {
 		return err
 	}
@@ -189,7 +188,7 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	apply, err := d.enter(Remove, name)
+	apply, err := d.beginOp(Remove, name)
 	if apply {
 		delete(d.names, name)
 	}
@@ -200,7 +199,7 @@
 func (d *Disk) SyncDir(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.enter(SyncDir, dir); err != nil {
+	if _, err := d.beginOp(SyncDir, dir); err != nil {
 		return err
 	}
 	inDir := func(name string, _ *inode) bool { return filepath.Dir(name) == filepath.Clean(dir) }
@@ -232,7 +231,7 @@
 	name string
 }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (l *lock) Close() error {
 	l.disk.mu.Lock()
 	defer l.disk.mu.Unlock()
@@ -246,11 +245,11 @@
 	inode *inode
 }
 
-// Write appends; a write that fails takes effect in half.
+// Write appends data; a write that fails without a crash appends half of it.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	apply, err := f.disk.enter(Write, f.name)
+	apply, err := f.disk.beginOp(Write, f.name)
 	written := len(data)
 	if err != nil && !apply {
 		written /= 2
@@ -262,15 +261,15 @@
 	return written, err
 }
 
-// Sync makes what was written durable, unless a sync failed before.
+// Sync makes the written data durable, unless an earlier sync failed.
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if _, err := f.disk.enter(Sync, f.name); err != nil {
-		f.inode.broken = true
+	if _, err := f.disk.beginOp(Sync, f.name); err != nil {
+		f.inode.syncFailed = true
 		return err
 	}
-	if !f.inode.broken {
+	if !f.inode.syncFailed {
 		f.inode.synced = len(f.inode.data)
 	}
 	return nil
--- a/internal/datafolder/folder.go
+++ b/internal/datafolder/folder.go
@@ -21,12 +21,12 @@
 	snapshotName = "snapshot"
 )
 
-// Options say whose folder is opened.
+// Options holds the path of a folder and its expected owner.
 type Options struct {
 	Path string
 	Site string
 	Node model.NodeID
-	// Disk is the file system; nil is that of the operating system.
+	// Disk is the file system; nil selects that of the operating system.
 	Disk FS
 }
 
@@ -40,16 +40,16 @@
 	identity Identity
 }
 
-// identityFile is the stored form: the CRC covers Body.
+// identityFile is the stored form of the identity; the CRC covers Body.
 type identityFile struct {
 	Format int    `cbor:"1,keyasint"`
 	CRC    uint32 `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint"`
 }
 
-// Open locks a folder and reads its identity; an empty folder gets a new one.
-// It refuses a folder of another site, node or format, and a folder that holds
-// a log but no identity.
+// Open locks a folder and reads its identity; an empty folder gets a new one. It
+// refuses a folder of another site, node or format, and a folder that holds a log
+// or a snapshot but no identity.
 func Open(o Options) (*Folder, error) {
 	if o.Disk == nil {
 		o.Disk = Disk{}
@@ -57,21 +57,21 @@
 	if err := o.Disk.MkdirAll(o.Path); err != nil {
 		return nil, Failed("make folder", o.Path, err)
 	}
-	lock, err := takeLock(o)
+	lock, err := acquireLock(o)
 	if err != nil {
 		return nil, err
 	}
 	f := &Folder{path: o.Path, disk: o.Disk, lock: lock}
-	if err := f.load(o); err != nil {
+	if err := f.loadIdentity(o); err != nil {
 		_ = lock.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// takeLock keeps a second process away: two processes that append to one log
-// would each overwrite promises of the other.
-func takeLock(o Options) (io.Closer, error) {
+// acquireLock prevents a second process from using the folder: two processes that
+// append to one log would overwrite each other's promises to other voters.
+func acquireLock(o Options) (io.Closer, error) {
 	name := filepath.Join(o.Path, lockName)
 	lock, err := o.Disk.Lock(name)
 	if errors.Is(err, ErrLocked) {
@@ -84,19 +84,21 @@
 	return lock, nil
 }
 
-func (f *Folder) load(o Options) error {
+// loadIdentity reads the identity and checks the owner, or creates an identity in
+// a new folder.
+func (f *Folder) loadIdentity(o Options) error {
 	if err := RemoveTemporary(f.disk, f.path); err != nil {
 		return err
 	}
 	name := f.identityPath()
 	data, err := f.disk.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return f.create(o)
+		return f.createIdentity(o)
 	}
 	if err != nil {
 		return Failed("read", name, err)
 	}
-	identity, err := decodeFile(name, data)
+	identity, err := decodeIdentityFile(name, data)
 	if err != nil {
 		return err
 	}
@@ -107,10 +109,10 @@
 	return nil
 }
 
-// create makes a new identity, in a folder that holds nothing else. A log
-// without an identity means that the identity was deleted: under a new one the
-// votes in the log would be forgotten without the disk being known as lost.
-func (f *Folder) create(o Options) error {
+// createIdentity stores a new identity in a folder without log and snapshot. A log
+// without an identity means that the identity was deleted: under a new one, the
+// votes in the log would be forgotten although the disk does not count as lost.
+func (f *Folder) createIdentity(o Options) error {
 	names, err := f.disk.List(f.path)
 	if err != nil {
 		return Failed("list", f.path, err)
@@ -134,7 +136,7 @@
 		Remedy: "correct data_folder, or site and node name, in the settings"}
 }
 
-func decodeFile(name string, data []byte) (Identity, error) {
+func decodeIdentityFile(name string, data []byte) (Identity, error) {
 	var stored identityFile
 	if err := cbor.Unmarshal(data, &stored); err != nil {
 		return Identity{}, &CorruptError{File: name, Why: err.Error(), Remedy: RemedyRejoin}
@@ -154,14 +156,14 @@
 	return identity, nil
 }
 
-// Identity returns who owns the folder.
+// Identity returns the identity of the folder.
 func (f *Folder) Identity() Identity {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.identity
 }
 
-// SetIdentity makes an identity durable. It is in force only when nil is returned.
+// SetIdentity makes an identity durable. It takes effect only when nil is returned.
 func (f *Folder) SetIdentity(identity Identity) error {
 	body, err := identity.Encode()
 	if err != nil {
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// Renew gives the folder a new disk identity in PhaseEmpty. The caller must
-// know that the disk never took part in the quorum.
+// Renew gives the folder a new disk identity in PhaseEmpty. It may be called only
+// when the disk never took part in the quorum.
 func (f *Folder) Renew() error {
 	old := f.Identity()
 	return f.SetIdentity(newIdentity(old.Site, old.Node))
@@ -190,13 +192,13 @@
 // FS returns the file system of the folder.
 func (f *Folder) FS() FS { return f.disk }
 
-// LogPath is the directory of the log.
+// LogPath returns the directory of the log.
 func (f *Folder) LogPath() string { return filepath.Join(f.path, logName) }
 
-// SnapshotPath is the directory of the snapshot.
+// SnapshotPath returns the directory of the snapshot.
 func (f *Folder) SnapshotPath() string { return filepath.Join(f.path, snapshotName) }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (f *Folder) Close() error { return f.lock.Close() }
 
 func (f *Folder) identityPath() string { return filepath.Join(f.path, identityName) }
--- a/internal/datafolder/folder_test.go
+++ b/internal/datafolder/folder_test.go
@@ -15,10 +15,9 @@
 	return datafolder.Options{Path: "/data", Site: "port-klang", Node: "a", Disk: disk}
 }
 
-// Symptom: a voter votes under two disk identities, or forgets a phase that it
-// told others.
-// Sequence: the machine stops within any call while the identity is written.
-// Cause: the identity was in force before it was durable.
+// The machine crashes during any call while the identity is written. An identity
+// that takes effect before it is durable could make a voter vote under two disk
+// identities, or forget a phase that it reported to others.
 func TestIdentitySurvivesCrashes(t *testing.T) {
 	is := is.New(t)
 	for crash := 1; crash <= 12; crash++ {
@@ -33,23 +32,23 @@
 			})
 			f, err := datafolder.Open(options(disk))
 			opened := err == nil
-			var told datafolder.Identity
+			var reported datafolder.Identity
 			if opened {
-				told = f.Identity()
-				next := told
+				reported = f.Identity()
+				next := reported
 				next.Phase = datafolder.PhaseActive
 				_ = f.SetIdentity(next)
-				told = f.Identity()
+				reported = f.Identity()
 			}
 			again, err := datafolder.Open(options(disk.Reboot(random)))
 			is.NoErr(err)
-			is.True(!opened || again.Identity().Disk == told.Disk)
-			is.True(!opened || again.Identity().Phase >= told.Phase)
+			is.True(!opened || again.Identity().Disk == reported.Disk)
+			is.True(!opened || again.Identity().Phase >= reported.Phase)
 		}
 	}
 }
 
-func TestFolderOfAnotherIsRefused(t *testing.T) {
+func TestFolderOfAnotherOwnerIsRefused(t *testing.T) {
 	is := is.New(t)
 	disk := fakedisk.New()
 	f, err := datafolder.Open(options(disk))
--- a/internal/datafolder/fs.go
+++ b/internal/datafolder/fs.go
@@ -14,28 +14,28 @@
 	fileMode   fs.FileMode = 0o600
 )
 
-// ErrLocked says that another process holds the lock of the folder.
+// ErrLocked is returned when another process holds the lock of the folder.
 var ErrLocked = errors.New("datafolder: locked by another process")
 
-// FS is what the storage packages need of a file system. It is as small as it
-// can be, so that a test can stand in for it and fail or crash at each call.
+// FS is the part of a file system that the storage packages use. It is minimal so
+// that a test can replace it and make each call fail or crash.
 type FS interface {
-	// MkdirAll makes a directory and its parents.
+	// MkdirAll creates a directory and its parents.
 	MkdirAll(dir string) error
 	// List returns the names in a directory in ascending order.
 	List(dir string) ([]string, error)
-	// ReadFile returns a whole file; fs.ErrNotExist when there is none.
+	// ReadFile returns the content of a file; fs.ErrNotExist when there is none.
 	ReadFile(name string) ([]byte, error)
-	// Create makes an empty file, or empties the one that is there.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Rename gives a file its new name, replacing what has that name.
+	// Rename renames a file, replacing an existing file of the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes the entries of a directory durable.
 	SyncDir(dir string) error
-	// Lock takes an exclusive lock that ends with the process or with Close.
-	// It returns ErrLocked when another process holds it.
+	// Lock acquires an exclusive lock, which is released by Close or when the
+	// process ends. It returns ErrLocked when another process holds it.
 	Lock(name string) (io.Closer, error)
 }
 
--- a/internal/datafolder/identity.go
+++ b/internal/datafolder/identity.go
@@ -11,25 +11,24 @@
 	"github.com/comfreyloom/comfreyloom/internal/quorum"
 )
 
-// FormatVersion is the version of the folder's layout that this build writes.
+// FormatVersion is the version of the folder's format that this build writes.
 const FormatVersion = 1
 
-// Phase says how far a disk has come on its way into the site. It only moves
-// forward, but for a founding that was abandoned, which starts over under a
-// new disk identity.
+// Phase is the progress of a disk in joining the site. It only moves forward. After
+// an abandoned founding, the disk starts over under a new disk identity.
 type Phase uint8
 
 const (
-	// PhaseEmpty: the disk never took part in anything.
+	// PhaseEmpty means that the disk never took part in a founding or a quorum.
 	PhaseEmpty Phase = iota + 1
-	// PhaseAdopted: the disk promised to belong to one founding and to no
-	// other, and takes no part in the quorum yet.
+	// PhaseAdopted means that the disk promised to belong to one founding and to no
+	// other, and does not take part in the quorum yet.
 	PhaseAdopted
-	// PhaseActive: the disk may vote and store entries.
+	// PhaseActive means that the disk may vote and store entries.
 	PhaseActive
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	switch p {
 	case PhaseEmpty:
@@ -43,33 +42,33 @@
 	}
 }
 
-// Founding is the record of the disks that found a site together.
+// Founding records the disks that found a site together.
 type Founding struct {
-	// ID is random and names this founding.
+	// ID is random and identifies this founding.
 	ID string `cbor:"1,keyasint"`
 	// Voters are the founding voters; empty on a disk that joined later.
 	Voters quorum.Voters `cbor:"2,keyasint"`
 }
 
-// Identity says who owns a data folder. It is a value and encodes as CBOR.
+// Identity is the owner of a data folder. It is a value type, encoded as CBOR.
 type Identity struct {
 	Format int          `cbor:"1,keyasint"`
 	Site   string       `cbor:"2,keyasint"`
 	Node   model.NodeID `cbor:"3,keyasint"`
-	// Disk is random and made with the folder, so that a lost disk never
-	// comes back under the identity that voted before.
+	// Disk is random and generated with the folder, so that the replacement of a
+	// lost disk never gets the identity that voted before.
 	Disk     string   `cbor:"4,keyasint"`
 	Phase    Phase    `cbor:"5,keyasint"`
 	Founding Founding `cbor:"6,keyasint"`
 }
 
-// Voter is the identity under which this disk votes.
+// Voter returns the voter ID of this disk.
 func (i Identity) Voter() quorum.ID { return VoterID(i.Node, i.Disk) }
 
 // Encode returns the identity as CBOR.
 func (i Identity) Encode() ([]byte, error) { return encoding.Marshal(i) }
 
-// DecodeIdentity is the inverse of Encode.
+// DecodeIdentity decodes an identity that Encode returned.
 func DecodeIdentity(data []byte) (Identity, error) {
 	var i Identity
 	err := cbor.Unmarshal(data, &i)
@@ -86,7 +85,7 @@
 	}
 }
 
-// NewFounding returns the founding of a site with the given voters.
+// NewFounding returns a new founding of a site with the given voters.
 func NewFounding(voters []quorum.ID) Founding {
 	members := slices.Clone(voters)
 	slices.Sort(members)
--- a/internal/datafolder/replace.go
+++ b/internal/datafolder/replace.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// TemporarySuffix marks files that were not yet renamed into place. One that
-// is found at a start was left by a crash and holds nothing that counts.
+// TemporarySuffix marks files that have not been renamed into place yet. A file
+// with this suffix found at startup was left by a crash and can be deleted.
 const TemporarySuffix = ".tmp"
 
-// Replace makes data the durable content of a file in one step: after a crash
-// at any point the file holds either all of the old content or all of the new.
+// Replace atomically replaces the content of a file with data and makes it durable:
+// after a crash at any point the file holds either the old or the new content,
+// complete.
 func Replace(disk FS, name string, data []byte) error {
 	f, err := ReplaceOpen(disk, name, data)
 	if err != nil {
@@ -19,26 +20,27 @@
 	return Failed("close", name, f.Close())
 }
 
-// ReplaceOpen is Replace for a file to which more will be appended.
+// ReplaceOpen does the same as Replace and returns the file open for appending.
 //
-// The data is synced before the rename: otherwise a crash could leave the new
-// name on a file whose content never reached the disk. The directory is synced
-// after it: otherwise the old file could come back after a crash, and with it
-// a state that the caller already promised to have left.
+// The data is synced before the rename: otherwise a crash could leave a file with
+// the final name whose content never reached the disk. The directory is synced
+// after the rename: otherwise the old file could reappear after a crash, and with
+// it a state that the caller already promised to have left.
 func ReplaceOpen(disk FS, name string, data []byte) (File, error) {
 	temporary := name + TemporarySuffix
 	f, err := disk.Create(temporary)
 	if err != nil {
 		return nil, Failed("create", temporary, err)
 	}
-	if err := fill(disk, f, name, data); err != nil {
+	if err := writeAndRename(disk, f, name, data); err != nil {
 		_ = f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func fill(disk FS, f File, name string, data []byte) error {
+// writeAndRename writes data to the temporary file f and renames it to name.
+func writeAndRename(disk FS, f File, name string, data []byte) error {
 	temporary := name + TemporarySuffix
 	if _, err := f.Write(data); err != nil {
 		return Failed("write", temporary, err)
@@ -53,7 +55,7 @@
 	return Failed("sync", dir, disk.SyncDir(dir))
 }
 
-// RemoveTemporary deletes what a crash left behind half written in dir.
+// RemoveTemporary deletes the temporary files that a crash left in dir.
 func RemoveTemporary(disk FS, dir string) error {
 	names, err := disk.List(dir)
 	if err != nil {
--- a/internal/datafolder/room.go
+++ b/internal/datafolder/room.go
@@ -7,36 +7,38 @@
 )
 
 const (
-	// roomFile is written to see whether the disk takes bytes; its name marks
-	// it as left over if a crash keeps it.
-	roomFile = "room" + TemporarySuffix
-	// roomBytes is more than a process writes before it takes part in anything.
-	roomBytes = 256 << 10
+	// probeFile is written to check whether the disk is full. Its suffix makes
+	// RemoveTemporary delete it when a crash leaves it behind.
+	probeFile = "room" + TemporarySuffix
+	// probeBytes is the size of the file: more than a process writes before it
+	// takes part in the site.
+	probeBytes = 256 << 10
 )
 
-// IsFull says whether an error means that the disk takes no more bytes.
+// IsFull reports whether an error means that the disk or the quota is full.
 func IsFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// HasRoom writes some bytes into a folder and removes them again. The error
-// says what failed; IsFull tells whether waiting can help.
+// HasRoom checks for free disk space by writing a small file to a folder and
+// removing it again. It returns the error of the step that failed; when IsFull
+// reports true for it, waiting may help.
 func HasRoom(disk FS, dir string) error {
 	if err := disk.MkdirAll(dir); err != nil {
 		return Failed("make", dir, err)
 	}
-	name := filepath.Join(dir, roomFile)
+	name := filepath.Join(dir, probeFile)
 	f, err := disk.Create(name)
 	if err != nil {
 		return Failed("create", name, err)
 	}
-	_, err = f.Write(make([]byte, roomBytes))
+	_, err = f.Write(make([]byte, probeBytes))
 	if err == nil {
 		err = f.Sync()
 	}
 	_ = f.Close()
-	if removed := disk.Remove(name); err == nil {
-		err = removed
+	if removeErr := disk.Remove(name); err == nil {
+		err = removeErr
 	}
 	return Failed("write", name, err)
 }
--- a/internal/datafolder/voterid.go
+++ b/internal/datafolder/voterid.go
@@ -9,7 +9,7 @@
 
 const diskSeparator = "#"
 
-// VoterID joins a node and the identity of its disk.
+// VoterID returns the voter ID of a node with the given disk identity.
 func VoterID(node model.NodeID, disk string) quorum.ID {
 	return quorum.ID(string(node) + diskSeparator + disk)
 }
