--- a/internal/security/authorizer.go
+++ b/internal/security/authorizer.go
@@ -13,45 +13,47 @@
 )
 
 const (
-	// reloadEvery is how old the knowledge about the file may be.
-	reloadEvery = 2 * time.Second
-	// reloadOnFailure bounds how often wrong tokens make the file be looked at.
-	reloadOnFailure = 200 * time.Millisecond
+	// reloadInterval is the longest time between checks of the file for changes
+	// while requests arrive.
+	reloadInterval = 2 * time.Second
+	// reloadIntervalOnMismatch is the shortest time between checks of the file that
+	// are caused by wrong tokens.
+	reloadIntervalOnMismatch = 200 * time.Millisecond
 )
 
-// ErrNoToken says that a request has no bearer token.
+// ErrNoToken is returned for a request without a bearer token.
 var ErrNoToken = errors.New("security: no bearer token")
 
-// ErrWrongToken says that a request's bearer token is not in the file.
+// ErrWrongToken is returned for a request whose bearer token is not in the file.
 var ErrWrongToken = errors.New("security: wrong bearer token")
 
-// Anonymous is the name of a peer whose token has none, or of any peer of an
+// Anonymous is the name of a peer whose token has no name, and of every peer of an
 // open listener.
 const Anonymous = "anonymous"
 
-// Authorizer checks requests of one kind of peer. It is safe for concurrent use.
+// Authorizer checks the bearer tokens of one kind of peer. It is safe for
+// concurrent use.
 type Authorizer struct {
 	path  string
 	clock func() time.Time
 
 	refused, failedReloads metrics.Counter
 
-	mu     sync.Mutex
-	tokens tokenSet
-	stamp  stamp
-	looked time.Time
+	mu        sync.Mutex
+	tokens    tokenSet
+	loaded    fileVersion
+	checkedAt time.Time
 }
 
-// stamp tells one content of a file from another without reading it.
-type stamp struct {
+// fileVersion identifies the content of a file without reading it.
+type fileVersion struct {
 	size     int64
 	modified time.Time
-	file     os.FileInfo
+	info     os.FileInfo
 }
 
-// Open reads the token file of one kind of peer; an empty path gives an
-// authorizer that accepts every request. Counters go to registry under
-// "security.<kind>.".
+// Open reads the token file of one kind of peer; with an empty path the authorizer
+// accepts every request. Its counters are registered under "security.<kind>.".
 func Open(kind, path string, registry metrics.Registry) (*Authorizer, error) {
 	return open(kind, path, registry, time.Now)
 }
@@ -63,23 +65,23 @@
 	if path == "" {
 		return a, nil
 	}
-	seen, err := look(path)
+	version, err := statFile(path)
 	if err != nil {
 		return nil, oops.In("security").With("kind", kind, "file", path).Wrapf(err, "token file")
 	}
-	a.tokens, err = readFile(path)
+	a.tokens, err = readTokenFile(path)
 	if err != nil {
 		return nil, oops.In("security").With("kind", kind, "file", path).Wrapf(err, "token file")
 	}
-	a.stamp, a.looked = seen, clock()
+	a.loaded, a.checkedAt = version, clock()
 	return a, nil
 }
 
 // IsOpen reports whether the listener accepts requests without a token.
 func (a *Authorizer) IsOpen() bool { return a.path == "" }
 
-// Authorize returns the name of the peer that sent a request. Errors are
-// ErrNoToken and ErrWrongToken; both are counted.
+// Authorize returns the name of the peer that sent a request. Its errors are
+// ErrNoToken and ErrWrongToken; it counts both.
 func (a *Authorizer) Authorize(r *http.Request) (string, error) {
 	if a.IsOpen() {
 		return Anonymous, nil
@@ -89,7 +91,7 @@
 		a.refused.Inc(1)
 		return "", ErrNoToken
 	}
-	name, ok := a.check(secret)
+	name, ok := a.findToken(secret)
 	if !ok {
 		a.refused.Inc(1)
 		return "", ErrWrongToken
@@ -100,75 +102,76 @@
 	return name, nil
 }
 
-// Token returns the token that this process sends: the first of the file,
-// empty for an open listener or a file without tokens.
+// Token returns the token that this process sends: the first one in the file, or
+// an empty string for an open listener or a file without tokens.
 func (a *Authorizer) Token() string {
 	if a.IsOpen() {
 		return ""
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.reload(reloadEvery)
+	a.reload(reloadInterval)
 	if len(a.tokens) == 0 {
 		return ""
 	}
 	return a.tokens[0].secret
 }
 
-func (a *Authorizer) check(secret string) (string, bool) {
+func (a *Authorizer) findToken(secret string) (string, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.reload(reloadEvery)
+	a.reload(reloadInterval)
 	name, ok := a.tokens.find(secret)
 	if ok {
 		return name, true
 	}
-	// The token may have been added a moment ago.
-	if !a.reload(reloadOnFailure) {
+	// The token may have just been added to the file.
+	if !a.reload(reloadIntervalOnMismatch) {
 		return "", false
 	}
 	return a.tokens.find(secret)
 }
 
-// reload takes in a changed file unless it was looked at within age, and
-// reports whether the tokens changed. A file that became unreadable or
-// invalid leaves the tokens as they are: otherwise a mistake in one file
-// would cut this VM off from all others.
+// reload reads the file if it has changed and reports whether it did. It does
+// nothing when the last check is less than age ago. A file that became unreadable
+// or invalid leaves the tokens unchanged: otherwise a mistake in one file would
+// disconnect this VM from all others.
 func (a *Authorizer) reload(age time.Duration) bool {
 	now := a.clock()
-	if now.Sub(a.looked) < age {
+	if now.Sub(a.checkedAt) < age {
 		return false
 	}
-	a.looked = now
-	seen, err := look(a.path)
+	a.checkedAt = now
+	version, err := statFile(a.path)
 	if err != nil {
 		a.failedReloads.Inc(1)
 		return false
 	}
-	if seen.same(a.stamp) {
+	if version.equal(a.loaded) {
 		return false
 	}
-	tokens, err := readFile(a.path)
+	tokens, err := readTokenFile(a.path)
 	if err != nil {
 		a.failedReloads.Inc(1)
 		return false
 	}
-	a.tokens, a.stamp = tokens, seen
+	a.tokens, a.loaded = tokens, version
 	return true
 }
 
-func look(path string) (stamp, error) {
+func statFile(path string) (fileVersion, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}, err
+		return fileVersion{}, err
 	}
-	return stamp{size: info.Size(), modified: info.ModTime(), file: info}, nil
+	return fileVersion{size: info.Size(), modified: info.ModTime(), info: info}, nil
 }
 
-func (s stamp) same(o stamp) bool {
-	return s.size == o.size && s.modified.Equal(o.modified) && os.SameFile(s.file, o.file)
+func (v fileVersion) equal(other fileVersion) bool {
+	return v.size == other.size && v.modified.Equal(other.modified) && os.SameFile(v.info, other.info)
 }
 
+// bearer returns the bearer token of a request.
 func bearer(r *http.Request) (string, bool) {
 	scheme, secret, found := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") || secret == "" || len(secret) > MaxTokenBytes {
--- a/internal/security/doc.go
+++ b/internal/security/doc.go
@@ -1,17 +1,17 @@
-// Package security checks the bearer tokens of one kind of peer (operators,
-// nodes, upstreams), each kind against a file of its own.
+// Package security checks the bearer tokens of peers. Each kind of peer
+// (operators, nodes, upstreams) has its own token file.
 //
-// A file holds one token a line, bare or as "name:token"; empty lines and
-// lines that start with '#' are skipped. A token is 16 to 512 bytes of
-// letters, digits and "-._~+/=". The rules for a file that gives no tokens:
+// A file holds one token per line, alone or as "name:token"; empty lines and lines
+// that start with '#' are skipped. A token has 16 to 512 bytes of letters, digits
+// and "-._~+/=". Without tokens to check against:
 //
-//   - no file named in the settings: the listener is open, nothing is checked;
-//   - a file that is missing, unreadable or invalid at start: an error;
-//   - the same while running: the tokens read last stay in force, counted;
-//   - a valid file without tokens: every request is refused.
+//   - if the settings name no file, the listener is open and nothing is checked;
+//   - if the file is missing, unreadable or invalid at startup, Open fails;
+//   - if it becomes so later, the tokens read last stay valid and a counter is
+//     incremented;
+//   - if the file is valid but holds no tokens, every request is refused.
 //
-// The first token is the one which this process sends to others of the same
-// kind, so a token is replaced without a gap: add the new one as the last
-// line everywhere, then move it to the first line everywhere, then remove
-// the old one.
+// The first token is the one that this process sends to peers of the same kind. To
+// replace a token without interruption, add the new one as the last line
+// everywhere, then move it to the first line everywhere, then remove the old one.
 package security
--- a/internal/security/security_test.go
+++ b/internal/security/security_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// Symptom: a revoked token still works, a new one does not, or a mistake in
-// the file cuts a VM off. Sequence: the file is replaced, emptied, broken and
-// removed while requests come. Cause: a reload that is missing, or that takes
-// in whatever it finds.
+// The token file is replaced, emptied, made invalid and removed while requests
+// arrive. If it were not reloaded, a revoked token would still work and a new one
+// would not; if any content were accepted, a mistake in the file would disconnect
+// the VM.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "tokens")
@@ -81,24 +81,24 @@
 	is.Equal(registry.Get("security.nodes.refused").(metrics.Counter).Count(), int64(3))
 
 	write("a:" + oldToken + "\nb:" + newToken)
-	now = now.Add(reloadOnFailure) // an unknown token makes it look early
+	now = now.Add(reloadIntervalOnMismatch) // an unknown token causes an early check
 	is.NoErr(try("Bearer " + newToken))
-	is.Equal(a.Token(), oldToken) // the first is the one to send
+	is.Equal(a.Token(), oldToken) // the first one is sent
 	write("b:" + newToken)
-	now = now.Add(reloadEvery)
+	now = now.Add(reloadInterval)
 	is.Equal(try("Bearer "+oldToken), ErrWrongToken) // revoked
 	is.Equal(a.Token(), newToken)
 
 	write("short")
-	now = now.Add(reloadEvery)
-	is.NoErr(try("Bearer " + newToken)) // a mistake leaves the tokens in force
+	now = now.Add(reloadInterval)
+	is.NoErr(try("Bearer " + newToken)) // an invalid file leaves the tokens valid
 	is.NoErr(os.Remove(path))
-	now = now.Add(reloadEvery)
+	now = now.Add(reloadInterval)
 	is.NoErr(try("Bearer " + newToken))
 	is.Equal(registry.Get("security.nodes.reload_failed").(metrics.Counter).Count(), int64(2))
 	write("# nobody")
-	now = now.Add(reloadEvery)
-	is.Equal(try("Bearer "+newToken), ErrWrongToken) // an empty file refuses all
+	now = now.Add(reloadInterval)
+	is.Equal(try("Bearer "+newToken), ErrWrongToken) // a file without tokens refuses every request
 	is.Equal(a.Token(), "")
 
 	open, err := Open("operators", "", registry)
--- a/internal/security/tokens.go
+++ b/internal/security/tokens.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// MinTokenBytes is the least length of a token; shorter ones can be guessed.
+	// MinTokenBytes is the minimum length of a token; shorter ones can be guessed.
 	MinTokenBytes = 16
-	// MaxTokenBytes bounds a token.
+	// MaxTokenBytes is the maximum length of a token.
 	MaxTokenBytes = 512
-	// MaxTokens bounds the tokens of one file.
+	// MaxTokens is the maximum number of tokens in a file.
 	MaxTokens = 256
-	// maxFileBytes bounds a token file.
+	// maxFileBytes is the maximum size of a token file.
 	maxFileBytes = 256 << 10
 )
 
-// tokenAlphabet is what a bearer token may hold (RFC 6750, b64token).
+// tokenAlphabet holds the characters allowed in a bearer token (RFC 6750, b64token).
 const tokenAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~+/="
 
-// ErrInvalidFile says that a token file breaks a rule; the error's text names
-// the line, never the token.
+// ErrInvalidFile is returned for a token file that breaks a rule. The error message
+// contains the line number, never the token.
 var ErrInvalidFile = errors.New("security: invalid token file")
 
-// token is one accepted bearer token. Only its hash is compared, so that the
-// time of a comparison tells nothing about length or content.
+// token is one accepted bearer token. Only its hash is compared, so that the time
+// of a comparison reveals nothing about its length or content.
 type token struct {
 	name   string
 	secret string
@@ -93,8 +93,8 @@
 	return token{name: name, secret: secret, hash: sha256.Sum256([]byte(secret))}, nil
 }
 
-// find returns the name of a secret. It compares with every token and takes
-// the same time whichever matches.
+// find returns the name of the token with the given secret. It compares the secret
+// with every token, so it takes the same time whichever matches.
 func (s tokenSet) find(secret string) (string, bool) {
 	hash := sha256.Sum256([]byte(secret))
 	found := -1
@@ -108,7 +108,7 @@
 	return s[found].name, true
 }
 
-func readFile(path string) (tokenSet, error) {
+func readTokenFile(path string) (tokenSet, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, oops.Wrapf(err, "open token file")
