--- a/cmd/comfreyloom/apply.go
+++ b/cmd/comfreyloom/apply.go
@@ -58,7 +58,7 @@
 }
 
 func (k *applyCommand) report(c console, answer reply) exitCode {
-	var decided operator.ManifestAnswer
+	var decided operator.ManifestResponse
 	if json.Unmarshal(answer.body, &decided) != nil || decided.Outcome == "" {
 		return reportFailure(c, "apply", answer)
 	}
@@ -70,7 +70,7 @@
 	return k.reportForce(c, decided)
 }
 
-func (k *applyCommand) reportForce(c console, decided operator.ManifestAnswer) exitCode {
+func (k *applyCommand) reportForce(c console, decided operator.ManifestResponse) exitCode {
 	switch {
 	case decided.InForce == nil:
 		return exitDone
--- a/cmd/comfreyloom/jobs.go
+++ b/cmd/comfreyloom/jobs.go
@@ -36,7 +36,7 @@
 	fmt.Fprintln(w, "JOB\tTEAM\tPOOL\tPRIORITY\tSTATE\tSUBMITTED\tATTEMPTS\tMOVES\tWHY")
 	for _, j := range list.Jobs {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", j.Job, j.Team, j.Pool, j.Priority, j.State,
-			j.Submitted.Format(time.RFC3339), j.Attempts, j.Moves, j.Why)
+			j.Submitted.Format(time.RFC3339), j.Attempts, j.Moves, j.Reason)
 	}
 	_ = w.Flush() // the console that went away has no other output
 	fmt.Fprintf(c.out, "%d of %d jobs\n", len(list.Jobs), list.Total)
--- a/cmd/comfreyloom/script_revise_test.go
+++ b/cmd/comfreyloom/script_revise_test.go
@@ -57,7 +57,7 @@
 	var last error
 	for try := 0; time.Since(began) < patience; try++ {
 		address := os.Getenv("OPERATORS" + p.nodes[(revision+try)%len(p.nodes)])
-		var answer operator.ManifestAnswer
+		var answer operator.ManifestResponse
 		answer, last = put(address, text)
 		switch {
 		case last != nil:
@@ -75,8 +75,8 @@
 }
 
 // put returns what was decided, or an error when nothing was or nobody knows.
-func put(address string, text []byte) (operator.ManifestAnswer, error) {
-	var answer operator.ManifestAnswer
+func put(address string, text []byte) (operator.ManifestResponse, error) {
+	var answer operator.ManifestResponse
 	r, err := http.NewRequest(http.MethodPut, "http://"+address+"/manifest", bytes.NewReader(text))
 	if err != nil {
 		return answer, err
--- a/cmd/comfreyloom/script_watch_test.go
+++ b/cmd/comfreyloom/script_watch_test.go
@@ -74,7 +74,7 @@
 		w.fault("n%s is ready with revision %d after %d", node, s.Revision, w.revisions[node])
 	}
 	w.revisions[node] = max(w.revisions[node], s.Revision)
-	for _, b := range s.Checks {
+	for _, b := range s.Violations {
 		w.fault("n%s: %s: %s", node, b.Invariant, b.Detail)
 	}
 	if w.budgets && string(s.Leader) == "n"+node {
@@ -92,10 +92,10 @@
 func (w *witness) seeBudgets(s operator.Status) {
 	for _, b := range s.Budgets {
 		id := string(b.Service)
-		if w.met[id] && b.Available < b.Least {
-			w.fault("by the leader's account service %s had %d of at least %d instances: %s", id, b.Available, b.Least, b.Why)
+		if w.met[id] && b.Available < b.MinAvailable {
+			w.fault("by the leader's account service %s had %d of at least %d instances: %s", id, b.Available, b.MinAvailable, b.Reason)
 		}
-		w.met[id] = w.met[id] || b.Available >= b.Least
+		w.met[id] = w.met[id] || b.Available >= b.MinAvailable
 	}
 }
 
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -28,7 +28,7 @@
 }
 
 func (a *Agent) sources() operator.Sources {
-	sources := operator.Sources{Nodes: a.nodeStatuses, Checks: a.invariantViolations}
+	sources := operator.Sources{Nodes: a.nodeStatuses, Violations: a.invariantViolations}
 	if a.controller == nil {
 		return sources
 	}
@@ -58,8 +58,8 @@
 	var statuses []operator.BudgetStatus
 	for _, s := range status.Budgets.Services {
 		statuses = append(statuses, operator.BudgetStatus{
-			Service: s.Service, Pool: s.Pool, Instances: s.Wanted, Least: s.Least,
-			Available: s.Available, Reserve: s.Reserve, Left: s.Left, Why: s.Description,
+			Service: s.Service, Pool: s.Pool, Instances: s.Wanted, MinAvailable: s.Least,
+			Available: s.Available, Reserve: s.Reserve, Remaining: s.Left, Reason: s.Description,
 		})
 	}
 	return statuses
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -62,8 +62,8 @@
 // watchWave takes one look at the wave. A budget below its least ends the demo.
 func (r *report) watchWave(status operator.Status) (bool, error) {
 	for _, b := range status.Budgets {
-		if b.Available < b.Least {
-			return false, fmt.Errorf("service %s had %d of at least %d instances", b.Service, b.Available, b.Least)
+		if b.Available < b.MinAvailable {
+			return false, fmt.Errorf("service %s had %d of at least %d instances", b.Service, b.Available, b.MinAvailable)
 		}
 	}
 	held := 0
@@ -76,7 +76,7 @@
 	r.held += held
 	r.worst = max(r.worst, held)
 	for _, w := range status.Waves {
-		if w.State == "done" && w.Underway == 0 {
+		if w.State == "done" && w.UnderMaintenance == 0 {
 			return true, nil
 		}
 	}
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -220,7 +220,7 @@
 		if err != nil {
 			return err
 		}
-		for _, b := range status.Checks {
+		for _, b := range status.Violations {
 			err = errors.Join(err, fmt.Errorf("entry-%d: %s: %s", i+1, b.Invariant, b.Detail))
 		}
 		if err != nil {
--- a/internal/operator/answer.go
+++ b/internal/operator/answer.go
@@ -28,8 +28,8 @@
 	Text string `json:"text,omitempty"`
 }
 
-// ManifestAnswer is the body of the response to a manifest whose outcome is known.
-type ManifestAnswer struct {
+// ManifestResponse is the body of the response to a manifest whose outcome is known.
+type ManifestResponse struct {
 	// Outcome is accepted, already, conflict or stale.
 	Outcome string `json:"outcome"`
 	Message string `json:"message"`
@@ -50,7 +50,7 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(body) // fails only when the peer has disconnected
+	_ = encoder.Encode(body) // a disconnected peer can't be sent an error
 }
 
 // respondError responds to a request that changed nothing.
--- a/internal/operator/build.go
+++ b/internal/operator/build.go
@@ -58,10 +58,10 @@
 		Budgets:     b.budgets(),
 		Waves:       b.waves(),
 		Jobs:        b.jobs(),
-		Checks:      append([]state.Violation{}, state.Check(b.view)...),
+		Violations:  append([]state.Violation{}, state.Check(b.view)...),
 	}
-	if b.sources.Checks != nil {
-		status.Checks = append(status.Checks, b.sources.Checks()...)
+	if b.sources.Violations != nil {
+		status.Violations = append(status.Violations, b.sources.Violations()...)
 	}
 	if b.sources.Measures != nil {
 		status.Measures = b.sources.Measures()
@@ -127,7 +127,7 @@
 		Pool:       owner.Pool,
 		Target:     owner.Target,
 		Moving:     owner.Moving,
-		Why:        owner.Reason,
+		Reason:     owner.Reason,
 		Since:      owner.Since.Time(),
 		Generation: owner.Generation,
 		Quarantine: b.quarantines[owner.VM],
@@ -164,13 +164,13 @@
 	for i := range b.site.Services {
 		s := &b.site.Services[i]
 		budgets = append(budgets, BudgetStatus{
-			Service:   s.ID,
-			Pool:      s.Pool,
-			Instances: s.Instances,
-			Least:     s.MinAvailable,
-			Available: available[s.ID],
-			Left:      available[s.ID] - s.MinAvailable,
-			Why:       "by the tables alone; the leader's status also counts health and the next failure",
+			Service:      s.ID,
+			Pool:         s.Pool,
+			Instances:    s.Instances,
+			MinAvailable: s.MinAvailable,
+			Available:    available[s.ID],
+			Remaining:    available[s.ID] - s.MinAvailable,
+			Reason:       "by the tables alone; the leader's status also counts health and the next failure",
 		})
 	}
 	return budgets
@@ -184,7 +184,7 @@
 	waves := make([]WaveStatus, 0, len(b.site.Waves))
 	for i := range b.site.Waves {
 		wave := b.wave(&b.site.Waves[i])
-		wave.Why = reasons[wave.Wave]
+		wave.Reason = reasons[wave.Wave]
 		waves = append(waves, wave)
 	}
 	return waves
@@ -196,7 +196,7 @@
 		permit := b.view.Permits[id]
 		switch {
 		case permit != nil && permit.Wave == w.ID:
-			status.Underway++
+			status.UnderMaintenance++
 		case !slices.Contains(w.Pools, owner.Pool):
 			continue
 		case state.WaveDone(w, b.view.Maintained[id]):
@@ -205,16 +205,16 @@
 			status.Waiting++
 		}
 	}
-	status.VMs = status.Done + status.Underway + status.Waiting
+	status.VMs = status.Done + status.UnderMaintenance + status.Waiting
 	if b.now < w.Start {
 		return status
 	}
 	status.State = "running"
-	if status.Underway+status.Waiting == 0 {
+	if status.UnderMaintenance+status.Waiting == 0 {
 		status.State = "done"
 		return status
 	}
-	status.End = b.estimateEnd(w, status)
+	status.EstimatedEnd = b.estimateEnd(w, status)
 	return status
 }
 
@@ -224,7 +224,7 @@
 		return nil
 	}
 	perVM := b.now.Sub(w.Start) / time.Duration(s.Done)
-	end := b.now.Add(perVM * time.Duration(s.Underway+s.Waiting)).Time()
+	end := b.now.Add(perVM * time.Duration(s.UnderMaintenance+s.Waiting)).Time()
 	return &end
 }
 
@@ -274,7 +274,7 @@
 		Pool:      job.Spec.Pool,
 		Priority:  job.Spec.Priority.String(),
 		State:     job.State.String(),
-		Why:       job.Reason,
+		Reason:    job.Reason,
 		Submitted: job.Submitted.Time(),
 		Changed:   job.Changed.Time(),
 		Attempts:  job.Attempts,
--- a/internal/operator/manifest.go
+++ b/internal/operator/manifest.go
@@ -106,7 +106,7 @@
 }
 
 func (s *server) respondManifest(w http.ResponseWriter, r *http.Request, requested uint64, m *state.ManifestResult, wait time.Duration) {
-	body := ManifestAnswer{Revision: m.Revision, Digest: m.Digest, Index: m.Index}
+	body := ManifestResponse{Revision: m.Revision, Digest: m.Digest, Index: m.Index}
 	switch m.Outcome {
 	case state.ManifestConflict:
 		body.Outcome = "conflict"
@@ -135,7 +135,7 @@
 
 // waitInForce waits until every VM has applied the manifest. The manifest stays
 // accepted when some have not: they catch up with the log on their own.
-func (s *server) waitInForce(ctx context.Context, body *ManifestAnswer, wait time.Duration) {
+func (s *server) waitInForce(ctx context.Context, body *ManifestResponse, wait time.Duration) {
 	if wait == 0 {
 		return
 	}
@@ -162,5 +162,5 @@
 	h.Set(RevisionHeader, fmt.Sprint(view.Site.Revision))
 	h.Set(DigestHeader, view.ManifestDigest)
 	h.Set(IndexHeader, fmt.Sprint(view.ManifestIndex))
-	_, _ = w.Write(view.ManifestText) // fails only when the peer has disconnected
+	_, _ = w.Write(view.ManifestText) // a disconnected peer can't be sent an error
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -40,7 +40,7 @@
 	w := send(h, "PUT", "/manifest?wait=1ms", exampleManifest(t, 1))
 	is.Equal(w.Code, http.StatusOK)
 	is.Equal(verdict(w), "ran")
-	body := decode[ManifestAnswer](t, w)
+	body := decode[ManifestResponse](t, w)
 	is.Equal(body.Outcome, "accepted")
 	is.Equal(*body.InForce, false)
 	is.Equal(body.Behind, []model.NodeID{"n7"}) // lists the VMs that have not applied it
@@ -77,7 +77,7 @@
 	wg.Wait()
 	accepted := 0
 	for _, w := range responses {
-		body := decode[ManifestAnswer](t, w)
+		body := decode[ManifestResponse](t, w)
 		is.Equal(body.Digest, l.View().ManifestDigest) // every response names the manifest in force
 		if w.Code == http.StatusOK {
 			accepted++
@@ -106,14 +106,14 @@
 	is.True(strings.Contains(decode[Failure](t, w).Message, "again is safe"))
 
 	l.errAfterApply = nil
-	is.Equal(decode[ManifestAnswer](t, send(h, "PUT", "/manifest", exampleManifest(t, 1))).Outcome, "already")
+	is.Equal(decode[ManifestResponse](t, send(h, "PUT", "/manifest", exampleManifest(t, 1))).Outcome, "already")
 	is.Equal(send(h, "PUT", "/manifest", exampleManifest(t, 3)).Code, http.StatusOK)
-	again := decode[ManifestAnswer](t, send(h, "PUT", "/manifest", exampleManifest(t, 1)))
+	again := decode[ManifestResponse](t, send(h, "PUT", "/manifest", exampleManifest(t, 1)))
 	is.Equal(again.Outcome, "already")
 	is.Equal(again.Revision, uint64(3)) // the revision that replaced it
 	w = send(h, "PUT", "/manifest", exampleManifest(t, 2))
 	is.Equal(w.Code, http.StatusConflict)
-	is.Equal(decode[ManifestAnswer](t, w).Outcome, "stale")
+	is.Equal(decode[ManifestResponse](t, w).Outcome, "stale")
 }
 
 func TestRefusalsChangeNothing(t *testing.T) {
@@ -194,14 +194,14 @@
 
 	status := decode[Status](t, send(h, "GET", "/status", ""))
 	is.Equal(status.Leader, model.NodeID("n1"))
-	is.Equal(status.VMs[0].Why, "pool berths is below min_vms")
+	is.Equal(status.VMs[0].Reason, "pool berths is below min_vms")
 	is.Equal(status.Pools[0].VMs, 1)
 	is.Equal(status.Pools[3].VMs, 1) // the spares come last
-	is.Equal(status.Jobs.Waiting[0].Why, "waits for its first placement")
+	is.Equal(status.Jobs.Waiting[0].Reason, "waits for its first placement")
 	is.Equal(len(status.Budgets), 5)
 	is.Equal(status.Waves[0].State, "scheduled")
 	is.Equal(status.Waves[0].Waiting, 1)
-	is.Equal(status.Checks, []state.Violation{})
+	is.Equal(status.Violations, []state.Violation{})
 	table := send(h, "GET", "/status?format=text", "").Body.String()
 	is.True(strings.Contains(table, "pool berths is below min_vms"))
 	is.Equal(decode[JobList](t, send(h, "GET", "/jobs?team=offices", "")).Total, 1)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -26,8 +26,8 @@
 	Budgets     []BudgetStatus `json:"budgets"`
 	Waves       []WaveStatus   `json:"waves"`
 	Jobs        JobsStatus     `json:"jobs"`
-	// Checks are the violated invariants; none in a correct system.
-	Checks []state.Violation `json:"checks_broken"`
+	// Violations are the violated invariants; none in a correct system.
+	Violations []state.Violation `json:"checks_broken"`
 	// Measures holds the users' three measures by name, when the controller runs
 	// here.
 	Measures map[string]float64 `json:"measures,omitempty"`
@@ -66,7 +66,7 @@
 	Pool       model.PoolID `json:"pool"`
 	Target     model.PoolID `json:"target,omitempty"`
 	Moving     bool         `json:"moving,omitempty"`
-	Why        string       `json:"why"`
+	Reason     string       `json:"why"`
 	Since      time.Time    `json:"since"`
 	Generation uint64       `json:"generation"`
 	Wave       model.WaveID `json:"wave,omitempty"`
@@ -81,18 +81,18 @@
 
 // BudgetStatus describes one availability budget.
 type BudgetStatus struct {
-	Service   model.ServiceID `json:"service"`
-	Pool      model.PoolID    `json:"pool"`
-	Instances int             `json:"instances"`
-	Least     int             `json:"min_available"`
-	Available int             `json:"available"`
+	Service      model.ServiceID `json:"service"`
+	Pool         model.PoolID    `json:"pool"`
+	Instances    int             `json:"instances"`
+	MinAvailable int             `json:"min_available"`
+	Available    int             `json:"available"`
 	// Reserve is the number of instances that the worst next failure would make
 	// unavailable.
 	Reserve int `json:"reserve"`
-	// Left is the number of instances that may still be made unavailable on
-	// purpose.
-	Left int    `json:"left"`
-	Why  string `json:"why"`
+	// Remaining is the number of instances that may still be made unavailable
+	// deliberately.
+	Remaining int    `json:"left"`
+	Reason    string `json:"why"`
 }
 
 // WaveStatus is the progress of one wave.
@@ -103,13 +103,13 @@
 	State string `json:"state"`
 	VMs   int    `json:"vms"`
 	Done  int    `json:"done"`
-	// Underway counts the VMs under maintenance now, Waiting those that are still
-	// to be maintained.
-	Underway int `json:"under_way"`
-	Waiting  int `json:"waiting"`
-	// End is estimated from the VMs done so far; nil when none is.
-	End *time.Time `json:"estimated_end,omitempty"`
-	Why string     `json:"why,omitempty"`
+	// UnderMaintenance counts the VMs under maintenance now, Waiting those that are
+	// still to be maintained.
+	UnderMaintenance int `json:"under_way"`
+	Waiting          int `json:"waiting"`
+	// EstimatedEnd is extrapolated from the VMs done so far; nil when none is.
+	EstimatedEnd *time.Time `json:"estimated_end,omitempty"`
+	Reason       string     `json:"why,omitempty"`
 }
 
 // JobsStatus counts the jobs by state and lists waiting ones with their reasons.
@@ -127,7 +127,7 @@
 	Pool      model.PoolID `json:"pool"`
 	Priority  string       `json:"priority"`
 	State     string       `json:"state"`
-	Why       string       `json:"why"`
+	Reason    string       `json:"why"`
 	Submitted time.Time    `json:"submitted"`
 	Changed   time.Time    `json:"changed"`
 	Attempts  int          `json:"attempts"`
@@ -146,8 +146,8 @@
 	Budgets func() []BudgetStatus
 	// Waves returns the reason why a wave does not make progress, by wave.
 	Waves func() map[model.WaveID]string
-	// Checks returns the invariants that were violated in this process.
-	Checks func() []state.Violation
+	// Violations returns the invariants that were violated in this process.
+	Violations func() []state.Violation
 	// Measures returns the users' measures by name.
 	Measures func() map[string]float64
 }
@@ -176,5 +176,5 @@
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set(model.VerdictHeader, model.Ran.String())
-	_ = WriteText(w, status) // fails only when the peer has disconnected
+	_ = WriteText(w, status) // a disconnected peer can't be sent an error
 }
--- a/internal/operator/text.go
+++ b/internal/operator/text.go
@@ -21,7 +21,7 @@
 func WriteText(w io.Writer, s Status) error {
 	t := table{tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
 	t.row("site", s.Site, "revision", s.Revision, "index", s.Index, "leader", s.Leader, "term", s.Term)
-	t.checks(s)
+	t.violations(s)
 	t.nodes(s)
 	t.pools(s)
 	t.budgets(s)
@@ -31,12 +31,12 @@
 	return t.out.Flush()
 }
 
-func (t table) checks(s Status) {
+func (t table) violations(s Status) {
 	t.row()
-	if len(s.Checks) == 0 {
+	if len(s.Violations) == 0 {
 		t.row("checks", "all hold")
 	}
-	for _, v := range s.Checks {
+	for _, v := range s.Violations {
 		t.row("BROKEN", v.Invariant, v.Detail)
 	}
 }
@@ -64,7 +64,7 @@
 	t.row()
 	t.row("BUDGET", "POOL", "INSTANCES", "AVAILABLE", "LEAST", "RESERVE", "LEFT", "WHY")
 	for _, b := range s.Budgets {
-		t.row(b.Service, b.Pool, b.Instances, b.Available, b.Least, b.Reserve, b.Left, b.Why)
+		t.row(b.Service, b.Pool, b.Instances, b.Available, b.MinAvailable, b.Reserve, b.Remaining, b.Reason)
 	}
 }
 
@@ -76,10 +76,10 @@
 	t.row("WAVE", "STATE", "START", "VMS", "DONE", "UNDER WAY", "WAITING", "ESTIMATED END", "WHY")
 	for _, w := range s.Waves {
 		end := ""
-		if w.End != nil {
-			end = w.End.Format(time.RFC3339)
+		if w.EstimatedEnd != nil {
+			end = w.EstimatedEnd.Format(time.RFC3339)
 		}
-		t.row(w.Wave, w.State, w.Start.Format(time.RFC3339), w.VMs, w.Done, w.Underway, w.Waiting, end, w.Why)
+		t.row(w.Wave, w.State, w.Start.Format(time.RFC3339), w.VMs, w.Done, w.UnderMaintenance, w.Waiting, end, w.Reason)
 	}
 }
 
@@ -87,7 +87,7 @@
 	t.row()
 	t.row("WAITING JOB", "TEAM", "PRIORITY", "STATE", "SINCE", "WHY")
 	for _, j := range s.Jobs.Waiting {
-		t.row(j.Job, j.Team, j.Priority, j.State, j.Changed.Format(time.RFC3339), j.Why)
+		t.row(j.Job, j.Team, j.Priority, j.State, j.Changed.Format(time.RFC3339), j.Reason)
 	}
 }
 
@@ -95,6 +95,6 @@
 	t.row()
 	t.row("VM", "POOL", "HEALTH", "MAINTENANCE", "TASKS", "WHY HERE")
 	for _, v := range s.VMs {
-		t.row(v.VM, locationLabel(v), v.Health, v.Phase, v.Tasks, v.Why)
+		t.row(v.VM, locationLabel(v), v.Health, v.Phase, v.Tasks, v.Reason)
 	}
 }
