--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -119,8 +119,8 @@
 	return false
 }
 
-// Named returns the sections "[kind NAME]", sorted by name.
-func (f *File) Named(kind string) []*Section {
+// SectionsOfKind returns the sections "[kind NAME]", sorted by name.
+func (f *File) SectionsOfKind(kind string) []*Section {
 	var named []*Section
 	for _, s := range f.sections {
 		sectionKind, label, ok := strings.Cut(s.name, " ")
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -39,7 +39,7 @@
 // Name returns the section's name as written in the file.
 func (s *Section) Name() string { return s.name }
 
-// Label returns NAME of a section "[kind NAME]" that Named returned.
+// Label returns NAME of a section "[kind NAME]" that SectionsOfKind returned.
 func (s *Section) Label() string { return s.label }
 
 // Report adds a problem with a key of the section.
--- a/internal/manifest/parse.go
+++ b/internal/manifest/parse.go
@@ -80,7 +80,7 @@
 func (p *parser) namedSections(kind string) []section {
 	var sections []section
 	last := ""
-	for _, ini := range p.file.Named(kind) {
+	for _, ini := range p.file.SectionsOfKind(kind) {
 		s := section{ini, kind}
 		label := ini.Label()
 		if !namePattern.MatchString(label) {
