--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -151,7 +151,7 @@
 	} else {
 		time.Sleep(balancerDelay)
 	}
-	remaining := m.Settings.Bounds.StopWithin - stopReserve - time.Since(startedAt)
+	remaining := m.Settings.Bounds.StopTimeout - stopReserve - time.Since(startedAt)
 	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
 	for _, s := range servers {
--- a/internal/settings/member.go
+++ b/internal/settings/member.go
@@ -69,8 +69,8 @@
 	// FleetTakeOver is the time within which orders for one VM of the platform must
 	// not alternate between two VMs of the site.
 	FleetTakeOver time.Duration
-	// StopWithin is the time from a request to stop until the process is killed.
-	StopWithin time.Duration
+	// StopTimeout is the time from a request to stop until the process is killed.
+	StopTimeout time.Duration
 }
 
 // IsMember reports whether a settings file is for a process with a role.
@@ -110,7 +110,7 @@
 		Bounds: MemberBounds{
 			LeaseMax:      bounds.Duration("worker_lease_max", "6s", time.Second, time.Minute),
 			FleetTakeOver: bounds.Duration("fleet_take_over", "3s", 0, time.Minute),
-			StopWithin:    bounds.Duration("stop_within", "6s", time.Second, time.Minute),
+			StopTimeout:   bounds.Duration("stop_within", "6s", time.Second, time.Minute),
 		},
 		Fleet:     f.Section("fleet").Address("address", ""),
 		FleetRate: f.Section("fleet").Float("orders_per_second", "20", 0.1, 10_000),
