--- a/cmd/comfreyloom/audit.go
+++ b/cmd/comfreyloom/audit.go
@@ -29,7 +29,7 @@
 			return code
 		}
 		printRecords(c, page.Records)
-		if printBreaks(c, page.Breaks) {
+		if printBreaks(c, page.Violations) {
 			found = exitFailed
 		}
 		next = page.Next
@@ -67,7 +67,7 @@
 	}
 }
 
-func printBreaks(c console, breaks []audit.Break) bool {
+func printBreaks(c console, breaks []audit.Violation) bool {
 	for _, b := range breaks {
 		fmt.Fprintf(c.err, "comfreyloom audit: the trail is broken at %d (%s): %s\n", b.Sequence, b.Kind, b.Detail)
 	}
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -22,7 +22,7 @@
 // reads the latest entries, which are part of the state.
 func (a *Agent) auditReader() operator.AuditReader {
 	if a.trail == nil {
-		return audit.Tail{Source: a.log}
+		return audit.StateReader{Source: a.log}
 	}
 	return a.trail
 }
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -9,25 +9,25 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// BreakKind is the kind of a break.
-type BreakKind string
+// ViolationKind is the kind of a Violation.
+type ViolationKind string
 
 const (
 	// Gap means that records are missing.
-	Gap BreakKind = "gap"
+	Gap ViolationKind = "gap"
 	// Edit means that the digest of a record does not match the record before it.
-	Edit BreakKind = "edit"
+	Edit ViolationKind = "edit"
 	// Unreadable means that a line can't be decoded as a record.
-	Unreadable BreakKind = "unreadable"
+	Unreadable ViolationKind = "unreadable"
 )
 
-// Break describes one place where the chain of records is broken.
-type Break struct {
-	Kind BreakKind `json:"kind"`
-	File string    `json:"file,omitempty"`
-	Line int       `json:"line,omitempty"`
-	// Sequence is the number of the first record after the break; 0 when the line
-	// can't be decoded.
+// Violation describes one place where the chain of records is not intact.
+type Violation struct {
+	Kind ViolationKind `json:"kind"`
+	File string        `json:"file,omitempty"`
+	Line int           `json:"line,omitempty"`
+	// Sequence is the number of the first record after the violation; 0 when the
+	// line can't be decoded.
 	Sequence uint64 `json:"sequence,omitempty"`
 	Detail   string `json:"detail"`
 }
@@ -37,8 +37,8 @@
 	Records []model.AuditRecord `json:"records"`
 	// Next is the sequence number from which the next read continues.
 	Next uint64 `json:"next"`
-	// Breaks lists the breaks found during the read.
-	Breaks []Break `json:"breaks,omitempty"`
+	// Violations lists the violations found during the read.
+	Violations []Violation `json:"breaks,omitempty"`
 }
 
 // chainEnd is the last record of the part of the chain that has been checked.
@@ -52,34 +52,34 @@
 
 // advance checks that record r continues the chain and makes it the new end. The
 // first record can't be checked against a previous one, unless its number is 1.
-func (e *chainEnd) advance(r model.AuditRecord, file string, line int) *Break {
+func (e *chainEnd) advance(r model.AuditRecord, file string, line int) *Violation {
 	previous := *e
 	*e = chainEnd{sequence: r.Sequence, digest: r.Digest, started: true}
 	unverifiable := !previous.started && r.Sequence != 1
 	switch {
 	case !previous.started && previous.firstSequence != 0 && r.Sequence != previous.firstSequence:
-		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d stands where record %d belongs", r.Sequence, previous.firstSequence)}
+		return &Violation{Gap, file, line, r.Sequence, fmt.Sprintf("record %d stands where record %d belongs", r.Sequence, previous.firstSequence)}
 	case unverifiable:
 		return nil
 	case r.Sequence != previous.sequence+1:
-		return &Break{Gap, file, line, r.Sequence, fmt.Sprintf("record %d follows record %d", r.Sequence, previous.sequence)}
+		return &Violation{Gap, file, line, r.Sequence, fmt.Sprintf("record %d follows record %d", r.Sequence, previous.sequence)}
 	case r.Digest != state.ChainDigest(previous.digest, r):
-		return &Break{Edit, file, line, r.Sequence, fmt.Sprintf("record %d does not fit the one before it", r.Sequence)}
+		return &Violation{Edit, file, line, r.Sequence, fmt.Sprintf("record %d does not fit the one before it", r.Sequence)}
 	default:
 		return nil
 	}
 }
 
-// CheckRecords returns the breaks in a sequence of records.
-func CheckRecords(records []model.AuditRecord) []Break {
+// VerifyRecords returns the violations in a sequence of records.
+func VerifyRecords(records []model.AuditRecord) []Violation {
 	var end chainEnd
-	var breaks []Break
+	var violations []Violation
 	for _, r := range records {
-		if b := end.advance(r, "", 0); b != nil {
-			breaks = append(breaks, *b)
+		if v := end.advance(r, "", 0); v != nil {
+			violations = append(violations, *v)
 		}
 	}
-	return breaks
+	return violations
 }
 
 // encodeLine encodes the record as a line of a file.
--- a/internal/audit/file.go
+++ b/internal/audit/file.go
@@ -33,7 +33,7 @@
 
 func (f file) name() string { return filepath.Base(f.path) }
 
-func newFile(dir string, first uint64) file {
+func fileStartingAt(dir string, first uint64) file {
 	return file{filepath.Join(dir, fmt.Sprintf("%s%020d%s", filePrefix, first, fileSuffix)), first}
 }
 
@@ -57,9 +57,9 @@
 }
 
 // forEachRecord calls onRecord for each record of the file until it returns false,
-// and onBreak for each line that can't be decoded. A last line without a newline
+// and onViolation for each line that can't be decoded. A last line without a newline
 // is a torn write and is skipped; Open truncates it.
-func (f file) forEachRecord(onRecord func(r model.AuditRecord, line int) bool, onBreak func(Break)) error {
+func (f file) forEachRecord(onRecord func(r model.AuditRecord, line int) bool, onViolation func(Violation)) error {
 	opened, err := os.Open(f.path)
 	if err != nil {
 		return oops.In("audit").With("file", f.path).Wrapf(err, "read")
@@ -72,12 +72,12 @@
 			return nil
 		}
 		if err != nil {
-			onBreak(Break{Unreadable, f.name(), number, 0, err.Error()})
+			onViolation(Violation{Unreadable, f.name(), number, 0, err.Error()})
 			return nil
 		}
 		record, err := decodeLine(line)
 		if err != nil {
-			onBreak(Break{Unreadable, f.name(), number, 0, err.Error()})
+			onViolation(Violation{Unreadable, f.name(), number, 0, err.Error()})
 			continue
 		}
 		if !onRecord(record, number) {
--- a/internal/audit/follow.go
+++ b/internal/audit/follow.go
@@ -21,19 +21,19 @@
 // process must end, otherwise changes would continue without a durable record on
 // this VM.
 func (t *Trail) Run(ctx context.Context, source Source, logger log.Interface) error {
-	breaks, err := t.Verify()
+	violations, err := t.Verify()
 	if err != nil {
 		return err
 	}
-	logBreaks(logger, breaks)
+	logViolations(logger, violations)
 	for {
 		index := source.View().Index
 		records := source.Audit(t.Last()+1, MaxRead)
-		breaks, err := t.Append(records)
+		violations, err := t.Append(records)
 		if err != nil {
 			return err
 		}
-		logBreaks(logger, breaks)
+		logViolations(logger, violations)
 		if len(records) == MaxRead {
 			continue
 		}
@@ -43,22 +43,22 @@
 	}
 }
 
-func logBreaks(logger log.Interface, breaks []Break) {
-	for _, b := range breaks {
+func logViolations(logger log.Interface, violations []Violation) {
+	for _, v := range violations {
 		logger.WithFields(log.Fields{
-			"kind": b.Kind, "file": b.File, "line": b.Line, "sequence": b.Sequence,
-		}).Error("audit trail is broken: " + b.Detail)
+			"kind": v.Kind, "file": v.File, "line": v.Line, "sequence": v.Sequence,
+		}).Error("audit trail is broken: " + v.Detail)
 	}
 }
 
-// Tail reads the newest records, which the state keeps, for VMs without a data
-// folder.
-type Tail struct{ Source Source }
+// StateReader reads the newest records, which the state keeps, for VMs without a
+// data folder.
+type StateReader struct{ Source Source }
 
 // Read returns at most limit records, starting at sequence from.
-func (t Tail) Read(from uint64, limit int) (Page, error) {
-	records := t.Source.Audit(from, min(max(limit, 1), MaxRead))
-	page := Page{Records: records, Next: from, Breaks: CheckRecords(records)}
+func (r StateReader) Read(from uint64, limit int) (Page, error) {
+	records := r.Source.Audit(from, min(max(limit, 1), MaxRead))
+	page := Page{Records: records, Next: from, Violations: VerifyRecords(records)}
 	if len(records) > 0 {
 		page.Next = records[len(records)-1].Sequence + 1
 	}
--- a/internal/audit/read.go
+++ b/internal/audit/read.go
@@ -9,15 +9,15 @@
 
 // scanner reads the records of files in order and checks the chain.
 type scanner struct {
-	chain  chainEnd
-	breaks []Break
+	chain      chainEnd
+	violations []Violation
 	// onRecord handles a record and reports whether to continue.
 	onRecord func(model.AuditRecord) bool
 }
 
-func (s *scanner) addBreak(b Break) {
-	if len(s.breaks) < maxBreaks {
-		s.breaks = append(s.breaks, b)
+func (s *scanner) addViolation(v Violation) {
+	if len(s.violations) < maxViolations {
+		s.violations = append(s.violations, v)
 	}
 }
 
@@ -26,12 +26,12 @@
 		more := true
 		s.chain.firstSequence = f.firstSequence // from the file name
 		err := f.forEachRecord(func(r model.AuditRecord, line int) bool {
-			if b := s.chain.advance(r, f.name(), line); b != nil {
-				s.addBreak(*b)
+			if v := s.chain.advance(r, f.name(), line); v != nil {
+				s.addViolation(*v)
 			}
 			more = s.onRecord(r)
 			return more
-		}, s.addBreak)
+		}, s.addViolation)
 		// A file that was deleted by a rotation since the list was made is skipped.
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
@@ -43,12 +43,12 @@
 	return nil
 }
 
-// Verify checks the chain across all files and returns its breaks, at most 64.
-func (t *Trail) Verify() ([]Break, error) {
+// Verify checks the chain across all files and returns its violations, at most 64.
+func (t *Trail) Verify() ([]Violation, error) {
 	s := scanner{onRecord: func(model.AuditRecord) bool { return true }}
 	err := s.scanFiles(t.snapshotFiles())
-	t.breaks.Inc(int64(len(s.breaks)))
-	return s.breaks, err
+	t.violations.Inc(int64(len(s.violations)))
+	return s.violations, err
 }
 
 // Read returns at most limit records, starting at sequence from. It checks the
@@ -65,7 +65,7 @@
 	}}
 	files := t.snapshotFiles()
 	err := s.scanFiles(files[startIndex(files, from):])
-	page.Breaks = s.breaks
+	page.Violations = s.violations
 	return page, err
 }
 
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// DefaultFileBytes is the size, in bytes, at which a new file is started.
-	DefaultFileBytes = 4 << 20
-	// DefaultFiles is the number of files to keep; older ones are deleted.
-	DefaultFiles = 16
+	// DefaultMaxFileBytes is the size, in bytes, at which a new file is started.
+	DefaultMaxFileBytes = 4 << 20
+	// DefaultMaxFiles is the number of files to keep; older ones are deleted.
+	DefaultMaxFiles = 16
 	// MaxRead is the maximum number of records of a Page.
 	MaxRead = 1_000
-	// maxBreaks is the maximum number of breaks that a read returns.
-	maxBreaks = 64
+	// maxViolations is the maximum number of violations that a read returns.
+	maxViolations = 64
 )
 
 // Options configures a Trail. Zero values select the defaults.
 type Options struct {
-	FileBytes int64
-	Files     int
+	MaxFileBytes int64
+	MaxFiles     int
 	// Registry receives the counters "audit.records" and "audit.breaks".
 	Registry metrics.Registry
 }
@@ -33,10 +33,10 @@
 // Trail is the audit trail in the files of one folder. It is safe for
 // concurrent use.
 type Trail struct {
-	dir     string
-	options Options
-	records metrics.Counter
-	breaks  metrics.Counter
+	dir        string
+	options    Options
+	records    metrics.Counter
+	violations metrics.Counter
 
 	mu    sync.Mutex
 	files []file
@@ -49,11 +49,11 @@
 // Open opens the trail in the folder dir, which it creates when missing, and
 // truncates a torn last line. Call Verify to check the chain of all files.
 func Open(dir string, o Options) (*Trail, error) {
-	if o.FileBytes <= 0 {
-		o.FileBytes = DefaultFileBytes
+	if o.MaxFileBytes <= 0 {
+		o.MaxFileBytes = DefaultMaxFileBytes
 	}
-	if o.Files <= 0 {
-		o.Files = DefaultFiles
+	if o.MaxFiles <= 0 {
+		o.MaxFiles = DefaultMaxFiles
 	}
 	if o.Registry == nil {
 		o.Registry = metrics.NewRegistry()
@@ -66,10 +66,10 @@
 		return nil, err
 	}
 	t := &Trail{
-		dir:     dir,
-		options: o,
-		records: metrics.GetOrRegisterCounter("audit.records", o.Registry),
-		breaks:  metrics.GetOrRegisterCounter("audit.breaks", o.Registry),
+		dir:        dir,
+		options:    o,
+		records:    metrics.GetOrRegisterCounter("audit.records", o.Registry),
+		violations: metrics.GetOrRegisterCounter("audit.breaks", o.Registry),
 	}
 	files, err := listFiles(dir)
 	if err != nil || len(files) == 0 {
@@ -91,7 +91,7 @@
 		err := t.files[i].forEachRecord(func(r model.AuditRecord, _ int) bool {
 			t.end = chainEnd{sequence: r.Sequence, digest: r.Digest, started: true}
 			return true
-		}, func(Break) {})
+		}, func(Violation) {})
 		if err != nil {
 			return err
 		}
@@ -122,23 +122,24 @@
 
 // Append adds records and returns once they are durable. Records that the trail
 // already has are skipped. A record that does not continue the chain is stored
-// nevertheless and returned as a Break: the state, not the file, is authoritative.
-func (t *Trail) Append(records []model.AuditRecord) ([]Break, error) {
+// nevertheless and returned as a Violation: the state, not the file, is
+// authoritative.
+func (t *Trail) Append(records []model.AuditRecord) ([]Violation, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var breaks []Break
+	var violations []Violation
 	var lines []byte
 	var firstSequence uint64
 	for _, r := range records {
 		if r.Sequence <= t.end.sequence {
 			continue
 		}
-		if b := t.end.advance(r, "", 0); b != nil {
-			breaks = append(breaks, *b)
+		if v := t.end.advance(r, "", 0); v != nil {
+			violations = append(violations, *v)
 		}
 		line, err := encodeLine(r)
 		if err != nil {
-			return breaks, oops.In("audit").Wrapf(err, "encode")
+			return violations, oops.In("audit").Wrapf(err, "encode")
 		}
 		if firstSequence == 0 {
 			firstSequence = r.Sequence
@@ -146,16 +147,16 @@
 		lines = append(lines, line...)
 		t.records.Inc(1)
 	}
-	t.breaks.Inc(int64(len(breaks)))
+	t.violations.Inc(int64(len(violations)))
 	if len(lines) == 0 {
-		return breaks, nil
+		return violations, nil
 	}
-	return breaks, t.write(firstSequence, lines)
+	return violations, t.write(firstSequence, lines)
 }
 
 // write appends lines to the newest file, or to a new one when that is full.
 func (t *Trail) write(firstSequence uint64, lines []byte) error {
-	if t.newest == nil || t.newestSize >= t.options.FileBytes {
+	if t.newest == nil || t.newestSize >= t.options.MaxFileBytes {
 		if err := t.rotate(firstSequence); err != nil {
 			return err
 		}
@@ -175,12 +176,12 @@
 			return oops.In("audit").With("folder", t.dir).Wrapf(err, "close")
 		}
 	}
-	next := newFile(t.dir, firstSequence)
+	next := fileStartingAt(t.dir, firstSequence)
 	if err := t.openForAppend(next); err != nil {
 		return err
 	}
 	t.files = append(t.files, next)
-	for len(t.files) > t.options.Files {
+	for len(t.files) > t.options.MaxFiles {
 		if err := os.Remove(t.files[0].path); err != nil {
 			return oops.In("audit").With("file", t.files[0].path).Wrapf(err, "drop")
 		}
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -40,22 +40,22 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	records := makeChain(60)
-	trail := openTrail(t, dir, Options{FileBytes: 1000, Files: 4})
+	trail := openTrail(t, dir, Options{MaxFileBytes: 1000, MaxFiles: 4})
 	for _, r := range records[:40] {
-		breaks, err := trail.Append([]model.AuditRecord{r})
+		violations, err := trail.Append([]model.AuditRecord{r})
 		is.NoErr(err)
-		is.Equal(breaks, nil)
+		is.Equal(violations, nil)
 	}
 	is.NoErr(trail.Close())
 
-	trail = openTrail(t, dir, Options{FileBytes: 1000, Files: 4})
+	trail = openTrail(t, dir, Options{MaxFileBytes: 1000, MaxFiles: 4})
 	is.Equal(trail.Last(), uint64(40))
-	breaks, err := trail.Append(records[30:]) // 31 to 40 are appended a second time
+	violations, err := trail.Append(records[30:]) // 31 to 40 are appended a second time
 	is.NoErr(err)
-	is.Equal(breaks, nil)
-	breaks, err = trail.Verify()
+	is.Equal(violations, nil)
+	violations, err = trail.Verify()
 	is.NoErr(err)
-	is.Equal(breaks, nil)
+	is.Equal(violations, nil)
 	files, err := listFiles(dir)
 	is.NoErr(err)
 	is.Equal(len(files), 4) // the oldest were deleted
@@ -72,7 +72,7 @@
 	cases := []struct {
 		name   string
 		tamper func(lines []string) []string
-		kind   BreakKind
+		kind   ViolationKind
 		at     uint64
 	}{
 		{"edit", func(l []string) []string { l[4] = strings.Replace(l[4], "revision", "Revision", 1); return l }, Edit, 5},
@@ -90,21 +90,21 @@
 			_, err := trail.Append(makeChain(10))
 			is.NoErr(err)
 			is.NoErr(trail.Close())
-			path := newFile(dir, 1).path
+			path := fileStartingAt(dir, 1).path
 			text, err := os.ReadFile(path)
 			is.NoErr(err)
 			lines := c.tamper(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
 			is.NoErr(os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
 
 			trail = openTrail(t, dir, Options{})
-			breaks, err := trail.Verify()
+			violations, err := trail.Verify()
 			is.NoErr(err)
-			is.True(len(breaks) > 0)
-			is.Equal(breaks[0].Kind, c.kind)
-			is.Equal(breaks[0].Sequence, c.at)
+			is.True(len(violations) > 0)
+			is.Equal(violations[0].Kind, c.kind)
+			is.Equal(violations[0].Sequence, c.at)
 			page, err := trail.Read(1, 100)
 			is.NoErr(err)
-			is.Equal(page.Breaks, breaks) // Read reports them as well
+			is.Equal(page.Violations, violations) // Read reports them as well
 		})
 	}
 }
@@ -119,16 +119,16 @@
 	_, err := trail.Append(records)
 	is.NoErr(err)
 	is.NoErr(trail.Close())
-	path := filepath.Join(dir, newFile(dir, 1).name())
+	path := filepath.Join(dir, fileStartingAt(dir, 1).name())
 	text, err := os.ReadFile(path)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(path, text[:len(text)-7], 0o600))
 
 	trail = openTrail(t, dir, Options{})
 	is.Equal(trail.Last(), uint64(2))
-	breaks, err := trail.Append(records)
+	violations, err := trail.Append(records)
 	is.NoErr(err)
-	is.Equal(breaks, nil)
+	is.Equal(violations, nil)
 	page, err := trail.Read(0, 10)
 	is.NoErr(err)
 	is.Equal(page.Records, records)
--- a/internal/operator/fake_test.go
+++ b/internal/operator/fake_test.go
@@ -77,7 +77,7 @@
 		Log:        l,
 		Authorizer: fakeAuthorizer{},
 		InForce:    fakeInForce(behind),
-		Audit:      audit.Tail{Source: l},
+		Audit:      audit.StateReader{Source: l},
 		Logger:     &log.Logger{Handler: discard.Default, Level: log.FatalLevel},
 		Clock:      func() time.Time { return time.UnixMilli(1000) },
 	})
