--- a/internal/datafolder/errors.go
+++ b/internal/datafolder/errors.go
@@ -12,27 +12,27 @@
 type CorruptError struct {
 	File   string
 	Offset int64
-	Why    string
-	Remedy string
+	Reason string
+	Hint   string
 }
 
 // Error returns the file, the offset, the reason and what to do.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s is corrupt at offset %d: %s; %s", e.File, e.Offset, e.Why, e.Remedy)
+	return fmt.Sprintf("%s is corrupt at offset %d: %s; %s", e.File, e.Offset, e.Reason, e.Hint)
 }
 
 // StorageError is returned when an operation of the file system failed. After a
 // failed write or sync it is unknown what is durable, so the process must end.
 type StorageError struct {
-	File   string
-	Op     string
-	Err    error
-	Remedy string
+	File string
+	Op   string
+	Err  error
+	Hint string
 }
 
 // Error returns the operation, the file, the cause and what to do.
 func (e *StorageError) Error() string {
-	return fmt.Sprintf("%s %s: %v; %s", e.Op, e.File, e.Err, e.Remedy)
+	return fmt.Sprintf("%s %s: %v; %s", e.Op, e.File, e.Err, e.Hint)
 }
 
 // Unwrap returns the error of the file system.
@@ -45,18 +45,18 @@
 	hintPermissions = "give the user that runs comfreyloom read and write access to the data folder, then start again"
 )
 
-// RemedyRejoin tells the operator what to do about a folder whose content can't be
+// HintRejoin tells the operator what to do about a folder whose content can't be
 // trusted.
-const RemedyRejoin = "move the whole data folder away and start with an empty one: " +
+const HintRejoin = "move the whole data folder away and start with an empty one: " +
 	"the node rejoins as a new voter, provided that a majority of the other voters run"
 
-// Failed wraps an error of the file system in a StorageError that tells the
+// WrapError wraps an error of the file system in a StorageError that tells the
 // operator what to do. It returns nil for nil.
-func Failed(op, file string, err error) error {
+func WrapError(op, file string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &StorageError{File: file, Op: op, Err: err, Remedy: hintFor(err)}
+	return &StorageError{File: file, Op: op, Err: err, Hint: hintFor(err)}
 }
 
 func hintFor(err error) string {
--- a/internal/datafolder/fakedisk/crash.go
+++ b/internal/datafolder/fakedisk/crash.go
@@ -81,15 +81,15 @@
 	return data
 }
 
-// Flip inverts one bit of a file, durably.
-func (d *Disk) Flip(name string, offset int, bit uint) {
+// FlipBit inverts one bit of a file, durably.
+func (d *Disk) FlipBit(name string, offset int, bit uint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.names[name].data[offset] ^= 1 << (bit % 8)
 }
 
-// Zero sets a range of bytes of a file to zero, durably, as a lost block would.
-func (d *Disk) Zero(name string, from, to int) {
+// ZeroRange sets a range of bytes of a file to zero, durably, as a lost block would.
+func (d *Disk) ZeroRange(name string, from, to int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.names[name].data[from:to])
--- a/internal/datafolder/fakedisk/disk.go
+++ b/internal/datafolder/fakedisk/disk.go
@@ -85,8 +85,8 @@
 	d.fault = f
 }
 
-// Ops returns the number of calls so far.
-func (d *Disk) Ops() int {
+// OpCount returns the number of calls so far.
+func (d *Disk) OpCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ops
--- a/internal/datafolder/folder.go
+++ b/internal/datafolder/folder.go
@@ -55,7 +55,7 @@
 		o.Disk = Disk{}
 	}
 	if err := o.Disk.MkdirAll(o.Path); err != nil {
-		return nil, Failed("make folder", o.Path, err)
+		return nil, WrapError("make folder", o.Path, err)
 	}
 	lock, err := acquireLock(o)
 	if err != nil {
@@ -76,10 +76,10 @@
 	lock, err := o.Disk.Lock(name)
 	if errors.Is(err, ErrLocked) {
 		return nil, &StorageError{File: name, Op: "lock", Err: err,
-			Remedy: "stop the other comfreyloom process that uses this data folder, or give this one its own"}
+			Hint: "stop the other comfreyloom process that uses this data folder, or give this one its own"}
 	}
 	if err != nil {
-		return nil, Failed("lock", name, err)
+		return nil, WrapError("lock", name, err)
 	}
 	return lock, nil
 }
@@ -96,7 +96,7 @@
 		return f.createIdentity(o)
 	}
 	if err != nil {
-		return Failed("read", name, err)
+		return WrapError("read", name, err)
 	}
 	identity, err := decodeIdentityFile(name, data)
 	if err != nil {
@@ -115,12 +115,12 @@
 func (f *Folder) createIdentity(o Options) error {
 	names, err := f.disk.List(f.path)
 	if err != nil {
-		return Failed("list", f.path, err)
+		return WrapError("list", f.path, err)
 	}
 	for _, name := range names {
 		if name == logName || name == snapshotName {
 			return &CorruptError{File: f.identityPath(),
-				Why: "the file is missing while " + name + " is there", Remedy: RemedyRejoin}
+				Reason: "the file is missing while " + name + " is there", Hint: HintRejoin}
 		}
 	}
 	return f.SetIdentity(newIdentity(o.Site, o.Node))
@@ -131,27 +131,27 @@
 		return nil
 	}
 	return &CorruptError{File: name,
-		Why: fmt.Sprintf("the folder belongs to site %q node %q, the settings say site %q node %q",
+		Reason: fmt.Sprintf("the folder belongs to site %q node %q, the settings say site %q node %q",
 			identity.Site, identity.Node, o.Site, o.Node),
-		Remedy: "correct data_folder, or site and node name, in the settings"}
+		Hint: "correct data_folder, or site and node name, in the settings"}
 }
 
 func decodeIdentityFile(name string, data []byte) (Identity, error) {
 	var stored identityFile
 	if err := cbor.Unmarshal(data, &stored); err != nil {
-		return Identity{}, &CorruptError{File: name, Why: err.Error(), Remedy: RemedyRejoin}
+		return Identity{}, &CorruptError{File: name, Reason: err.Error(), Hint: HintRejoin}
 	}
 	if stored.Format != FormatVersion {
 		return Identity{}, &CorruptError{File: name,
-			Why:    fmt.Sprintf("format version %d, this build reads %d", stored.Format, FormatVersion),
-			Remedy: "start the version of comfreyloom that wrote the folder, or a later one"}
+			Reason: fmt.Sprintf("format version %d, this build reads %d", stored.Format, FormatVersion),
+			Hint:   "start the version of comfreyloom that wrote the folder, or a later one"}
 	}
 	if checksum(stored.Body) != stored.CRC {
-		return Identity{}, &CorruptError{File: name, Why: "checksum does not match", Remedy: RemedyRejoin}
+		return Identity{}, &CorruptError{File: name, Reason: "checksum does not match", Hint: HintRejoin}
 	}
 	identity, err := DecodeIdentity(stored.Body)
 	if err != nil {
-		return Identity{}, &CorruptError{File: name, Why: err.Error(), Remedy: RemedyRejoin}
+		return Identity{}, &CorruptError{File: name, Reason: err.Error(), Hint: HintRejoin}
 	}
 	return identity, nil
 }
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// Renew gives the folder a new disk identity in PhaseEmpty. It may be called only
+// ResetIdentity gives the folder a new disk identity in PhaseEmpty. It may be called only
 // when the disk never took part in the quorum.
-func (f *Folder) Renew() error {
+func (f *Folder) ResetIdentity() error {
 	old := f.Identity()
 	return f.SetIdentity(newIdentity(old.Site, old.Node))
 }
--- a/internal/datafolder/folder_test.go
+++ b/internal/datafolder/folder_test.go
@@ -65,7 +65,7 @@
 	other.Node = "b"
 	_, err = datafolder.Open(other)
 	is.True(errors.As(err, &corrupt)) // another node
-	disk.Flip("/data/identity", 20, 1)
+	disk.FlipBit("/data/identity", 20, 1)
 	_, err = datafolder.Open(options(disk))
 	is.True(errors.As(err, &corrupt)) // damaged
 	disk.Delete("/data/identity")
--- a/internal/datafolder/replace.go
+++ b/internal/datafolder/replace.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	return Failed("close", name, f.Close())
+	return WrapError("close", name, f.Close())
 }
 
 // ReplaceOpen does the same as Replace and returns the file open for appending.
@@ -30,7 +30,7 @@
 	temporary := name + TemporarySuffix
 	f, err := disk.Create(temporary)
 	if err != nil {
-		return nil, Failed("create", temporary, err)
+		return nil, WrapError("create", temporary, err)
 	}
 	if err := writeAndRename(disk, f, name, data); err != nil {
 		_ = f.Close()
@@ -43,23 +43,23 @@
 func writeAndRename(disk FS, f File, name string, data []byte) error {
 	temporary := name + TemporarySuffix
 	if _, err := f.Write(data); err != nil {
-		return Failed("write", temporary, err)
+		return WrapError("write", temporary, err)
 	}
 	if err := f.Sync(); err != nil {
-		return Failed("sync", temporary, err)
+		return WrapError("sync", temporary, err)
 	}
 	if err := disk.Rename(temporary, name); err != nil {
-		return Failed("rename", temporary, err)
+		return WrapError("rename", temporary, err)
 	}
 	dir := filepath.Dir(name)
-	return Failed("sync", dir, disk.SyncDir(dir))
+	return WrapError("sync", dir, disk.SyncDir(dir))
 }
 
 // RemoveTemporary deletes the temporary files that a crash left in dir.
 func RemoveTemporary(disk FS, dir string) error {
 	names, err := disk.List(dir)
 	if err != nil {
-		return Failed("list", dir, err)
+		return WrapError("list", dir, err)
 	}
 	for _, name := range names {
 		if !strings.HasSuffix(name, TemporarySuffix) {
@@ -67,7 +67,7 @@
 		}
 		file := filepath.Join(dir, name)
 		if err := disk.Remove(file); err != nil {
-			return Failed("remove", file, err)
+			return WrapError("remove", file, err)
 		}
 	}
 	return nil
--- a/internal/datafolder/room.go
+++ b/internal/datafolder/room.go
@@ -20,17 +20,17 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// HasRoom checks for free disk space by writing a small file to a folder and
+// CheckDiskSpace checks for free disk space by writing a small file to a folder and
 // removing it again. It returns the error of the step that failed; when IsFull
 // reports true for it, waiting may help.
-func HasRoom(disk FS, dir string) error {
+func CheckDiskSpace(disk FS, dir string) error {
 	if err := disk.MkdirAll(dir); err != nil {
-		return Failed("make", dir, err)
+		return WrapError("make", dir, err)
 	}
 	name := filepath.Join(dir, probeFile)
 	f, err := disk.Create(name)
 	if err != nil {
-		return Failed("create", name, err)
+		return WrapError("create", name, err)
 	}
 	_, err = f.Write(make([]byte, probeBytes))
 	if err == nil {
@@ -40,5 +40,5 @@
 	if removeErr := disk.Remove(name); err == nil {
 		err = removeErr
 	}
-	return Failed("write", name, err)
+	return WrapError("write", name, err)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -152,7 +152,7 @@
 func (m *Member) waitForDiskSpace() {
 	disk := datafolder.Disk{}
 	for waited := time.Duration(0); waited < diskSpaceTimeout; waited += diskSpacePoll {
-		err := datafolder.HasRoom(disk, m.Settings.Node.DataFolder)
+		err := datafolder.CheckDiskSpace(disk, m.Settings.Node.DataFolder)
 		if err == nil || !datafolder.IsFull(err) {
 			return
 		}
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -65,7 +65,7 @@
 	}
 	raft, err := quorum.New(r.coreConfig(), r.recovered.HardState, meta, r.recovered.Entries)
 	if err != nil {
-		return nil, &wal.CorruptError{File: r.folder.LogPath(), Why: err.Error(), Remedy: datafolder.RemedyRejoin}
+		return nil, &wal.CorruptError{File: r.folder.LogPath(), Reason: err.Error(), Hint: datafolder.HintRejoin}
 	}
 	if err := r.alignLog(raft, meta); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	}
 	if r.recovered.Records > 0 {
 		return &datafolder.CorruptError{File: r.folder.SnapshotPath(),
-			Why: "the snapshot of the founding is missing", Remedy: datafolder.RemedyRejoin}
+			Reason: "the snapshot of the founding is missing", Hint: datafolder.HintRejoin}
 	}
 	meta := quorum.FoundingMeta(founding.Voters)
 	r.config.StateMachine.Apply(meta.Index, nil)
--- a/internal/replica/enter.go
+++ b/internal/replica/enter.go
@@ -81,7 +81,7 @@
 		return nil
 	case stepRenewDisk:
 		r.config.Log.Warn("gave up a founding that a lost disk made impossible")
-		return r.folder.Renew()
+		return r.folder.ResetIdentity()
 	case stepAdopt:
 		identity.Phase = datafolder.PhaseAdopted
 	case stepActivate, stepJoin:
--- a/internal/replica/founding_test.go
+++ b/internal/replica/founding_test.go
@@ -79,7 +79,7 @@
 // takeStep ends a round of queries; the machine may crash during the step.
 func (s *foundingSimulation) takeStep(node model.NodeID, crash int) error {
 	disk, folder := s.disks[node], s.folders[node]
-	disk.SetFault(crashAt(disk.Ops() + crash))
+	disk.SetFault(crashAt(disk.OpCount() + crash))
 	r := &Replica{config: Config{Self: node}, folder: folder, counters: newCounters(nil)}
 	r.config.completeEnvironment()
 	r.config.Log = discardLogger
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -114,7 +114,7 @@
 	used := r.recovered.Records > 0 || r.recovered.Base > 0
 	damaged := func(file, why string) error {
 		_ = r.log.Close()
-		return &datafolder.CorruptError{File: file, Why: why, Remedy: datafolder.RemedyRejoin}
+		return &datafolder.CorruptError{File: file, Reason: why, Hint: datafolder.HintRejoin}
 	}
 	switch {
 	case phase != datafolder.PhaseActive && (used || r.loadedSnapshot != nil):
--- a/internal/replica/storage_test.go
+++ b/internal/replica/storage_test.go
@@ -65,7 +65,7 @@
 			}
 		}
 		c.stop("a")
-		steps = disk.Ops()
+		steps = disk.OpCount()
 		disk = disk.Reboot(random)
 	}
 	n := c.start("a", disk)
@@ -114,7 +114,7 @@
 	err := <-n.ended
 	n.ended <- err
 	var storage *datafolder.StorageError
-	is.True(errors.As(err, &storage) && storage.Remedy != "") // Run ends with an error that names the remedy
+	is.True(errors.As(err, &storage) && storage.Hint != "") // Run ends with an error that names the remedy
 	is.True(errors.Is(err, cause))
 	is.True(errors.Is(last, state.ErrOutcomeUnknown) || errors.Is(last, state.ErrNotProposed))
 	c.mu.Lock()
@@ -180,7 +180,7 @@
 		for _, name := range c.members {
 			if random.IntN(2) == 0 {
 				disk := c.nodes[name].disk
-				disk.SetFault(crashAt(disk.Ops() + 1 + random.IntN(40)))
+				disk.SetFault(crashAt(disk.OpCount() + 1 + random.IntN(40)))
 			}
 		}
 		for i := range 20 {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -31,7 +31,7 @@
 
 // remedy is to rejoin: no older snapshot can replace a damaged one, because the
 // entries that it covers are removed from the log.
-const remedy = datafolder.RemedyRejoin
+const remedy = datafolder.HintRejoin
 
 // Save makes a snapshot durable in dir and then replaces the previous one.
 func Save(disk datafolder.FS, dir string, s quorum.Snapshot) error {
@@ -40,11 +40,11 @@
 		return err
 	}
 	if err := disk.MkdirAll(dir); err != nil {
-		return datafolder.Failed("make folder", dir, err)
+		return datafolder.WrapError("make folder", dir, err)
 	}
 	parent := filepath.Dir(dir)
 	if err := disk.SyncDir(parent); err != nil {
-		return datafolder.Failed("sync", parent, err)
+		return datafolder.WrapError("sync", parent, err)
 	}
 	return datafolder.Replace(disk, filepath.Join(dir, fileName), data)
 }
@@ -53,7 +53,7 @@
 // *datafolder.CorruptError and *datafolder.StorageError.
 func Load(disk datafolder.FS, dir string) (*quorum.Snapshot, error) {
 	if err := disk.MkdirAll(dir); err != nil {
-		return nil, datafolder.Failed("make folder", dir, err)
+		return nil, datafolder.WrapError("make folder", dir, err)
 	}
 	if err := datafolder.RemoveTemporary(disk, dir); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, datafolder.Failed("read", name, err)
+		return nil, datafolder.WrapError("read", name, err)
 	}
 	return decode(name, data)
 }
@@ -118,5 +118,5 @@
 }
 
 func corrupt(name string, offset int64, why, remedy string) error {
-	return &datafolder.CorruptError{File: name, Offset: offset, Why: why, Remedy: remedy}
+	return &datafolder.CorruptError{File: name, Offset: offset, Reason: why, Hint: remedy}
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -32,7 +32,7 @@
 		for seed := range uint64(16) {
 			disk := fakedisk.New()
 			is.NoErr(Save(disk, testDir, snapshotAt(1)))
-			first := disk.Ops()
+			first := disk.OpCount()
 			cause := fakedisk.ErrCrash
 			if seed%4 == 0 {
 				cause = syscall.ENOSPC
@@ -63,10 +63,10 @@
 	for _, offset := range []int{0, versionOffset, crcOffset, lengthOffset, headerSize, headerSize + 2000} {
 		disk := fakedisk.New()
 		is.NoErr(Save(disk, testDir, snapshotAt(1)))
-		disk.Flip(filepath.Join(testDir, fileName), offset, 3)
+		disk.FlipBit(filepath.Join(testDir, fileName), offset, 3)
 		_, err := Load(disk, testDir)
 		var corrupt *datafolder.CorruptError
 		is.True(errors.As(err, &corrupt))
-		is.True(corrupt.Remedy != "")
+		is.True(corrupt.Hint != "")
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -64,7 +64,7 @@
 	}
 	if len(r.segments) == 0 && !o.MayCreate {
 		return nil, Recovered{}, &CorruptError{File: dir,
-			Why: "the log is missing, although this disk took part in the quorum", Remedy: datafolder.RemedyRejoin}
+			Reason: "the log is missing, although this disk took part in the quorum", Hint: datafolder.HintRejoin}
 	}
 	l := &Log{disk: o.Disk, dir: dir, segmentBytes: o.SegmentBytes,
 		segments: r.segments, hard: r.result.HardState, last: r.result.Last()}
@@ -76,11 +76,11 @@
 
 func prepare(disk datafolder.FS, dir string) error {
 	if err := disk.MkdirAll(dir); err != nil {
-		return datafolder.Failed("make folder", dir, err)
+		return datafolder.WrapError("make folder", dir, err)
 	}
 	parent := filepath.Dir(dir)
 	if err := disk.SyncDir(parent); err != nil {
-		return datafolder.Failed("sync", parent, err)
+		return datafolder.WrapError("sync", parent, err)
 	}
 	return datafolder.RemoveTemporary(disk, dir)
 }
@@ -181,10 +181,10 @@
 		return err
 	}
 	if _, err := l.file.Write(data); err != nil {
-		return datafolder.Failed("write", name, err)
+		return datafolder.WrapError("write", name, err)
 	}
 	if err := l.file.Sync(); err != nil {
-		return datafolder.Failed("sync", name, err)
+		return datafolder.WrapError("sync", name, err)
 	}
 	l.size += int64(len(data))
 	l.syncs++
@@ -247,10 +247,10 @@
 func (l *Log) removeOldest() error {
 	name := l.path(l.segments[0].sequence)
 	if err := l.disk.Remove(name); err != nil {
-		return datafolder.Failed("remove", name, err)
+		return datafolder.WrapError("remove", name, err)
 	}
 	if err := l.disk.SyncDir(l.dir); err != nil {
-		return datafolder.Failed("sync", l.dir, err)
+		return datafolder.WrapError("sync", l.dir, err)
 	}
 	l.segments = l.segments[1:]
 	return nil
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -109,7 +109,7 @@
 	l, _, err := open(probe)
 	is.NoErr(err)
 	workload(l, rand.New(rand.NewPCG(1, 1)), logContents{})
-	steps := probe.Ops()
+	steps := probe.OpCount()
 	for crash := 1; crash <= steps; crash++ {
 		for seed := range uint64(8) {
 			crashTwice(t, crash, seed)
@@ -176,18 +176,18 @@
 		for _, offset := range offsets {
 			for _, at := range []int{offset, offset + 3, offset + 5, offset + 9, offset + 13, offset + headerSize + 4} {
 				disk, _, _ := writeLog(t, segments)
-				disk.Flip(filepath.Join(testDir, segmentName(1)), min(at, size-1), uint(at))
+				disk.FlipBit(filepath.Join(testDir, segmentName(1)), min(at, size-1), uint(at))
 				_, _, err := open(disk)
 				var corrupt *CorruptError
-				is.True(errors.As(err, &corrupt))                  // Open fails
-				is.Equal(corrupt.Offset, int64(offset))            // names the offset
-				is.Equal(filepath.Dir(corrupt.File), testDir)      // names the file
-				is.True(corrupt.Why != "" && corrupt.Remedy != "") // names the cause and the remedy
+				is.True(errors.As(err, &corrupt))                   // Open fails
+				is.Equal(corrupt.Offset, int64(offset))             // names the offset
+				is.Equal(filepath.Dir(corrupt.File), testDir)       // names the file
+				is.True(corrupt.Reason != "" && corrupt.Hint != "") // names the cause and the remedy
 			}
 		}
 	}
 	disk, offsets, _ := writeLog(t, 1)
-	disk.Zero(filepath.Join(testDir, segmentName(1)), offsets[1], offsets[2])
+	disk.ZeroRange(filepath.Join(testDir, segmentName(1)), offsets[1], offsets[2])
 	_, _, err := open(disk)
 	var corrupt *CorruptError
 	is.True(errors.As(err, &corrupt)) // a lost block looks like a torn tail, but records follow
@@ -257,13 +257,13 @@
 	first := l.Append(&hard, lost)
 	is.True(errors.Is(first, cause))
 	var storage *datafolder.StorageError
-	is.True(errors.As(first, &storage) && storage.Remedy != "")
+	is.True(errors.As(first, &storage) && storage.Hint != "")
 	disk.SetFault(nil)
-	ops := disk.Ops()
+	ops := disk.OpCount()
 	is.Equal(l.Append(&hard, lost), first) // the log remains failed
 	is.Equal(l.Compact(1), first)
-	is.Equal(disk.Ops(), ops) // and makes no further disk call
-	is.Equal(l.Last(), kept)  // nothing was acknowledged
+	is.Equal(disk.OpCount(), ops) // and makes no further disk call
+	is.Equal(l.Last(), kept)      // nothing was acknowledged
 	is.Equal(l.Syncs(), uint64(1))
 
 	disk = disk.Restart() // the next process may read what is not durable
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -81,7 +81,7 @@
 func (r *recovery) list() ([]uint64, error) {
 	names, err := r.disk.List(r.dir)
 	if err != nil {
-		return nil, datafolder.Failed("list", r.dir, err)
+		return nil, datafolder.WrapError("list", r.dir, err)
 	}
 	var sequences []uint64
 	for _, name := range names {
@@ -96,7 +96,7 @@
 	file := filepath.Join(r.dir, segmentName(sequence))
 	data, err := r.disk.ReadFile(file)
 	if err != nil {
-		return datafolder.Failed("read", file, err)
+		return datafolder.WrapError("read", file, err)
 	}
 	r.segments = append(r.segments, segment{sequence: sequence})
 	offset := 0
@@ -210,7 +210,7 @@
 	return &CorruptError{
 		File:   filepath.Join(r.dir, segmentName(sequence)),
 		Offset: int64(offset),
-		Why:    why,
-		Remedy: datafolder.RemedyRejoin,
+		Reason: why,
+		Hint:   datafolder.HintRejoin,
 	}
 }
