--- a/internal/model/id.go
+++ b/internal/model/id.go
@@ -15,7 +15,8 @@
 	NodeID string
 	// VMID names a VM as the platform lists it.
 	VMID string
-	// WorkerID names the place on a VM that runs tasks, as the platform lists it.
+	// WorkerID names the worker process on a VM that runs tasks, as the platform
+	// lists it.
 	WorkerID string
 	// PoolID names a pool of VMs.
 	PoolID string
@@ -27,13 +28,13 @@
 	TeamID string
 	// WaveID names a maintenance wave.
 	WaveID string
-	// JobID names a job: a finite task which a caller submitted.
+	// JobID names a job: finite work that a caller submitted.
 	JobID string
 	// TaskID names one placement of a job or instance: a new attempt is a new task.
 	TaskID string
-	// CommandID names a command; sending a command twice has the effect of once.
+	// CommandID names a command; a command that is sent twice takes effect once.
 	CommandID string
-	// RequestKey is the Idempotency-Key under which a caller may ask again.
+	// RequestKey is the Idempotency-Key under which a caller may repeat a request.
 	RequestKey string
 )
 
--- a/internal/model/instant.go
+++ b/internal/model/instant.go
@@ -7,7 +7,7 @@
 // encodes the same on every VM.
 type Instant int64
 
-// InstantOf converts a time, dropping what is below a millisecond.
+// InstantOf converts a time and truncates it to milliseconds.
 func InstantOf(t time.Time) Instant { return Instant(t.UnixMilli()) }
 
 // Time converts back to a time in UTC.
--- a/internal/model/record.go
+++ b/internal/model/record.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// VM is what the platform lists about a VM, with how it last looked. It is
-// soft state: the leader learns it anew from the platform.
+// VM is a VM as the platform lists it, with its last observed state. It is
+// soft state: a new leader reads it from the platform again.
 type VM struct {
 	ID       VMID
 	Worker   WorkerID
@@ -15,30 +15,31 @@
 	HealthSince Instant
 	// BootID changes at every reboot.
 	BootID string
-	// Drained says that the platform starts no task on it.
+	// Drained reports whether the platform has stopped starting tasks on the VM.
 	Drained bool
-	// Busy is the measured use, which lags; UsageAt is when it was measured.
+	// Busy is the measured usage, which lags behind the actual one; UsageAt is
+	// when it was measured.
 	Busy    Resources
 	UsageAt Instant
 }
 
-// VMHealth is how a VM looks to the platform.
+// VMHealth is the health of a VM as the platform reports it.
 type VMHealth uint8
 
 const (
-	// VMUnknown: the heartbeat is late, or was never seen.
+	// VMUnknown: the heartbeat is late or was never received.
 	VMUnknown VMHealth = iota
 	// VMUp: the VM answers.
 	VMUp
-	// VMDown: the platform says that the VM failed.
+	// VMDown: the platform reports that the VM failed.
 	VMDown
-	// VMRebooting: the VM is on its way through a reboot.
+	// VMRebooting: the VM is rebooting.
 	VMRebooting
 )
 
 var vmHealthNames = [...]string{"unknown", "up", "down", "rebooting"}
 
-// String returns the form used in answers.
+// String returns the form used in responses.
 func (h VMHealth) String() string {
 	if int(h) >= len(vmHealthNames) {
 		return "invalid"
@@ -46,7 +47,7 @@
 	return vmHealthNames[h]
 }
 
-// Ownership is the one entry that says which pool a VM belongs to.
+// Ownership records which pool a VM belongs to; a VM has one such record.
 type Ownership struct {
 	VM VMID `cbor:"1,keyasint"`
 	// Pool is empty for a shared spare.
@@ -58,27 +59,27 @@
 	// Generation grows with every change and fences older commands.
 	Generation uint64  `cbor:"5,keyasint"`
 	Since      Instant `cbor:"6,keyasint"`
-	// Reason says why the VM is here, in words.
+	// Reason explains in plain text why the VM is in this pool.
 	Reason string `cbor:"7,keyasint,omitempty"`
 }
 
-// MaintenancePhase is how far a VM is in its maintenance.
+// MaintenancePhase is the stage of a VM's maintenance.
 type MaintenancePhase uint8
 
 const (
 	// PhaseGranted: the permit is committed, no command was sent yet.
 	PhaseGranted MaintenancePhase = iota + 1
-	// PhaseDraining: the VM takes no new work and its tasks end.
+	// PhaseDraining: the VM takes no new work while its tasks end.
 	PhaseDraining
 	// PhaseRebooting: a reboot was commanded.
 	PhaseRebooting
-	// PhaseSoaking: the VM is back, not yet counted as available.
+	// PhaseSoaking: the VM is up again, but not yet counted as available.
 	PhaseSoaking
 )
 
 var phaseNames = [...]string{"", "granted", "draining", "rebooting", "soaking"}
 
-// String returns the form used in answers.
+// String returns the form used in responses.
 func (p MaintenancePhase) String() string {
 	if int(p) >= len(phaseNames) {
 		return "invalid"
@@ -108,21 +109,21 @@
 	At   Instant `cbor:"3,keyasint"`
 }
 
-// JobState is where a job is in its life.
+// JobState is a stage in the life cycle of a job.
 type JobState uint8
 
 const (
-	// JobQueued: waits for capacity or quota; Reason says which.
+	// JobQueued: waits for capacity or quota; Reason names which.
 	JobQueued JobState = iota + 1
 	// JobRunning: has an attempt whose lease was committed.
 	JobRunning
 	// JobDone: ended with success.
 	JobDone
-	// JobFailed: ended without success and is not tried again.
+	// JobFailed: ended without success and is not retried.
 	JobFailed
 	// JobCancelled: cancelled; it never starts after that.
 	JobCancelled
-	// JobHeld: failed on several good workers; an operator decides.
+	// JobHeld: failed on several healthy workers; an operator decides.
 	JobHeld
 	// JobUnplaceable: fits no VM shape or quota; it can never run.
 	JobUnplaceable
@@ -132,7 +133,7 @@
 
 var jobStateNames = [...]string{"", "queued", "running", "done", "failed", "cancelled", "held", "unplaceable", "outcome-unknown"}
 
-// String returns the form used in answers.
+// String returns the form used in responses.
 func (s JobState) String() string {
 	if int(s) >= len(jobStateNames) {
 		return "invalid"
@@ -140,10 +141,11 @@
 	return jobStateNames[s]
 }
 
-// Final reports whether the job will not change by itself any more.
+// Final reports whether the job no longer changes by itself.
 func (s JobState) Final() bool { return s >= JobDone }
 
-// JobSpec is what a caller declares. Sizes and run times may be far off.
+// JobSpec is what a caller declares. Declared sizes and run times may be far
+// from the actual ones.
 type JobSpec struct {
 	ID       JobID     `cbor:"1,keyasint"`
 	Team     TeamID    `cbor:"2,keyasint"`
@@ -156,7 +158,7 @@
 	Idempotent   bool          `cbor:"8,keyasint"`
 	Checkpoints  bool          `cbor:"9,keyasint"`
 	Throttleable bool          `cbor:"10,keyasint"`
-	// Payload is handed to the worker as it is.
+	// Payload is passed to the worker unchanged.
 	Payload []byte `cbor:"11,keyasint,omitempty"`
 }
 
@@ -177,11 +179,11 @@
 	Moves int `cbor:"9,keyasint,omitempty"`
 }
 
-// TaskState is where a task is in its life.
+// TaskState is a stage in the life cycle of a task.
 type TaskState uint8
 
 const (
-	// TaskStarting: committed, and the platform may or may not know of it.
+	// TaskStarting: committed; the platform may or may not have received the start.
 	TaskStarting TaskState = iota + 1
 	// TaskRunning: the platform confirmed the start.
 	TaskRunning
@@ -190,8 +192,8 @@
 )
 
 // Task is one attempt to run a job or an instance on a worker, under a lease.
-// It is committed before the platform is called and removed when it ended or
-// when its lease lapsed with the drift margin.
+// It is committed before the platform is called. It is removed when the task
+// has ended, or when its lease and the margin for clock drift have expired.
 type Task struct {
 	ID TaskID `cbor:"1,keyasint"`
 	// Job is empty for an instance of a service.
@@ -206,9 +208,9 @@
 	State      TaskState `cbor:"9,keyasint"`
 	Generation uint64    `cbor:"10,keyasint"`
 	Started    Instant   `cbor:"11,keyasint"`
-	// LeaseUntil is when the worker stops the task by itself.
+	// LeaseUntil is when the worker stops the task unless the lease is renewed.
 	LeaseUntil Instant `cbor:"12,keyasint"`
-	// Throttled says that the task runs at reduced processor share.
+	// Throttled reports whether the task runs at a reduced processor share.
 	Throttled bool `cbor:"13,keyasint,omitempty"`
 }
 
@@ -218,29 +220,29 @@
 	VM     VMID     `cbor:"2,keyasint"`
 	Since  Instant  `cbor:"3,keyasint"`
 	Reason string   `cbor:"4,keyasint"`
-	// ProbeAt is when one idempotent batch job may try the worker again.
+	// ProbeAt is when one idempotent batch job may run on the worker as a probe.
 	ProbeAt Instant `cbor:"5,keyasint"`
 }
 
-// ClaimState is how far a claimed request is.
+// ClaimState is the progress of a claimed request.
 type ClaimState uint8
 
 const (
-	// ClaimRunning: the claim is committed; the request may be on its way.
+	// ClaimRunning: the claim is committed; the request may be in flight.
 	ClaimRunning ClaimState = iota + 1
-	// ClaimSettled: the outcome is known and Answer, if it fits, is kept.
+	// ClaimSettled: the outcome is known, and Answer is stored if it fits the limit.
 	ClaimSettled
-	// ClaimUnknown: the outcome can't be learned; the request never runs again.
+	// ClaimUnknown: the outcome can't be determined; the request never runs again.
 	ClaimUnknown
 )
 
 // Claim is the durable record that a non-idempotent request with a key was
-// handed to at most one upstream.
+// sent to at most one upstream.
 type Claim struct {
 	Key     RequestKey `cbor:"1,keyasint"`
 	Service ServiceID  `cbor:"2,keyasint"`
-	// Digest is of method, path and body; the same key with another digest
-	// is refused.
+	// Digest is the hash of method, path and body; the same key with another
+	// digest is refused.
 	Digest []byte `cbor:"3,keyasint"`
 	// Owner is the entry VM that sends the request, Incarnation its process.
 	Owner       NodeID     `cbor:"4,keyasint"`
@@ -248,22 +250,23 @@
 	State       ClaimState `cbor:"6,keyasint"`
 	Verdict     Verdict    `cbor:"7,keyasint"`
 	Claimed     Instant    `cbor:"8,keyasint"`
-	// Deadline is when the caller gives up.
+	// Deadline is when the caller stops waiting.
 	Deadline Instant     `cbor:"9,keyasint"`
 	Answer   *KeptAnswer `cbor:"10,keyasint,omitempty"`
 }
 
-// KeptAnswer is an upstream's whole answer, kept for the caller to ask again.
+// KeptAnswer is an upstream's complete response, stored so that the caller can
+// get it again by repeating the request.
 type KeptAnswer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
 	Body        []byte `cbor:"3,keyasint,omitempty"`
-	// Dropped says that the body exceeded the limit and was not kept.
+	// Dropped reports whether the body exceeded the limit and was not stored.
 	Dropped bool `cbor:"4,keyasint,omitempty"`
 }
 
-// AuditRecord is one accepted change. Records form a chain: each digest
-// covers the record and the digest before it, so an edit or a gap shows.
+// AuditRecord is one accepted change. Records form a hash chain: each digest
+// covers the record and the previous digest, so an edit or a gap is detected.
 type AuditRecord struct {
 	Sequence uint64  `cbor:"1,keyasint" json:"sequence"`
 	At       Instant `cbor:"2,keyasint" json:"at_ms"`
@@ -276,7 +279,7 @@
 	Digest   string  `cbor:"9,keyasint" json:"digest"`
 }
 
-// Upstream is one instance as it announced itself.
+// Upstream is one instance of a service as it announced itself.
 type Upstream struct {
 	Service  ServiceID
 	Instance InstanceID
@@ -292,6 +295,6 @@
 	Connections int
 	// Leaving is sticky within an incarnation.
 	Leaving bool
-	// Expires is when the announcement lapses unless it is renewed.
+	// Expires is when the announcement expires unless it is renewed.
 	Expires Instant
 }
--- a/internal/model/resources.go
+++ b/internal/model/resources.go
@@ -11,37 +11,37 @@
 }
 
 // Plus returns the sum.
-func (r Resources) Plus(o Resources) Resources {
-	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
+func (r Resources) Plus(other Resources) Resources {
+	return Resources{r.MilliCPU + other.MilliCPU, r.MemoryMB + other.MemoryMB, r.Accelerators + other.Accelerators}
 }
 
 // Minus returns the difference; members may become negative.
-func (r Resources) Minus(o Resources) Resources {
-	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
+func (r Resources) Minus(other Resources) Resources {
+	return Resources{r.MilliCPU - other.MilliCPU, r.MemoryMB - other.MemoryMB, r.Accelerators - other.Accelerators}
 }
 
-// Fits reports whether r can be taken out of free in every dimension.
+// Fits reports whether r is at most free in every dimension.
 func (r Resources) Fits(free Resources) bool {
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
-// Scale multiplies processors and memory by f and rounds up; accelerators
-// are whole devices that a declaration does not misjudge, so they stay.
-func (r Resources) Scale(f float64) Resources {
-	return Resources{scaleUp(r.MilliCPU, f), scaleUp(r.MemoryMB, f), r.Accelerators}
+// Scale multiplies processors and memory by f and rounds up. Accelerators stay:
+// they are whole devices, whose number callers declare correctly.
+func (r Resources) Scale(factor float64) Resources {
+	return Resources{scaleUp(r.MilliCPU, factor), scaleUp(r.MemoryMB, factor), r.Accelerators}
 }
 
-// Max returns the larger value in each dimension.
-func (r Resources) Max(o Resources) Resources {
-	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
+// Max returns the larger value of each dimension.
+func (r Resources) Max(other Resources) Resources {
+	return Resources{max(r.MilliCPU, other.MilliCPU), max(r.MemoryMB, other.MemoryMB), max(r.Accelerators, other.Accelerators)}
 }
 
-// IsZero reports whether nothing is asked for or offered.
+// IsZero reports whether r is empty in every dimension.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-func scaleUp(v int64, f float64) int64 {
-	scaled := int64(float64(v) * f)
-	if float64(scaled) < float64(v)*f {
+func scaleUp(v int64, factor float64) int64 {
+	scaled := int64(float64(v) * factor)
+	if float64(scaled) < float64(v)*factor {
 		scaled++
 	}
 	return scaled
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -7,7 +7,7 @@
 type Site struct {
 	// Name must equal the site name in each VM's settings.
 	Name string `cbor:"1,keyasint"`
-	// Revision is the pipeline's number; it only grows.
+	// Revision is the number that the pipeline gives the manifest; it only grows.
 	Revision uint64    `cbor:"2,keyasint"`
 	Policy   Policy    `cbor:"3,keyasint"`
 	Pools    []Pool    `cbor:"4,keyasint"`
@@ -16,7 +16,8 @@
 	Waves    []Wave    `cbor:"7,keyasint"`
 }
 
-// Policy weighs the measures against one another; both weights are in 0..1.
+// Policy holds the weights of the costs that decisions trade off; both are in
+// 0..1.
 type Policy struct {
 	// MoveWeight is the cost of relocating a VM or job.
 	MoveWeight float64 `cbor:"1,keyasint"`
@@ -24,22 +25,23 @@
 	BufferWeight float64 `cbor:"2,keyasint"`
 }
 
-// Pool is a set of VMs that serves the same services and jobs.
+// Pool is a set of VMs that run the same services and jobs.
 type Pool struct {
 	ID PoolID `cbor:"1,keyasint"`
 	// MinVMs and MaxVMs bound the pool's size.
 	MinVMs int `cbor:"2,keyasint"`
 	MaxVMs int `cbor:"3,keyasint"`
-	// Shape is the least that a VM of the pool offers.
+	// Shape is the minimum capacity of a VM of the pool.
 	Shape Resources `cbor:"4,keyasint"`
 	// Zones are the availability zones allowed; empty allows all.
 	Zones []ZoneID `cbor:"5,keyasint,omitempty"`
-	// Busy are the hours in which waves should leave the pool alone
-	// (berth windows); empty means none.
+	// Busy are the daily peak hours in which maintenance waves should not
+	// disturb the pool, such as berth windows; empty means none.
 	Busy []Window `cbor:"6,keyasint,omitempty"`
 }
 
-// Window is a daily span of time in UTC. To before From wraps midnight.
+// Window is a daily span of time in UTC. It wraps around midnight when To is
+// before From.
 type Window struct {
 	// From and To are offsets from midnight.
 	From time.Duration `cbor:"1,keyasint"`
@@ -50,7 +52,7 @@
 type Service struct {
 	ID   ServiceID `cbor:"1,keyasint"`
 	Pool PoolID    `cbor:"2,keyasint"`
-	// Instances is how many run when nothing fails.
+	// Instances is the number of instances that run when nothing fails.
 	Instances int `cbor:"3,keyasint"`
 	// Size is what one instance needs.
 	Size Resources `cbor:"4,keyasint"`
@@ -58,32 +60,33 @@
 	Slots int `cbor:"5,keyasint"`
 	// Connections bounds the connections to one instance, over all entry VMs.
 	Connections int `cbor:"6,keyasint"`
-	// MinAvailable is the availability budget: so many instances stay available.
+	// MinAvailable is the availability budget: the number of instances that must
+	// stay available.
 	MinAvailable int `cbor:"7,keyasint"`
 	// Timeout bounds a request for which the caller names no timeout.
 	Timeout time.Duration `cbor:"8,keyasint"`
 	// QueueLimit bounds the requests that wait for a slot, over all priorities.
 	QueueLimit int `cbor:"9,keyasint"`
-	// Priority is that of requests which name none.
+	// Priority applies to requests that name none.
 	Priority Priority `cbor:"10,keyasint"`
 	// Routes are matched in order; the first match decides.
 	Routes []Route `cbor:"11,keyasint,omitempty"`
 }
 
-// MaxSurge bounds the instances that may run beyond Instances for a while,
-// so that others can be taken down without missing the availability budget.
+// MaxSurge bounds the instances that may temporarily run beyond Instances, so
+// that others can be stopped without violating the availability budget.
 func (s *Service) MaxSurge() int { return s.Instances }
 
-// Route marks the requests under a path as idempotent or not.
+// Route declares whether the requests under a path are idempotent.
 type Route struct {
 	// Method is an HTTP method or "*".
 	Method string `cbor:"1,keyasint"`
-	// Prefix is the leading part of the path, starting with "/".
+	// Prefix is a path prefix that starts with "/".
 	Prefix     string `cbor:"2,keyasint"`
 	Idempotent bool   `cbor:"3,keyasint"`
 }
 
-// Team shares the site with others under quotas. Zero means unlimited.
+// Team is a group of callers with quotas. A quota of zero means unlimited.
 type Team struct {
 	ID TeamID `cbor:"1,keyasint"`
 	// Quota bounds the resources of the team's running jobs.
@@ -95,14 +98,14 @@
 }
 
 // Wave is one round of maintenance: each VM of its pools is drained, rebooted
-// and returned once.
+// and returned to service once.
 type Wave struct {
 	ID    WaveID   `cbor:"1,keyasint"`
 	Pools []PoolID `cbor:"2,keyasint"`
 	// Start is when the first VM may be drained.
 	Start Instant `cbor:"3,keyasint"`
-	// MaxParallel bounds the VMs under maintenance at one time; 0 leaves it
-	// to the budgets.
+	// MaxParallel bounds the VMs under maintenance at the same time; with 0
+	// only the availability budgets bound them.
 	MaxParallel int `cbor:"4,keyasint"`
 	// Soak is how long a VM must stay healthy after its reboot before it
 	// counts as available.
--- a/internal/model/verdict.go
+++ b/internal/model/verdict.go
@@ -1,15 +1,15 @@
 package model
 
-// Verdict says whether a request may have run at an upstream. It is the
-// central type of error handling on the caller path: every response carries one.
+// Verdict states whether a request may have run at an upstream. It is the
+// central type of error handling for callers' requests: every response carries one.
 type Verdict uint8
 
 const (
-	// NotRun promises that no upstream ran the request, nor will.
+	// NotRun guarantees that no upstream has run the request or will run it.
 	NotRun Verdict = iota
-	// MayHaveRun says that the outcome is unknown.
+	// MayHaveRun means that the outcome is unknown.
 	MayHaveRun
-	// Ran says that an upstream answered the request.
+	// Ran means that an upstream responded to the request.
 	Ran
 )
 
@@ -28,8 +28,8 @@
 	}
 }
 
-// ParseVerdict is the inverse of String. An unknown text reads as MayHaveRun
-// with ok false, the only value that promises nothing.
+// ParseVerdict is the inverse of String. For an unknown text it returns
+// MayHaveRun, the only value that guarantees nothing, and ok is false.
 func ParseVerdict(s string) (v Verdict, ok bool) {
 	for _, v := range []Verdict{NotRun, MayHaveRun, Ran} {
 		if v.String() == s {
@@ -43,11 +43,12 @@
 type Priority int8
 
 const (
-	// Batch work runs in what the others leave, with an ageing floor.
+	// Batch work uses the capacity that other work leaves; ageing guarantees it
+	// a minimum share.
 	Batch Priority = -1
 	// Normal is the default.
 	Normal Priority = 0
-	// Urgent goes before all other work and is shed last.
+	// Urgent work runs before all other work and is shed last.
 	Urgent Priority = 1
 )
 
