--- a/internal/explain/words.go
+++ b/internal/explain/describe.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// words say what a line means; a message that is not known here is told with
-// its fields.
-func words(l *Line) string {
+// describe returns what a line means in plain text. A message that isn't known
+// here is returned with its fields.
+func describe(l *Line) string {
 	switch l.Message {
 	case "started":
 		return "the process starts (" + l.text("role") + ")"
@@ -19,13 +19,13 @@
 	case "no longer leading":
 		return "this VM no longer leads; nothing is accepted until another one does"
 	case "answered":
-		return answered(l)
+		return describeAnswer(l)
 	case "worker announced":
-		return announced(l)
+		return describeAnnouncement(l)
 	case "worker does not answer":
 		return fmt.Sprintf("worker %s does not answer; its last word is %s ms old", l.text("worker"), l.text("age_ms"))
 	case "worker gone":
-		return workerGone(l)
+		return describeWorkerLoss(l)
 	case "task is started alone from now on: workers crashed under it":
 		return fmt.Sprintf("%s workers have crashed under task %s; it is started alone from now on", l.text("crashes"), l.text("task"))
 	case "job given up: workers crashed under its task":
@@ -33,9 +33,9 @@
 	case "runs committed":
 		return fmt.Sprintf("step %s starts: %s (task@worker#attempt)", l.text("step"), l.text("runs"))
 	case "run ended":
-		return ended(l)
+		return describeEnd(l)
 	case "run released":
-		return released(l)
+		return describeRelease(l)
 	case "start refused":
 		return fmt.Sprintf("worker %s refused task %s: %s", l.text("worker"), l.text("task"), l.text("refusal"))
 	case "run stands still":
@@ -45,11 +45,11 @@
 	case "log lines were left out":
 		return l.text("lines") + " log lines are missing here"
 	default:
-		return l.Message + fields(l)
+		return l.Message + formatFields(l)
 	}
 }
 
-func answered(l *Line) string {
+func describeAnswer(l *Line) string {
 	meaning := "answered"
 	switch status := l.number("status"); {
 	case status == 503 || status == 429:
@@ -68,7 +68,7 @@
 	return text
 }
 
-func announced(l *Line) string {
+func describeAnnouncement(l *Line) string {
 	text := fmt.Sprintf("worker %s announces itself in pool %s", l.text("worker"), l.text("pool"))
 	if l.text("draining") == "true" {
 		text = fmt.Sprintf("worker %s is about to leave pool %s", l.text("worker"), l.text("pool"))
@@ -76,7 +76,7 @@
 	return text
 }
 
-func workerGone(l *Line) string {
+func describeWorkerLoss(l *Line) string {
 	text := "worker " + l.text("worker") + " is over, with all that ran on it"
 	if why := l.text("why"); why != "" {
 		text += fmt.Sprintf(" (%s; %s runs)", why, l.text("runs"))
@@ -84,7 +84,7 @@
 	return text
 }
 
-func released(l *Line) string {
+func describeRelease(l *Line) string {
 	text := fmt.Sprintf("task %s, attempt %s, is given up on %s: it surely does not run there", l.text("task"), l.text("attempt"), l.text("worker"))
 	if why := l.text("why"); why != "" {
 		text += " (" + why + ")"
@@ -92,21 +92,21 @@
 	return text
 }
 
-func ended(l *Line) string {
-	why := map[string]string{
+func describeEnd(l *Line) string {
+	reason := map[string]string{
 		"failed":  "failed",
 		"stopped": "was stopped",
 		"lapsed":  "was ended by its worker, whose lease had passed",
 		"broken":  "ended because another member of its gang did",
 		"alone":   "ended because the other members of its gang did not come",
 	}[l.text("end")]
-	if why == "" {
-		why = "ended " + l.text("end")
+	if reason == "" {
+		reason = "ended " + l.text("end")
 	}
-	return fmt.Sprintf("task %s, attempt %s, %s on %s", l.text("task"), l.text("attempt"), why, l.text("worker"))
+	return fmt.Sprintf("task %s, attempt %s, %s on %s", l.text("task"), l.text("attempt"), reason, l.text("worker"))
 }
 
-func fields(l *Line) string {
+func formatFields(l *Line) string {
 	var parts []string
 	for field := range l.Fields {
 		parts = append(parts, field+" "+l.text(field))
--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,7 +1,7 @@
-// Package explain tells from the log lines of many processes what happened to
-// one job, task or worker: its own lines in the order of time, in words, and
-// between them what changed around it (who led, workers that fell silent, pools
-// that had less than they needed). It reads what package telemetry writes and
-// decides nothing. Of all jobs together it tells how long they waited for their
-// first start, and for what.
+// Package explain reconstructs from the log lines of many processes what
+// happened to one job, task or worker: the lines about it in the order of time,
+// described in plain text, and between them the changes that affect it (changes
+// of leader, unresponsive workers, pools with less capacity than they needed).
+// It reads what package telemetry writes and makes no decisions. For all jobs
+// together it computes how long they waited for their first start, and why.
 package explain
--- a/internal/explain/read.go
+++ b/internal/explain/read.go
@@ -12,12 +12,12 @@
 	"github.com/apex/log"
 )
 
-// maxLine bounds one log line, in bytes; a process writes far shorter ones.
-const maxLine = 1 << 20
+// maxLineBytes bounds one log line; a process writes far shorter ones.
+const maxLineBytes = 1 << 20
 
 // Line is one log line.
 type Line struct {
-	// Source names the process: the file, or what stood before the line.
+	// Source names the process: the file, or the prefix of the line.
 	Source  string     `json:"-"`
 	Time    time.Time  `json:"time"`
 	Level   string     `json:"level"`
@@ -26,11 +26,11 @@
 }
 
 // Read reads the log of a process. Text before the first brace of a line names
-// the process in place of source, as collectors of logs put it there. Lines that
-// are no log lines are skipped and counted.
+// the process instead of source; log collectors add such prefixes. Lines that
+// are not log lines are skipped and counted.
 func Read(r io.Reader, source string) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes(), source)
 		if !ok {
@@ -60,7 +60,7 @@
 	return line, true
 }
 
-// text is a field as text, empty when it is missing.
+// text returns a field as text, empty when it is missing.
 func (l *Line) text(field string) string {
 	switch v := l.Fields[field].(type) {
 	case nil:
@@ -74,7 +74,7 @@
 	}
 }
 
-// number is a field as a number, 0 when it is none.
+// number returns a field as a number, 0 when it is not one.
 func (l *Line) number(field string) int64 {
 	v, _ := l.Fields[field].(float64)
 	return int64(v)
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// around is how far before the first and after the last line of the id what
-// changed around it is told too: an election takes about as long.
-const around = 3 * time.Second
+// contextWindow is how long before the first and after the last line of the id
+// context is included; an election takes about as long.
+const contextWindow = 3 * time.Second
 
 // Entry is one step of a story.
 type Entry struct {
 	Line
-	// Words say what the line means.
+	// Words describe the line in plain text.
 	Words string
-	// Context: the line is not of the id, but of what changed around it.
+	// Context reports whether the line doesn't mention the id, but a change that
+	// affects it.
 	Context bool
 }
 
-// Story returns the lines about an id in the order of time, with what changed
-// around them. It is empty when no line names the id.
+// Story returns the lines that mention an id in the order of time, with the
+// changes that affect it. It is empty when no line mentions the id.
 func Story(lines []Line, id string) []Entry {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	var own []Line
+	var idLines []Line
 	for i := range lines {
-		if names(&lines[i], id) {
-			own = append(own, lines[i])
+		if mentions(&lines[i], id) {
+			idLines = append(idLines, lines[i])
 		}
 	}
-	if len(own) == 0 {
+	if len(idLines) == 0 {
 		return nil
 	}
-	s := surroundings{from: own[0].Time.Add(-around), to: own[len(own)-1].Time.Add(around), workers: workersOf(own)}
-	s.pools = poolsOf(lines, s.workers)
-	var story []Entry
+	filter := contextFilter{from: idLines[0].Time.Add(-contextWindow), to: idLines[len(idLines)-1].Time.Add(contextWindow), workers: workersOf(idLines)}
+	filter.pools = poolsOf(lines, filter.workers)
+	var entries []Entry
 	for i := range lines {
 		line := &lines[i]
 		switch {
-		case names(line, id):
-			story = append(story, Entry{Line: *line, Words: words(line)})
-		case s.holds(line):
-			story = append(story, Entry{Line: *line, Words: words(line), Context: true})
+		case mentions(line, id):
+			entries = append(entries, Entry{Line: *line, Words: describe(line)})
+		case filter.includes(line):
+			entries = append(entries, Entry{Line: *line, Words: describe(line), Context: true})
 		}
 	}
-	return story
+	return entries
 }
 
-// names says whether a field of the line holds the id as a whole word.
-func names(l *Line, id string) bool {
+// mentions reports whether a field of the line contains the id as a whole word.
+func mentions(l *Line, id string) bool {
 	for field := range l.Fields {
-		if slices.Contains(split(l.text(field)), id) {
+		if slices.Contains(splitIDs(l.text(field)), id) {
 			return true
 		}
 	}
 	return false
 }
 
-// split cuts a field into the ids that it may hold: a task is its job with
-// numbers behind it, a run its index, worker and attempt.
-func split(text string) []string {
+// splitIDs splits a field into the ids that it may contain: a task is its job
+// followed by numbers, a run its index, worker and attempt.
+func splitIDs(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return strings.ContainsRune(" /.@#,", r) })
 }
 
@@ -90,14 +91,14 @@
 	return pools
 }
 
-// surroundings are the time of an id and what it had to do with.
-type surroundings struct {
+// contextFilter selects the context of an id by time, workers and pools.
+type contextFilter struct {
 	from, to       time.Time
 	workers, pools map[string]bool
 }
 
-// holds says whether a line tells of a change around the id.
-func (s *surroundings) holds(l *Line) bool {
+// includes reports whether a line describes a change that affects the id.
+func (s *contextFilter) includes(l *Line) bool {
 	if l.Time.Before(s.from) || l.Time.After(s.to) {
 		return false
 	}
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -36,9 +36,9 @@
 	return append(core, entry...)
 }
 
-// A story holds the lines of the id from all processes in the order of time, and
-// of the others only what had to do with it.
-func TestAStoryIsTheIDAndWhatChangedAroundIt(t *testing.T) {
+// A story contains the lines of all processes that mention the id, in the order
+// of time, and of the other lines only those that affect it.
+func TestStoryContainsLinesOfIDAndContext(t *testing.T) {
 	is := is.New(t)
 	var got []string
 	for _, e := range Story(readBoth(t), "a1") {
@@ -60,14 +60,14 @@
 	}, "\n"))
 }
 
-func TestAWorkerHasAStoryToo(t *testing.T) {
+func TestStoryOfWorker(t *testing.T) {
 	is := is.New(t)
-	own := 0
+	idLines := 0
 	for _, e := range Story(readBoth(t), "w2") {
 		if !e.Context {
-			own++
+			idLines++
 		}
 	}
-	is.Equal(own, 3) // starts there, its silence, the run that was given up
+	is.Equal(idLines, 3) // runs committed, worker does not answer, run released
 	is.Equal(len(Story(readBoth(t), "w")), 0)
 }
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -8,171 +8,173 @@
 	"time"
 )
 
-// Cause is what kept a job from its first start, as far as logs tell.
+// Cause is what delayed the first start of a job, as far as logs show it.
 type Cause uint8
 
-// The causes, in the order in which they are looked for.
+// The causes, in the order in which they are checked.
 const (
-	// NoLeader: no process led.
+	// NoLeader: no process was the leader.
 	NoLeader Cause = iota
-	// NoRoom: the job's pool had less than it needed.
+	// NoRoom: the job's pool had less capacity than it needed.
 	NoRoom
-	// Else: a commit, an order, a worker that did not answer.
+	// Else: any other cause, such as a commit, an order to the platform or an
+	// unresponsive worker.
 	Else
-	causes
+	numCauses
 )
 
-// String names the cause for tables.
+// String returns the form used in tables.
 func (c Cause) String() string { return [...]string{"no leader", "too few VMs", "else"}[c] }
 
-// Wait is the time between the answer to a job's submission and the commit of its
-// first run.
+// Wait is the time between the response to a job's submission and the commit of
+// its first run.
 type Wait struct {
 	Job, Pool string
 	From      time.Time
 	Total     time.Duration
 	// By splits Total by cause.
-	By [causes]time.Duration
+	By [numCauses]time.Duration
 }
 
-// Moment is what the leader said of the pools at one time.
+// Moment is what the leader logged about the pools at one time.
 type Moment struct {
 	Time time.Time
-	// Source is the process that led.
+	// Source is the process that was the leader.
 	Source string
 	Pools  map[string]Balance
 }
 
-// Balance is what a pool had and needed, in thousandths of a core.
+// Balance is the capacity that a pool had and needed, in thousandths of a core.
 type Balance struct {
 	Have, Need int64
-	// Spare counts its VMs with nothing on them.
+	// Spare counts the pool's idle VMs.
 	Spare int64
 }
 
 // Waits returns how long the jobs waited for their first start and why, in the
-// order in which they came, and the balance of the pools meanwhile. A job whose
-// submission or first run no line tells of is left out.
+// order of submission, and the balance of the pools over time. A job whose
+// submission or first run isn't logged is left out.
 func Waits(lines []Line) ([]Wait, []Moment) {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	b := &waitBook{accepted: map[string]time.Time{}, started: map[string]bool{}, pools: map[string]string{}}
+	tracker := &waitTracker{submitted: map[string]time.Time{}, started: map[string]bool{}, poolOf: map[string]string{}}
 	for i := range lines {
-		b.take(&lines[i])
+		tracker.observe(&lines[i])
 	}
-	for i := range b.waits {
-		b.split(&b.waits[i])
+	for i := range tracker.waits {
+		tracker.splitByCause(&tracker.waits[i])
 	}
-	slices.SortStableFunc(b.waits, func(x, y Wait) int { return x.From.Compare(y.From) })
-	return b.waits, b.moments
+	slices.SortStableFunc(tracker.waits, func(x, y Wait) int { return x.From.Compare(y.From) })
+	return tracker.waits, tracker.samples
 }
 
-// span is a time without a leader; to is zero while it lasts.
+// span is a time without a leader; to is zero until a new leader is known.
 type span struct{ from, to time.Time }
 
-// waitBook follows log lines in the order of time.
-type waitBook struct {
-	accepted map[string]time.Time
-	started  map[string]bool
-	// pools holds the pool of each worker, leads whoever leads.
-	pools    map[string]string
-	leads    map[string]bool
-	waits    []Wait
-	moments  []Moment
-	headless []span
+// waitTracker processes log lines in the order of time.
+type waitTracker struct {
+	submitted map[string]time.Time
+	started   map[string]bool
+	// poolOf maps workers to pools; leaders holds the processes that lead.
+	poolOf     map[string]string
+	leaders    map[string]bool
+	waits      []Wait
+	samples    []Moment
+	leaderless []span
 }
 
-func (b *waitBook) take(l *Line) {
+func (t *waitTracker) observe(l *Line) {
 	switch l.Message {
 	case "answered":
 		if l.text("kind") == "submit" && l.number("status") == 200 {
-			b.accept(l.text("id"), l.Time)
+			t.recordSubmission(l.text("id"), l.Time)
 		}
 	case "worker announced":
-		b.pools[l.text("worker")] = l.text("pool")
+		t.poolOf[l.text("worker")] = l.text("pool")
 	case "runs committed":
-		b.start(l)
+		t.recordFirstRun(l)
 	case "leading":
-		b.lead(l)
+		t.recordLeader(l)
 	case "no longer leading":
-		b.leave(l)
+		t.recordLeaderLoss(l)
 	case "balance":
-		b.balance(l)
+		t.recordBalance(l)
 	}
 }
 
-func (b *waitBook) accept(job string, at time.Time) {
-	if _, known := b.accepted[job]; !known {
-		b.accepted[job] = at
+func (t *waitTracker) recordSubmission(job string, at time.Time) {
+	if _, known := t.submitted[job]; !known {
+		t.submitted[job] = at
 	}
 }
 
-func (b *waitBook) start(l *Line) {
+func (t *waitTracker) recordFirstRun(l *Line) {
 	job := l.text("job")
-	from, known := b.accepted[job]
-	if !known || b.started[job] {
+	from, known := t.submitted[job]
+	if !known || t.started[job] {
 		return
 	}
-	b.started[job] = true
+	t.started[job] = true
 	_, rest, _ := strings.Cut(l.text("runs"), "@")
 	worker, _, _ := strings.Cut(rest, "#")
-	b.waits = append(b.waits, Wait{Job: job, Pool: b.pools[worker], From: from, Total: max(l.Time.Sub(from), 0)})
+	t.waits = append(t.waits, Wait{Job: job, Pool: t.poolOf[worker], From: from, Total: max(l.Time.Sub(from), 0)})
 }
 
-func (b *waitBook) lead(l *Line) {
-	if n := len(b.headless); n > 0 && b.headless[n-1].to.IsZero() {
-		b.headless[n-1].to = l.Time
+func (t *waitTracker) recordLeader(l *Line) {
+	if n := len(t.leaderless); n > 0 && t.leaderless[n-1].to.IsZero() {
+		t.leaderless[n-1].to = l.Time
 	}
-	if b.leads == nil {
-		b.leads = map[string]bool{}
+	if t.leaders == nil {
+		t.leaders = map[string]bool{}
 	}
-	b.leads[l.Source] = true
+	t.leaders[l.Source] = true
 }
 
-// leave notes that a process stopped leading. One that is killed says nothing:
-// its successor's first line ends a span that began with the last balance.
-func (b *waitBook) leave(l *Line) {
-	if delete(b.leads, l.Source); len(b.leads) == 0 {
-		b.headless = append(b.headless, span{from: l.Time})
+// recordLeaderLoss records that a process stopped leading. A killed leader logs
+// nothing: its span without a leader lasts from its last balance to the first
+// line of its successor, see recordBalance.
+func (t *waitTracker) recordLeaderLoss(l *Line) {
+	if delete(t.leaders, l.Source); len(t.leaders) == 0 {
+		t.leaderless = append(t.leaderless, span{from: l.Time})
 	}
 }
 
-// silence is how long no process may tell of the balance while one leads; a
-// leader tells once a second.
-const silence = 1500 * time.Millisecond
+// maxSampleGap is the longest time between two logged balances while there is a
+// leader; a leader logs the balance once a second.
+const maxSampleGap = 1500 * time.Millisecond
 
-func (b *waitBook) balance(l *Line) {
-	n := len(b.moments)
-	if n > 0 && b.moments[n-1].Source != l.Source && l.Time.Sub(b.moments[n-1].Time) > silence {
-		b.headless = append(b.headless, span{from: b.moments[n-1].Time.Add(silence / 2), to: l.Time})
+func (t *waitTracker) recordBalance(l *Line) {
+	n := len(t.samples)
+	if n > 0 && t.samples[n-1].Source != l.Source && l.Time.Sub(t.samples[n-1].Time) > maxSampleGap {
+		t.leaderless = append(t.leaderless, span{from: t.samples[n-1].Time.Add(maxSampleGap / 2), to: l.Time})
 	}
-	if n == 0 || b.moments[n-1].Source != l.Source || l.Time.Sub(b.moments[n-1].Time) > silence/10 {
-		b.moments = append(b.moments, Moment{Time: l.Time, Source: l.Source, Pools: map[string]Balance{}})
+	if n == 0 || t.samples[n-1].Source != l.Source || l.Time.Sub(t.samples[n-1].Time) > maxSampleGap/10 {
+		t.samples = append(t.samples, Moment{Time: l.Time, Source: l.Source, Pools: map[string]Balance{}})
 	}
-	b.moments[len(b.moments)-1].Pools[l.text("pool")] = Balance{
+	t.samples[len(t.samples)-1].Pools[l.text("pool")] = Balance{
 		Have: l.number("have_mcpu"), Need: l.number("need_mcpu"), Spare: l.number("spare_vms"),
 	}
 }
 
-// splitStep is how finely a wait is split by cause.
+// splitStep is the resolution at which a wait is split by cause.
 const splitStep = 10 * time.Millisecond
 
-func (b *waitBook) split(w *Wait) {
+func (t *waitTracker) splitByCause(w *Wait) {
 	for passed := time.Duration(0); passed < w.Total; passed += splitStep {
 		middle := w.From.Add(passed + splitStep/2)
-		w.By[b.causeAt(middle, w.Pool)] += min(splitStep, w.Total-passed)
+		w.By[t.causeAt(middle, w.Pool)] += min(splitStep, w.Total-passed)
 	}
 }
 
-func (b *waitBook) causeAt(at time.Time, pool string) Cause {
-	for _, s := range b.headless {
+func (t *waitTracker) causeAt(at time.Time, pool string) Cause {
+	for _, s := range t.leaderless {
 		if !at.Before(s.from) && at.Before(s.to) {
 			return NoLeader
 		}
 	}
-	after, _ := slices.BinarySearchFunc(b.moments, at, func(m Moment, at time.Time) int { return m.Time.Compare(at) })
-	if after < len(b.moments) {
-		if balance := b.moments[after].Pools[pool]; balance.Need > balance.Have {
+	next, _ := slices.BinarySearchFunc(t.samples, at, func(m Moment, at time.Time) int { return m.Time.Compare(at) })
+	if next < len(t.samples) {
+		if balance := t.samples[next].Pools[pool]; balance.Need > balance.Have {
 			return NoRoom
 		}
 	}
@@ -184,40 +186,40 @@
 	Pool      string
 	Jobs      int
 	Half, P95 time.Duration
-	By        [causes]time.Duration
+	By        [numCauses]time.Duration
 }
 
-// ByPool sums waits up, the pool with the longest waits in all first.
+// ByPool sums up the waits by pool, the pool with the largest total first.
 func ByPool(waits []Wait) []PoolWaits {
-	each := map[string][]Wait{}
+	byPool := map[string][]Wait{}
 	for _, w := range waits {
-		each[w.Pool] = append(each[w.Pool], w)
+		byPool[w.Pool] = append(byPool[w.Pool], w)
 	}
-	var all []PoolWaits
-	for pool, list := range each {
+	var pools []PoolWaits
+	for pool, list := range byPool {
 		slices.SortFunc(list, func(a, b Wait) int { return cmp.Compare(a.Total, b.Total) })
 		sum := PoolWaits{Pool: pool, Jobs: len(list), Half: list[len(list)/2].Total, P95: list[len(list)*95/100].Total}
 		for i := range list {
-			for c := range causes {
+			for c := range numCauses {
 				sum.By[c] += list[i].By[c]
 			}
 		}
-		all = append(all, sum)
+		pools = append(pools, sum)
 	}
-	slices.SortFunc(all, func(a, b PoolWaits) int {
+	slices.SortFunc(pools, func(a, b PoolWaits) int {
 		return cmp.Or(cmp.Compare(total(b.By), total(a.By)), cmp.Compare(a.Pool, b.Pool))
 	})
-	return all
+	return pools
 }
 
-func total(by [causes]time.Duration) (sum time.Duration) {
+func total(by [numCauses]time.Duration) (sum time.Duration) {
 	for _, d := range by {
 		sum += d
 	}
 	return sum
 }
 
-// Pools returns the pools that moments tell of, sorted.
+// Pools returns the pools that occur in the moments, sorted.
 func Pools(moments []Moment) []string {
 	names := map[string]bool{}
 	for i := range moments {
--- a/internal/explain/waits_test.go
+++ b/internal/explain/waits_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Two jobs of a pool: one waits for VMs, one while a killed leader is replaced.
+// waitLog holds two jobs of a pool: one waits for VMs, one for the successor of a
+// killed leader.
 const waitLog = `core-1 {"time":"2026-01-18T14:00:00Z","level":"info","message":"worker announced","fields":{"worker":"w1","pool":"p"}}
 core-1 {"time":"2026-01-18T14:00:00.9Z","level":"info","message":"balance","fields":{"pool":"p","have_mcpu":32000,"need_mcpu":32000,"spare_vms":1}}
 entry-1 {"time":"2026-01-18T14:00:01Z","level":"info","message":"answered","fields":{"id":"a1","kind":"submit","status":200}}
