--- a/cmd/comfreyloom/explain.go
+++ b/cmd/comfreyloom/explain.go
@@ -21,7 +21,7 @@
 		fmt.Fprintln(c.err, "comfreyloom explain:", err)
 		return exitUsage
 	}
-	story := explain.Story(lines, k.ID)
+	story := explain.Timeline(lines, k.ID)
 	if skipped > 0 {
 		fmt.Fprintf(c.err, "comfreyloom explain: %d lines are no log lines\n", skipped)
 	}
@@ -42,7 +42,7 @@
 		if e.Context {
 			mark = "|"
 		}
-		fmt.Fprintf(c.out, "%s %+9.3fs %s %-20s %s\n", e.Time.Format("15:04:05.000"), e.Time.Sub(first).Seconds(), mark, e.Source, e.Words)
+		fmt.Fprintf(c.out, "%s %+9.3fs %s %-20s %s\n", e.Time.Format("15:04:05.000"), e.Time.Sub(first).Seconds(), mark, e.Source, e.Description)
 	}
 	return exitDone
 }
--- a/cmd/comfreyloom/waits.go
+++ b/cmd/comfreyloom/waits.go
@@ -40,8 +40,8 @@
 func showWaits(c console, waits []explain.Wait) {
 	fmt.Fprintf(c.out, "%-16s %6s %9s %9s   seconds waited, by cause\n", "pool", "jobs", "half", "95 %")
 	for _, p := range explain.ByPool(waits) {
-		fmt.Fprintf(c.out, "%-16s %6d %9s %9s  ", p.Pool, p.Jobs, p.Half, p.P95)
-		for cause, waited := range p.By {
+		fmt.Fprintf(c.out, "%-16s %6d %9s %9s  ", p.Pool, p.Jobs, p.Median, p.P95)
+		for cause, waited := range p.ByCause {
 			fmt.Fprintf(c.out, " %s %.1f", explain.Cause(cause), waited.Seconds())
 		}
 		fmt.Fprintln(c.out)
@@ -51,13 +51,13 @@
 func writeWaits(c console, waits []explain.Wait) exitCode {
 	w := csv.NewWriter(c.out)
 	header := []string{"job", "pool", "accepted", "waited_ms"}
-	for cause := range waits[0].By {
+	for cause := range waits[0].ByCause {
 		header = append(header, explain.Cause(cause).String())
 	}
 	rows := [][]string{header}
 	for i := range waits {
 		row := []string{waits[i].Job, waits[i].Pool, waits[i].From.Format("15:04:05.000"), strconv.FormatInt(waits[i].Total.Milliseconds(), 10)}
-		for _, waited := range waits[i].By {
+		for _, waited := range waits[i].ByCause {
 			row = append(row, strconv.FormatInt(waited.Milliseconds(), 10))
 		}
 		rows = append(rows, row)
@@ -70,7 +70,7 @@
 }
 
 // showPools prints a line a moment: have / need in cores, and idle VMs, by pool.
-func (k *waitsCommand) showPools(c console, moments []explain.Moment) exitCode {
+func (k *waitsCommand) showPools(c console, moments []explain.BalanceSample) exitCode {
 	if len(moments) == 0 {
 		fmt.Fprintln(c.err, "comfreyloom waits: no line tells of the balance of pools; give the logs of core VMs")
 		return exitFailed
@@ -85,7 +85,7 @@
 		fmt.Fprintf(c.out, "%-12s %-20s", m.Time.Format("15:04:05.000"), m.Source)
 		for _, pool := range pools {
 			b := m.Pools[pool]
-			fmt.Fprintf(c.out, " %5.0f/%-5.0f idle %2d", float64(b.Have)/1000, float64(b.Need)/1000, b.Spare)
+			fmt.Fprintf(c.out, " %5.0f/%-5.0f idle %2d", float64(b.Have)/1000, float64(b.Need)/1000, b.IdleVMs)
 		}
 		fmt.Fprintln(c.out)
 	}
--- a/internal/explain/story.go
+++ b/internal/explain/timeline.go
@@ -10,19 +10,19 @@
 // context is included; an election takes about as long.
 const contextWindow = 3 * time.Second
 
-// Entry is one step of a story.
+// Entry is one line of a timeline.
 type Entry struct {
 	Line
-	// Words describe the line in plain text.
-	Words string
+	// Description states what the line means in plain text.
+	Description string
 	// Context reports whether the line doesn't mention the id, but a change that
 	// affects it.
 	Context bool
 }
 
-// Story returns the lines that mention an id in the order of time, with the
+// Timeline returns the lines that mention an id in the order of time, with the
 // changes that affect it. It is empty when no line mentions the id.
-func Story(lines []Line, id string) []Entry {
+func Timeline(lines []Line, id string) []Entry {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var idLines []Line
@@ -41,9 +41,9 @@
 		line := &lines[i]
 		switch {
 		case mentions(line, id):
-			entries = append(entries, Entry{Line: *line, Words: describe(line)})
+			entries = append(entries, Entry{Line: *line, Description: describe(line)})
 		case filter.includes(line):
-			entries = append(entries, Entry{Line: *line, Words: describe(line), Context: true})
+			entries = append(entries, Entry{Line: *line, Description: describe(line), Context: true})
 		}
 	}
 	return entries
--- a/internal/explain/story_test.go
+++ b/internal/explain/timeline_test.go
@@ -36,17 +36,17 @@
 	return append(core, entry...)
 }
 
-// A story contains the lines of all processes that mention the id, in the order
+// A timeline contains the lines of all processes that mention the id, in the order
 // of time, and of the other lines only those that affect it.
-func TestStoryContainsLinesOfIDAndContext(t *testing.T) {
+func TestTimelineContainsLinesOfIDAndContext(t *testing.T) {
 	is := is.New(t)
 	var got []string
-	for _, e := range Story(readBoth(t), "a1") {
+	for _, e := range Timeline(readBoth(t), "a1") {
 		mark := ""
 		if e.Context {
 			mark = "| "
 		}
-		got = append(got, mark+e.Source+": "+e.Words)
+		got = append(got, mark+e.Source+": "+e.Description)
 	}
 	is.Equal(strings.Join(got, "\n"), strings.Join([]string{
 		"| core-1: this VM no longer leads; nothing is accepted until another one does",
@@ -60,14 +60,14 @@
 	}, "\n"))
 }
 
-func TestStoryOfWorker(t *testing.T) {
+func TestTimelineOfWorker(t *testing.T) {
 	is := is.New(t)
 	idLines := 0
-	for _, e := range Story(readBoth(t), "w2") {
+	for _, e := range Timeline(readBoth(t), "w2") {
 		if !e.Context {
 			idLines++
 		}
 	}
 	is.Equal(idLines, 3) // runs committed, worker does not answer, run released
-	is.Equal(len(Story(readBoth(t), "w")), 0)
+	is.Equal(len(Timeline(readBoth(t), "w")), 0)
 }
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -15,11 +15,11 @@
 const (
 	// NoLeader: no process was the leader.
 	NoLeader Cause = iota
-	// NoRoom: the job's pool had less capacity than it needed.
-	NoRoom
-	// Else: any other cause, such as a commit, an order to the platform or an
+	// InsufficientCapacity: the job's pool had less capacity than it needed.
+	InsufficientCapacity
+	// OtherCause: any other cause, such as a commit, an order to the platform or an
 	// unresponsive worker.
-	Else
+	OtherCause
 	numCauses
 )
 
@@ -32,12 +32,12 @@
 	Job, Pool string
 	From      time.Time
 	Total     time.Duration
-	// By splits Total by cause.
-	By [numCauses]time.Duration
+	// ByCause splits Total by cause.
+	ByCause [numCauses]time.Duration
 }
 
-// Moment is what the leader logged about the pools at one time.
-type Moment struct {
+// BalanceSample is what the leader logged about the pools at one time.
+type BalanceSample struct {
 	Time time.Time
 	// Source is the process that was the leader.
 	Source string
@@ -47,14 +47,14 @@
 // Balance is the capacity that a pool had and needed, in thousandths of a core.
 type Balance struct {
 	Have, Need int64
-	// Spare counts the pool's idle VMs.
-	Spare int64
+	// IdleVMs counts the VMs of the pool without work.
+	IdleVMs int64
 }
 
 // Waits returns how long the jobs waited for their first start and why, in the
 // order of submission, and the balance of the pools over time. A job whose
 // submission or first run isn't logged is left out.
-func Waits(lines []Line) ([]Wait, []Moment) {
+func Waits(lines []Line) ([]Wait, []BalanceSample) {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	tracker := &waitTracker{submitted: map[string]time.Time{}, started: map[string]bool{}, poolOf: map[string]string{}}
@@ -79,7 +79,7 @@
 	poolOf     map[string]string
 	leaders    map[string]bool
 	waits      []Wait
-	samples    []Moment
+	samples    []BalanceSample
 	leaderless []span
 }
 
@@ -149,10 +149,10 @@
 		t.leaderless = append(t.leaderless, span{from: t.samples[n-1].Time.Add(maxSampleGap / 2), to: l.Time})
 	}
 	if n == 0 || t.samples[n-1].Source != l.Source || l.Time.Sub(t.samples[n-1].Time) > maxSampleGap/10 {
-		t.samples = append(t.samples, Moment{Time: l.Time, Source: l.Source, Pools: map[string]Balance{}})
+		t.samples = append(t.samples, BalanceSample{Time: l.Time, Source: l.Source, Pools: map[string]Balance{}})
 	}
 	t.samples[len(t.samples)-1].Pools[l.text("pool")] = Balance{
-		Have: l.number("have_mcpu"), Need: l.number("need_mcpu"), Spare: l.number("spare_vms"),
+		Have: l.number("have_mcpu"), Need: l.number("need_mcpu"), IdleVMs: l.number("spare_vms"),
 	}
 }
 
@@ -162,7 +162,7 @@
 func (t *waitTracker) splitByCause(w *Wait) {
 	for passed := time.Duration(0); passed < w.Total; passed += splitStep {
 		middle := w.From.Add(passed + splitStep/2)
-		w.By[t.causeAt(middle, w.Pool)] += min(splitStep, w.Total-passed)
+		w.ByCause[t.causeAt(middle, w.Pool)] += min(splitStep, w.Total-passed)
 	}
 }
 
@@ -172,21 +172,21 @@
 			return NoLeader
 		}
 	}
-	next, _ := slices.BinarySearchFunc(t.samples, at, func(m Moment, at time.Time) int { return m.Time.Compare(at) })
+	next, _ := slices.BinarySearchFunc(t.samples, at, func(m BalanceSample, at time.Time) int { return m.Time.Compare(at) })
 	if next < len(t.samples) {
 		if balance := t.samples[next].Pools[pool]; balance.Need > balance.Have {
-			return NoRoom
+			return InsufficientCapacity
 		}
 	}
-	return Else
+	return OtherCause
 }
 
 // PoolWaits sums up the waits of the jobs of one pool.
 type PoolWaits struct {
-	Pool      string
-	Jobs      int
-	Half, P95 time.Duration
-	By        [numCauses]time.Duration
+	Pool        string
+	Jobs        int
+	Median, P95 time.Duration
+	ByCause     [numCauses]time.Duration
 }
 
 // ByPool sums up the waits by pool, the pool with the largest total first.
@@ -198,16 +198,16 @@
 	var pools []PoolWaits
 	for pool, list := range byPool {
 		slices.SortFunc(list, func(a, b Wait) int { return cmp.Compare(a.Total, b.Total) })
-		sum := PoolWaits{Pool: pool, Jobs: len(list), Half: list[len(list)/2].Total, P95: list[len(list)*95/100].Total}
+		sum := PoolWaits{Pool: pool, Jobs: len(list), Median: list[len(list)/2].Total, P95: list[len(list)*95/100].Total}
 		for i := range list {
 			for c := range numCauses {
-				sum.By[c] += list[i].By[c]
+				sum.ByCause[c] += list[i].ByCause[c]
 			}
 		}
 		pools = append(pools, sum)
 	}
 	slices.SortFunc(pools, func(a, b PoolWaits) int {
-		return cmp.Or(cmp.Compare(total(b.By), total(a.By)), cmp.Compare(a.Pool, b.Pool))
+		return cmp.Or(cmp.Compare(total(b.ByCause), total(a.ByCause)), cmp.Compare(a.Pool, b.Pool))
 	})
 	return pools
 }
@@ -219,11 +219,11 @@
 	return sum
 }
 
-// Pools returns the pools that occur in the moments, sorted.
-func Pools(moments []Moment) []string {
+// Pools returns the pools that occur in the samples, sorted.
+func Pools(samples []BalanceSample) []string {
 	names := map[string]bool{}
-	for i := range moments {
-		for pool := range moments[i].Pools {
+	for i := range samples {
+		for pool := range samples[i].Pools {
 			names[pool] = true
 		}
 	}
--- a/internal/explain/waits_test.go
+++ b/internal/explain/waits_test.go
@@ -30,10 +30,10 @@
 	is.Equal(len(waits), 2) // a3 was refused
 	is.Equal(waits[0].Job, "a1")
 	is.Equal(waits[0].Total, time.Second)
-	is.Equal(waits[0].By[NoRoom], 900*time.Millisecond)
-	is.Equal(waits[0].By[Else], 100*time.Millisecond)
-	is.Equal(waits[1].By[NoLeader], 2*time.Second)
-	is.Equal(waits[1].By[Else], 100*time.Millisecond)
+	is.Equal(waits[0].ByCause[InsufficientCapacity], 900*time.Millisecond)
+	is.Equal(waits[0].ByCause[OtherCause], 100*time.Millisecond)
+	is.Equal(waits[1].ByCause[NoLeader], 2*time.Second)
+	is.Equal(waits[1].ByCause[OtherCause], 100*time.Millisecond)
 	is.Equal(len(moments), 3)
 	is.Equal(moments[1].Pools["p"], Balance{Have: 32000, Need: 96000})
 	is.Equal(Pools(moments), []string{"p"})
@@ -41,5 +41,5 @@
 	is.Equal(len(pools), 1)
 	is.Equal(pools[0].Jobs, 2)
 	is.Equal(pools[0].P95, 2100*time.Millisecond)
-	is.Equal(pools[0].By[NoLeader], 2*time.Second)
+	is.Equal(pools[0].ByCause[NoLeader], 2*time.Second)
 }
