--- a/cmd/comfreyloom/apply.go
+++ b/cmd/comfreyloom/apply.go
@@ -21,8 +21,8 @@
 	Manifest string        `arg:"positional,required" placeholder:"MANIFEST" help:"manifest file of the site"`
 }
 
-// run checks the file here first, so that a mistake is named with the file's
-// own name and nothing is sent.
+// run validates the file before sending it, so that problems are reported under
+// the file's own name and nothing is sent.
 func (k *applyCommand) run(c console) exitCode {
 	text, err := os.ReadFile(k.Manifest)
 	if err != nil {
@@ -33,11 +33,11 @@
 		printProblems(c, problems)
 		return exitUsage
 	}
-	answer, err := k.do(context.Background(), http.MethodPut, k.path(), text, k.Wait)
+	response, err := k.do(context.Background(), http.MethodPut, k.path(), text, k.Wait)
 	if err != nil {
 		return k.reportError(c, err)
 	}
-	return k.report(c, answer)
+	return k.report(c, response)
 }
 
 func (k *applyCommand) path() string {
@@ -48,8 +48,8 @@
 }
 
 func (k *applyCommand) reportError(c console, err error) exitCode {
-	var call *callError
-	if errors.As(err, &call) && call.verdict == model.MayHaveRun {
+	var failure *callError
+	if errors.As(err, &failure) && failure.verdict == model.MayHaveRun {
 		fmt.Fprintf(c.err, "comfreyloom apply: the outcome is unknown: %v\n"+
 			"The manifest may come into force or not; running the same command again is safe and tells.\n", err)
 		return exitUnknown
@@ -57,28 +57,28 @@
 	return reportReadError(c, "apply", err)
 }
 
-func (k *applyCommand) report(c console, answer reply) exitCode {
-	var decided operator.ManifestResponse
-	if json.Unmarshal(answer.body, &decided) != nil || decided.Outcome == "" {
-		return reportFailure(c, "apply", answer)
+func (k *applyCommand) report(c console, response apiResponse) exitCode {
+	var result operator.ManifestResponse
+	if json.Unmarshal(response.body, &result) != nil || result.Outcome == "" {
+		return reportFailure(c, "apply", response)
 	}
-	if answer.status != http.StatusOK {
-		fmt.Fprintf(c.err, "comfreyloom apply: %s: %s\n", decided.Outcome, decided.Message)
+	if response.status != http.StatusOK {
+		fmt.Fprintf(c.err, "comfreyloom apply: %s: %s\n", result.Outcome, result.Message)
 		return exitFailed
 	}
-	fmt.Fprintf(c.out, "%s: revision %d, digest %s, index %d\n", decided.Outcome, decided.Revision, decided.Digest, decided.Index)
-	return k.reportForce(c, decided)
+	fmt.Fprintf(c.out, "%s: revision %d, digest %s, index %d\n", result.Outcome, result.Revision, result.Digest, result.Index)
+	return k.reportInForce(c, result)
 }
 
-func (k *applyCommand) reportForce(c console, decided operator.ManifestResponse) exitCode {
+func (k *applyCommand) reportInForce(c console, result operator.ManifestResponse) exitCode {
 	switch {
-	case decided.InForce == nil:
+	case result.InForce == nil:
 		return exitDone
-	case *decided.InForce:
+	case *result.InForce:
 		fmt.Fprintln(c.out, "in force at every VM")
 		return exitDone
 	default:
-		fmt.Fprintf(c.err, "comfreyloom apply: accepted, but not yet in force at %v; they follow by themselves\n", decided.Behind)
+		fmt.Fprintf(c.err, "comfreyloom apply: accepted, but not yet in force at %v; they follow by themselves\n", result.Behind)
 		return exitFailed
 	}
 }
--- a/cmd/comfreyloom/audit.go
+++ b/cmd/comfreyloom/audit.go
@@ -16,13 +16,13 @@
 	Follow bool   `arg:"--follow" help:"go on printing records as they are made"`
 }
 
-// followPoll is how long one question waits for the next record.
-const followPoll = 30 * time.Second
+// followWait is how long one request waits for the next record.
+const followWait = 30 * time.Second
 
-// run prints the trail from a record on. A gap or an edit in the trail is
-// reported and makes the command fail.
+// run prints the audit trail, starting at a given record. A gap or an edit in
+// the trail is reported and makes the command fail.
 func (k *auditCommand) run(c console) exitCode {
-	next, found := k.From, exitDone
+	next, result := k.From, exitDone
 	for {
 		page, code := k.read(c, next)
 		if code != exitDone {
@@ -30,11 +30,11 @@
 		}
 		printRecords(c, page.Records)
 		if printBreaks(c, page.Violations) {
-			found = exitFailed
+			result = exitFailed
 		}
 		next = page.Next
 		if len(page.Records) == 0 && !k.Follow {
-			return found
+			return result
 		}
 	}
 }
@@ -43,8 +43,8 @@
 	query := url.Values{"from": {strconv.FormatUint(from, 10)}}
 	wait := time.Duration(0)
 	if k.Follow {
-		wait = followPoll
-		query.Set("follow", followPoll.String())
+		wait = followWait
+		query.Set("follow", followWait.String())
 	}
 	var page audit.Page
 	code := k.get(c, "audit", "/audit?"+query.Encode(), wait, &page)
--- a/cmd/comfreyloom/capacity_test.go
+++ b/cmd/comfreyloom/capacity_test.go
@@ -19,9 +19,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform/standin"
 )
 
-// TestCapacity measures what each process costs at several sizes and fits a
-// line through the points. It measures and asserts nothing but that the site
-// comes up and does its work, so it runs on request only:
+// TestCapacity measures the resource usage of each process at several site sizes
+// and fits a line through the points. It asserts only that the site starts and
+// does its work, so it runs on request only:
 //
 //	COMFREYLOOM_CAPACITY=50,200,800,1300 go test -run TestCapacity -timeout 60m -v ./cmd/comfreyloom
 //
@@ -31,7 +31,7 @@
 func TestCapacity(t *testing.T) {
 	sizes := os.Getenv("COMFREYLOOM_CAPACITY")
 	if sizes == "" {
-		t.Skip("a measurement; set COMFREYLOOM_CAPACITY to the numbers of workers")
+		t.Skip("a measurement; set COMFREYLOOM_CAPACITY to a list of numbers of workers")
 	}
 	nodes, voters := 7, 3
 	if text := os.Getenv("COMFREYLOOM_CAPACITY_NODES"); text != "" {
@@ -58,28 +58,28 @@
 type capacityRun struct {
 	t                             *testing.T
 	workers, pools, nodes, voters int
-	dir                           string
+	folder                        string
 	operators, callers            []string
 	processes                     []*exec.Cmd
 	platform                      *standin.Platform
 	fits                          *capacityFits
-	// idle is what each process uses without load.
+	// idle is the usage of each process without load.
 	idle []rate
-	// waves is the start of the wave in the manifest.
-	waves    string
-	revision int
+	// waveStart is the start of the wave in the manifest.
+	waveStart string
+	revision  int
 
 	mu sync.Mutex
-	// instances is how many were started.
-	instances int
-	// jobs is when the platform started each job.
-	jobs map[model.JobID]time.Time
+	// startedInstances counts the started instances.
+	startedInstances int
+	// jobStarts maps each job to the time at which the platform started it.
+	jobStarts map[model.JobID]time.Time
 }
 
 func newCapacityRun(t *testing.T, workers, nodes, voters int, fits *capacityFits) *capacityRun {
 	r := &capacityRun{
 		t: t, workers: workers, pools: max(2, workers*42/1300), nodes: nodes, voters: voters,
-		dir: t.TempDir(), fits: fits, waves: "2030-01-06T00:00:00Z", jobs: map[model.JobID]time.Time{},
+		folder: t.TempDir(), fits: fits, waveStart: "2030-01-06T00:00:00Z", jobStarts: map[model.JobID]time.Time{},
 	}
 	sockets := r.sockets()
 	r.writeSettings(sockets)
@@ -87,7 +87,7 @@
 	return r
 }
 
-// sockets returns loopback addresses that were free a moment ago.
+// sockets returns loopback addresses that have just been free.
 func (r *capacityRun) sockets() []string {
 	var all []string
 	for range r.nodes*4 + 1 {
@@ -116,11 +116,11 @@
 	for i := range r.nodes {
 		folder := ""
 		if i < r.voters {
-			folder = filepath.Join(r.dir, fmt.Sprintf("data%d", i+1))
+			folder = filepath.Join(r.folder, fmt.Sprintf("data%d", i+1))
 		}
 		own := sockets[4*i : 4*i+4]
 		text := fmt.Sprintf(settingsText, "capacity", i+1, i+1, i+1, folder, own[0], own[1], own[2], own[3], nodes.String(), sockets[4*r.nodes])
-		// The defaults of the product, not the quick ones of the scenarios.
+		// Use the product's defaults, not the shorter intervals of the scripts.
 		text, _, _ = strings.Cut(text, "[limits]")
 		if r.voters == 5 {
 			text = strings.Replace(text, "voters = n1, n2, n3", "voters = n1, n2, n3, n4, n5", 1)
@@ -130,7 +130,7 @@
 }
 
 func (r *capacityRun) settings(i int) string {
-	return filepath.Join(r.dir, fmt.Sprintf("n%d.ini", i+1))
+	return filepath.Join(r.folder, fmt.Sprintf("n%d.ini", i+1))
 }
 
 func (r *capacityRun) startPlatform(sockets []string) {
@@ -143,7 +143,7 @@
 		VMs: r.vms(), Now: now, Start: now(), OnStop: host.Stop, Behaviour: capacityWork,
 		RebootTime: 5 * time.Second,
 		OnStart: func(task standin.TaskInfo) {
-			r.noteStart(task)
+			r.recordStart(task)
 			r.startLater(host, task)
 		},
 	})
@@ -161,21 +161,21 @@
 	})
 }
 
-// startLater spreads the starts of instances over the time in which they renew.
-// Started together they renew together, and a figure tells how they met.
+// startLater spreads the starts of instances over the renewal interval. Instances
+// that start together renew together, which distorts the figures.
 func (r *capacityRun) startLater(host *demo.Instances, task standin.TaskInfo) {
 	if task.Service == "" {
 		return
 	}
 	r.mu.Lock()
-	r.instances++
-	n := r.instances
+	r.startedInstances++
+	n := r.startedInstances
 	r.mu.Unlock()
 	time.AfterFunc(time.Duration(n*37%150)*renewSpread/150, func() { host.Start(task) })
 }
 
-// vms spreads the workers over 8 availability zones, four to a rack, with 18
-// accelerators for each 13 workers.
+// vms distributes the workers over 8 availability zones, four per rack, with 18
+// accelerators per 13 workers.
 func (r *capacityRun) vms() []standin.VM {
 	var all []standin.VM
 	for i := range r.workers {
@@ -192,8 +192,8 @@
 	return all
 }
 
-// manifest has a service of 10 instances for each pool and 200 teams for each
-// 1,300 workers.
+// manifest returns a manifest with a service of 10 instances per pool and 200
+// teams per 1,300 workers.
 func (r *capacityRun) manifest(revision int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[site]\nname = capacity\nrevision = %d\n[policy]\nmove_weight = 0.5\nbuffer_weight = 0.5\n", revision)
@@ -205,14 +205,14 @@
 	for team := range r.teams() {
 		fmt.Fprintf(&b, "[team t%03d]\nprocessors = 64\nmemory = 256GB\nmax_jobs = 100\nmax_requests = 100\n", team)
 	}
-	fmt.Fprintf(&b, "[wave monthly]\npools = p00, p01\nstart = %s\nsoak = 5s\n", r.waves)
+	fmt.Fprintf(&b, "[wave monthly]\npools = p00, p01\nstart = %s\nsoak = 5s\n", r.waveStart)
 	return b.String()
 }
 
 func (r *capacityRun) teams() int { return max(1, r.workers*200/1300) }
 
 func (r *capacityRun) start(i int) {
-	log, err := os.Create(filepath.Join(r.dir, fmt.Sprintf("n%d.log", i+1)))
+	log, err := os.Create(filepath.Join(r.folder, fmt.Sprintf("n%d.log", i+1)))
 	r.check(err)
 	command := exec.Command("comfreyloom", "serve", "--settings", r.settings(i))
 	command.Stderr = log
@@ -230,14 +230,14 @@
 	}
 }
 
-// apply hands in the next revision and returns how long it took to be in force
-// at every process, by the command that a pipeline runs.
+// apply applies the next revision with the command that a pipeline runs and
+// returns how long it took until it was in force at every process.
 func (r *capacityRun) apply() time.Duration {
 	r.revision++
-	file := filepath.Join(r.dir, "site.ini")
+	file := filepath.Join(r.folder, "site.ini")
 	r.check(os.WriteFile(file, []byte(r.manifest(r.revision)), 0o600))
 	var out []byte
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(scriptTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		began := time.Now()
 		var err error
 		out, err = exec.Command("comfreyloom", "apply", "--address", r.operators[0], "--wait", "30s", file).CombinedOutput()
@@ -257,9 +257,9 @@
 			vms += p.VMs
 		}
 		if tasks == 10*r.pools && vms == r.workers {
-			time.Sleep(renewSpread + 10*time.Second) // all announced, first soak passes
+			time.Sleep(renewSpread + 10*time.Second) // until all have announced themselves and the first soak time is over
 			return
 		}
 	}
-	r.t.Fatal("the instances did not come up")
+	r.t.Fatal("the instances did not start in time")
 }
--- a/cmd/comfreyloom/capacity_usage_test.go
+++ b/cmd/comfreyloom/capacity_usage_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// usage is what a process has used since it started.
+// usage is the cumulative resource usage of a process since its start.
 type usage struct {
 	cpu               time.Duration
 	received, written int64
 	resident          int64
 }
 
-// usageOf reads /proc: processor time, bytes read and written (sockets and
-// files together), resident memory.
+// usageOf reads the usage of a process from /proc: processor time, bytes read and
+// written (sockets and files together), and resident memory.
 func (r *capacityRun) usageOf(i int) usage {
 	proc := fmt.Sprintf("/proc/%d/", r.processes[i].Process.Pid)
 	stat, err := os.ReadFile(proc + "stat")
@@ -31,14 +31,14 @@
 		r.check(err)
 		u.cpu += time.Duration(ticks) * clockTick
 	}
-	io := r.table(proc + "io")
+	io := r.readTable(proc + "io")
 	u.received, u.written = io["rchar"], io["wchar"]
-	u.resident = r.table(proc + "status")["VmRSS"] * 1024
+	u.resident = r.readTable(proc + "status")["VmRSS"] * 1024
 	return u
 }
 
-// table reads the numbers of a file of lines "name: number".
-func (r *capacityRun) table(file string) map[string]int64 {
+// readTable parses a file of lines "name: number".
+func (r *capacityRun) readTable(file string) map[string]int64 {
 	text, err := os.ReadFile(file)
 	r.check(err)
 	numbers := map[string]int64{}
@@ -59,9 +59,9 @@
 	return all
 }
 
-// rate is what a process uses a second.
+// rate is the usage of a process per second.
 type rate struct {
-	// cpu is a share of one core.
+	// cpu is the share of one core.
 	cpu, received, written float64
 }
 
@@ -73,16 +73,17 @@
 	}
 }
 
-// report prints what each process used over a span while work ran. With events
-// it also prints what one of them cost above the process without load.
-func (r *capacityRun) report(load string, span time.Duration, events int, work func()) {
+// reportUsage prints the usage of each process over a span during which work ran. With
+// events it records the cost of one event, which is the usage above that without
+// load.
+func (r *capacityRun) reportUsage(load string, span time.Duration, events int, work func()) {
 	began := time.Now()
 	before := r.usages()
 	work()
 	time.Sleep(max(0, span-time.Since(began)))
 	seconds := time.Since(began).Seconds()
 	after := r.usages()
-	leader := string(r.status().Leader) // a large answer, so it comes after the readings
+	leader := string(r.status().Leader) // a large response, so it is requested after the measurement
 	rates := make([]rate, r.nodes)
 	for i := range r.processes {
 		rates[i] = rateOf(before[i], after[i], seconds)
@@ -117,8 +118,8 @@
 	}
 }
 
-// durations prints the median and the worst of times.
-func (r *capacityRun) durations(figure string, all []time.Duration) {
+// reportDurations prints the median and the maximum.
+func (r *capacityRun) reportDurations(figure string, all []time.Duration) {
 	if len(all) == 0 {
 		fmt.Printf("workers=%d figure=%s count=0\n", r.workers, figure)
 		return
@@ -147,8 +148,8 @@
 	f.points[key][workers] = append(f.points[key][workers], value)
 }
 
-// print fits value = intercept + slope * workers by least squares, over the
-// mean of the processes of a role at each size, and shows the largest too.
+// print fits value = intercept + slope * workers by least squares to the means of
+// the processes of a role at each size, and prints the maximum as well.
 func (f *capacityFits) print() {
 	for _, key := range f.keys {
 		var x, y []float64
@@ -173,7 +174,7 @@
 	return sum / float64(len(values))
 }
 
-// leastSquares returns the line through the points; a slope of 0 for one.
+// leastSquares returns the line of best fit; its slope is 0 for a single point.
 func leastSquares(x, y []float64) (intercept, slope float64) {
 	mx, my := mean(x), mean(y)
 	var sxy, sxx float64
--- a/cmd/comfreyloom/client.go
+++ b/cmd/comfreyloom/client.go
@@ -18,57 +18,58 @@
 	"github.com/comfreyloom/comfreyloom/internal/operator"
 )
 
-// remote holds the arguments of every command that asks a running VM.
+// remote holds the arguments common to all commands that query a running VM.
 type remote struct {
 	Address   string `arg:"--address,required" placeholder:"IP:PORT" help:"operators' listener of any entry VM"`
 	TokenFile string `arg:"--token-file" placeholder:"FILE" help:"file whose first line is the operator's token"`
 }
 
 const (
-	// dialTimeout bounds making the connection.
+	// dialTimeout bounds the time to connect.
 	dialTimeout = 5 * time.Second
-	// answerTimeout bounds an answer, beyond what the request asks to wait for.
-	answerTimeout = 30 * time.Second
-	// maxAnswer bounds what is read of an answer, in bytes.
-	maxAnswer = 64 << 20
+	// responseTimeout bounds the time to a response, in addition to the wait time
+	// that the request itself asks for.
+	responseTimeout = 30 * time.Second
+	// maxResponseBytes bounds a response body.
+	maxResponseBytes = 64 << 20
 )
 
-// reply is an answer with its verdict.
-type reply struct {
+// apiResponse is an HTTP response with its verdict.
+type apiResponse struct {
 	status  int
 	verdict model.Verdict
 	body    []byte
 }
 
-// usageError is a mistake in the arguments; nothing was sent.
+// usageError reports invalid arguments; nothing was sent.
 type usageError struct{ error }
 
-// callError says that no whole answer came.
+// callError reports that no complete response was received.
 type callError struct {
 	verdict model.Verdict
 	cause   error
 }
 
-// Error tells the cause.
+// Error returns the message of the cause.
 func (e *callError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *callError) Unwrap() error { return e.cause }
 
 // do sends one request. Errors are usageError or *callError.
-func (r remote) do(ctx context.Context, method, path string, body []byte, wait time.Duration) (reply, error) {
+func (r remote) do(ctx context.Context, method, path string, body []byte, wait time.Duration) (apiResponse, error) {
 	if _, err := netip.ParseAddrPort(r.Address); err != nil {
-		return reply{}, usageError{fmt.Errorf("--address is %q; allowed: IP:port", r.Address)}
+		return apiResponse{}, usageError{fmt.Errorf("--address is %q; allowed: IP:port", r.Address)}
 	}
 	token, err := r.token()
 	if err != nil {
-		return reply{}, usageError{err}
+		return apiResponse{}, usageError{err}
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+r.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, usageError{err}
+		return apiResponse{}, usageError{err}
 	}
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
@@ -91,23 +92,23 @@
 	return strings.TrimSpace(first), nil
 }
 
-// send tells apart whether the request can have arrived: a connection that was
-// never made carried nothing.
-func send(request *http.Request) (reply, error) {
+// send distinguishes by the verdict of its error whether the request can have
+// arrived: without a connection nothing was sent.
+func send(request *http.Request) (apiResponse, error) {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableKeepAlives: true,
 	}}
-	response, err := client.Do(request)
+	httpResponse, err := client.Do(request)
 	if err != nil {
-		return reply{}, &callError{verdictOf(err), err}
+		return apiResponse{}, &callError{verdictOf(err), err}
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
-		return reply{}, &callError{model.MayHaveRun, fmt.Errorf("the answer was cut off: %w", err)}
+		return apiResponse{}, &callError{model.MayHaveRun, fmt.Errorf("the answer was cut off: %w", err)}
 	}
-	verdict, _ := model.ParseVerdict(response.Header.Get(model.VerdictHeader))
-	return reply{status: response.StatusCode, verdict: verdict, body: body}, nil
+	verdict, _ := model.ParseVerdict(httpResponse.Header.Get(model.VerdictHeader))
+	return apiResponse{status: httpResponse.StatusCode, verdict: verdict, body: body}, nil
 }
 
 func verdictOf(err error) model.Verdict {
@@ -118,23 +119,24 @@
 	return model.MayHaveRun
 }
 
-// get reads a JSON answer into out and maps what goes wrong to an exit code.
+// get decodes a JSON response into out and maps failures to an exit code.
 func (r remote) get(c console, command, path string, wait time.Duration, out any) exitCode {
-	answer, err := r.do(context.Background(), http.MethodGet, path, nil, wait)
+	response, err := r.do(context.Background(), http.MethodGet, path, nil, wait)
 	if err != nil {
 		return reportReadError(c, command, err)
 	}
-	if answer.status != http.StatusOK {
-		return reportFailure(c, command, answer)
+	if response.status != http.StatusOK {
+		return reportFailure(c, command, response)
 	}
-	if err := json.Unmarshal(answer.body, out); err != nil {
+	if err := json.Unmarshal(response.body, out); err != nil {
 		fmt.Fprintf(c.err, "comfreyloom %s: the answer is not valid: %v\n", command, err)
 		return exitFailed
 	}
 	return exitDone
 }
 
-// reportReadError reports a question that got no answer; asking changes nothing.
+// reportReadError reports a request without a response. Reads change nothing, so
+// the verdict doesn't matter.
 func reportReadError(c console, command string, err error) exitCode {
 	fmt.Fprintf(c.err, "comfreyloom %s: %v\n", command, err)
 	var usage usageError
@@ -144,20 +146,20 @@
 	return exitFailed
 }
 
-// reportFailure prints the answer of a request that did not succeed.
-func reportFailure(c console, command string, answer reply) exitCode {
+// reportFailure prints the response to a request that did not succeed.
+func reportFailure(c console, command string, response apiResponse) exitCode {
 	var failure operator.Failure
-	if json.Unmarshal(answer.body, &failure) != nil || failure.Message == "" {
-		failure.Message = strings.TrimSpace(string(answer.body))
+	if json.Unmarshal(response.body, &failure) != nil || failure.Message == "" {
+		failure.Message = strings.TrimSpace(string(response.body))
 	}
-	fmt.Fprintf(c.err, "comfreyloom %s: %s (status %d, %s)\n", command, failure.Message, answer.status, answer.verdict)
+	fmt.Fprintf(c.err, "comfreyloom %s: %s (status %d, %s)\n", command, failure.Message, response.status, response.verdict)
 	if failure.Text != "" {
 		fmt.Fprintln(c.err, failure.Text)
 	}
 	switch {
-	case answer.verdict == model.MayHaveRun:
+	case response.verdict == model.MayHaveRun:
 		return exitUnknown
-	case answer.status == http.StatusBadRequest:
+	case response.status == http.StatusBadRequest:
 		return exitUsage
 	default:
 		return exitFailed
--- a/cmd/comfreyloom/explain.go
+++ b/cmd/comfreyloom/explain.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	source := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
 	return explain.Read(io.Reader(file), source)
 }
--- a/cmd/comfreyloom/jobs.go
+++ b/cmd/comfreyloom/jobs.go
@@ -38,6 +38,6 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", j.Job, j.Team, j.Pool, j.Priority, j.State,
 			j.Submitted.Format(time.RFC3339), j.Attempts, j.Moves, j.Reason)
 	}
-	_ = w.Flush() // the console that went away has no other output
+	_ = w.Flush() // a closed console can't show an error either
 	fmt.Fprintf(c.out, "%d of %d jobs\n", len(list.Jobs), list.Total)
 }
--- a/cmd/comfreyloom/main.go
+++ b/cmd/comfreyloom/main.go
@@ -11,17 +11,17 @@
 	"github.com/alexflint/go-arg"
 )
 
-// exitCode is what a command tells the pipeline that called it.
+// exitCode is the exit status of a command; pipelines rely on it.
 type exitCode int
 
 const (
-	// exitDone: the command did what was asked.
+	// exitDone: the command succeeded.
 	exitDone exitCode = 0
-	// exitFailed: it had no effect, or the answer is a "no".
+	// exitFailed: it had no effect or was refused.
 	exitFailed exitCode = 1
 	// exitUsage: the arguments or a file are invalid; nothing was sent.
 	exitUsage exitCode = 2
-	// exitUnknown: it may or may not have taken effect; running it again is safe.
+	// exitUnknown: it may have taken effect; running it again is safe.
 	exitUnknown exitCode = 3
 )
 
@@ -58,13 +58,13 @@
 exit codes: 0 done, 1 failed, 2 usage or invalid input, 3 outcome unknown (sending again is safe)`
 }
 
-// console is where a command writes.
+// console holds the output streams of a command.
 type console struct {
 	out io.Writer
 	err io.Writer
 }
 
-// runner is a subcommand.
+// runner is implemented by every subcommand.
 type runner interface {
 	run(c console) exitCode
 }
--- a/cmd/comfreyloom/member.go
+++ b/cmd/comfreyloom/member.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyloom/comfreyloom/platform"
 )
 
-// serveMember runs a process of a site whose VMs find each other.
+// serveMember runs one process of a site whose VMs discover each other.
 func serveMember(path string, c console) exitCode {
 	s, problems, err := settings.LoadMember(path)
 	if err != nil {
@@ -32,8 +32,8 @@
 		return exitUsage
 	}
 	counters := telemetry.NewRegistry()
-	lines := telemetry.NewBoundedHandler(c.out, counters)
-	logger := &log.Logger{Handler: lines, Level: level}
+	writer := telemetry.NewBoundedHandler(c.out, counters)
+	logger := &log.Logger{Handler: writer, Level: level}
 	stdlog.SetOutput(telemetry.NewStandardWriter(logger, counters))
 	stdlog.SetFlags(0)
 	m, err := platform.NewMember(s, logger, counters)
@@ -43,20 +43,20 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	writing, endWriting := context.WithCancel(context.Background())
+	writeCtx, stopWriting := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		_ = lines.Run(writing) // it only ends when told to
+		_ = writer.Run(writeCtx) // ends only when the context is cancelled
 	}()
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
-	go m.WatchSettings(ctx, path, changed)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	go m.WatchSettings(ctx, path, reload)
 	err = m.Run(ctx)
 	if err != nil {
 		logger.WithError(err).Error("ended")
 	}
-	endWriting()
+	stopWriting()
 	<-written
 	if err != nil {
 		return exitFailed
--- a/cmd/comfreyloom/member_test.go
+++ b/cmd/comfreyloom/member_test.go
@@ -26,29 +26,29 @@
 const (
 	memberCores   = 3
 	memberEntries = 2
-	// memberPatience bounds each wait for something that must happen; the steps
-	// themselves take a few seconds at most.
-	memberPatience = 60 * time.Second
+	// memberTimeout is the timeout of each wait for an expected event; the
+	// events themselves take a few seconds at most.
+	memberTimeout = 60 * time.Second
 )
 
-// memberSite is a site of real processes that find each other, each with an
-// IP of its own on loopback and the same ports.
+// memberSite is a site of real processes that discover each other. Each has its
+// own loopback IP; all use the same ports.
 type memberSite struct {
 	t         *testing.T
-	dir       string
+	folder    string
 	network   string
 	ports     [5]int
 	processes map[string]*exec.Cmd
 	workers   []*standin.Worker
 	client    *http.Client
-	// offset is added to the last number of the IP at which processes listen
-	// for each other; relays listen at the IP that they name themselves by.
-	offset int
+	// listenOffset is added to the last number of the IP at which a process listens
+	// for the others. A relay then listens at the IP that the process announces.
+	listenOffset int
 }
 
 func newMemberSite(t *testing.T) *memberSite {
 	s := &memberSite{
-		t: t, dir: t.TempDir(), processes: map[string]*exec.Cmd{},
+		t: t, folder: t.TempDir(), processes: map[string]*exec.Cmd{},
 		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	s.network = fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, time.Now().UnixNano()/1000%250)
@@ -56,9 +56,9 @@
 		s.ports[i] = freePort(t, s.network+".1")
 	}
 	for range memberCores + memberEntries {
-		places <- struct{}{}
+		processSlots <- struct{}{}
 	}
-	t.Cleanup(s.end)
+	t.Cleanup(s.stopAll)
 	return s
 }
 
@@ -71,7 +71,7 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-func (s *memberSite) end() {
+func (s *memberSite) stopAll() {
 	for name := range s.processes {
 		s.kill(name)
 	}
@@ -79,7 +79,7 @@
 		w.Close()
 	}
 	for range memberCores + memberEntries {
-		<-places
+		<-processSlots
 	}
 }
 
@@ -95,19 +95,19 @@
 	return fmt.Sprintf("%s:%d", s.ip(name), s.ports[port])
 }
 
-// nodesAddress is where a process listens for the others.
+// nodesAddress returns the address at which a process listens for the others.
 func (s *memberSite) nodesAddress(name string) string {
 	ip := s.ip(name)
 	last := strings.LastIndexByte(ip, '.')
 	number, err := strconv.Atoi(ip[last+1:])
 	s.must(err)
-	return fmt.Sprintf("%s.%d:%d", ip[:last], number+s.offset, s.ports[0])
+	return fmt.Sprintf("%s.%d:%d", ip[:last], number+s.listenOffset, s.ports[0])
 }
 
 // start writes the settings of a process and starts it.
 func (s *memberSite) start(name string, mayFound bool) {
 	role, listen := "core", "operators = "+s.address(name, 1)
-	data := "data_folder = " + filepath.Join(s.dir, name)
+	data := "data_folder = " + filepath.Join(s.folder, name)
 	if strings.HasPrefix(name, "entry") {
 		role, data = "entry", ""
 		listen = "callers = " + s.address(name, 2) + "\nreadiness = " + s.address(name, 3)
@@ -128,13 +128,13 @@
 [bounds]
 stop_within = 5s
 `, name, role, s.ip(name), data, mayFound, listen, s.nodesAddress(name), s.address(name, 4), s.ip("core0"), s.ip("core1"), s.ip("core2"))
-	file := filepath.Join(s.dir, name+".ini")
+	file := filepath.Join(s.folder, name+".ini")
 	s.must(os.WriteFile(file, []byte(text), 0o600))
-	output, err := os.OpenFile(filepath.Join(s.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(filepath.Join(s.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	s.must(err)
 	defer func() { _ = output.Close() }()
 	process := exec.Command("comfreyloom", "serve")
-	process.Env = append(os.Environ(), platform.SettingsVariable+"="+file, "GORACE=log_path="+filepath.Join(s.dir, "race"))
+	process.Env = append(os.Environ(), platform.SettingsVariable+"="+file, "GORACE=log_path="+filepath.Join(s.folder, "race"))
 	process.Stdout, process.Stderr = output, output
 	s.must(process.Start())
 	s.processes[name] = process
@@ -155,7 +155,7 @@
 	}
 }
 
-// terminate asks a process to stop and returns how it ended.
+// terminate sends SIGTERM to a process and returns the error of its exit.
 func (s *memberSite) terminate(name string) error {
 	p := s.processes[name]
 	delete(s.processes, name)
@@ -163,7 +163,7 @@
 	return p.Wait()
 }
 
-// call makes one request; status 0 when there was no answer.
+// call sends one request; the status is 0 when there was no response.
 func (s *memberSite) call(method, address, path, body string) (int, string) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+address+path, bytes.NewReader([]byte(body)))
 	s.must(err)
@@ -180,21 +180,21 @@
 	return response.StatusCode, string(text)
 }
 
-// until repeats a step until it says that it is done.
-func (s *memberSite) until(what string, step func() bool) {
+// waitFor polls a condition until it holds and fails the test after the timeout.
+func (s *memberSite) waitFor(what string, step func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(memberPatience)
+	deadline := time.Now().Add(memberTimeout)
 	for !step() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not in time: %s\n%s", what, s.tails())
+			s.t.Fatalf("timed out waiting until %s\n%s", what, s.logTails())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (s *memberSite) tails() string {
-	files, _ := filepath.Glob(filepath.Join(s.dir, "race.*"))
-	logs, _ := filepath.Glob(filepath.Join(s.dir, "*.log"))
+func (s *memberSite) logTails() string {
+	files, _ := filepath.Glob(filepath.Join(s.folder, "race.*"))
+	logs, _ := filepath.Glob(filepath.Join(s.folder, "*.log"))
 	files = append(files, logs...)
 	all := ""
 	for _, file := range files {
@@ -204,32 +204,32 @@
 	return all
 }
 
-// submit hands a job in at any entry VM until it is accepted.
+// submit sends a job to the entry VMs in turn until it is accepted.
 func (s *memberSite) submit(id string, count int, ms int) {
-	body := standin.Job{Count: count, MilliCPU: 500, RunMS: ms, EstimateMS: ms}.Body()
-	turn := 0
-	s.until("job "+id+" is accepted", func() bool {
-		turn++
-		status, _ := s.call(http.MethodPost, s.address(fmt.Sprintf("entry%d", turn%memberEntries), 2), standin.JobPath(id), body)
+	body := standin.Job{Count: count, CPU: 500, Run: ms, Estimate: ms}.Text()
+	attempt := 0
+	s.waitFor("job "+id+" is accepted", func() bool {
+		attempt++
+		status, _ := s.call(http.MethodPost, s.address(fmt.Sprintf("entry%d", attempt%memberEntries), 2), standin.JobPath(id), body)
 		return status == http.StatusOK
 	})
 }
 
 func (s *memberSite) awaitState(id, state string) {
 	turn := 0
-	s.until("job "+id+" is "+state, func() bool {
+	s.waitFor("job "+id+" is "+state, func() bool {
 		turn++
 		status, text := s.call(http.MethodGet, s.address(fmt.Sprintf("entry%d", turn%memberEntries), 2), standin.JobPath(id), "")
 		return status == http.StatusOK && strings.Contains(text, state)
 	})
 }
 
-// leader returns the core VM that leads, by its log.
+// leader returns the core VM that logged the latest start of leadership.
 func (s *memberSite) leader() string {
 	name, last := "", time.Time{}
 	for i := range memberCores {
 		core := fmt.Sprintf("core%d", i)
-		text, _ := os.ReadFile(filepath.Join(s.dir, core+".log"))
+		text, _ := os.ReadFile(filepath.Join(s.folder, core+".log"))
 		for line := range strings.SplitSeq(string(text), "\n") {
 			var entry struct {
 				Time    time.Time `json:"time"`
@@ -243,8 +243,8 @@
 	return name
 }
 
-// TestSiteOfProcesses plays the whole path with real processes: found from
-// seeds, a configuration, jobs, a killed leader, a lost disk, a planned stop.
+// TestSiteOfProcesses runs a site of real processes through its life: founding
+// from seeds, a configuration, jobs, a killed leader, a lost disk, a planned stop.
 // Each task must start once, and nothing that was accepted may be lost.
 func TestSiteOfProcesses(t *testing.T) {
 	if testing.Short() {
@@ -260,11 +260,11 @@
 	for i := range memberEntries {
 		s.start(fmt.Sprintf("entry%d", i), false)
 	}
-	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.ConfigBody(1, 3000)[:12])
-	is.True(status == 0 || status == http.StatusBadRequest) // it may not listen yet; never accepted
-	config := standin.ConfigBody(3, 3000)
+	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.Config(1, 3000)[:12])
+	is.True(status == 0 || status == http.StatusBadRequest) // not listening yet, or refused; never accepted
+	config := standin.Config(3, 3000)
 	turn := 0
-	s.until("the configuration is accepted", func() bool {
+	s.waitFor("the configuration is accepted", func() bool {
 		turn++
 		status, _ := s.call(http.MethodPost, operators[turn%memberCores], standin.ConfigPath, config)
 		return status == http.StatusOK
@@ -275,7 +275,7 @@
 		s.workers = append(s.workers, w)
 	}
 	s.submit("00000000000000a1", 4, 50)
-	s.submit("00000000000000a1", 4, 50) // a resend stays one job
+	s.submit("00000000000000a1", 4, 50) // a resend creates no second job
 	s.awaitState("00000000000000a1", "completed")
 
 	s.submit("00000000000000b1", 6, 2500)
@@ -286,42 +286,42 @@
 	s.awaitState("00000000000000b2", "completed")
 	s.awaitState("00000000000000b1", "completed")
 
-	s.must(os.RemoveAll(filepath.Join(s.dir, killed)))
+	s.must(os.RemoveAll(filepath.Join(s.folder, killed)))
 	s.start(killed, false)
-	s.until("the lost disk is a voter again", func() bool {
-		text, _ := os.ReadFile(filepath.Join(s.dir, killed+".log"))
+	s.waitFor("the lost disk is a voter again", func() bool {
+		text, _ := os.ReadFile(filepath.Join(s.folder, killed+".log"))
 		return strings.Contains(string(text), "installed a snapshot of the leader")
 	})
-	next := s.leader()
-	if err := s.terminate(next); err != nil {
-		t.Fatalf("%s did not stop as asked: %v\n%s", next, err, s.tails())
+	leader := s.leader()
+	if err := s.terminate(leader); err != nil {
+		t.Fatalf("%s did not stop gracefully: %v\n%s", leader, err, s.logTails())
 	}
 	s.submit("00000000000000c1", 2, 50)
 	s.awaitState("00000000000000c1", "completed")
 	s.awaitState("00000000000000a1", "completed")
-	s.until("the configuration is read back", func() bool {
+	s.waitFor("the configuration is read back", func() bool {
 		turn++
 		status, text := s.call(http.MethodGet, operators[turn%memberCores], "/config/get", "")
 		return status == http.StatusOK && text == config
 	})
 	s.checkStarts()
 	is.NoErr(s.terminate("entry0"))
-	races, _ := filepath.Glob(filepath.Join(s.dir, "race.*"))
+	races, _ := filepath.Glob(filepath.Join(s.folder, "race.*"))
 	is.Equal(races, nil)
 }
 
 // checkStarts fails when a task was started more than once.
 func (s *memberSite) checkStarts() {
-	all := map[string]int{}
+	starts := map[string]int{}
 	for _, w := range s.workers {
 		for task, n := range w.Starts() {
-			all[task] += n
+			starts[task] += n
 		}
 	}
-	if len(all) != 4+1+6+1+3+1+2+1 {
-		s.t.Errorf("%d tasks were started", len(all))
+	if len(starts) != 4+1+6+1+3+1+2+1 {
+		s.t.Errorf("%d tasks were started", len(starts))
 	}
-	for task, n := range all {
+	for task, n := range starts {
 		if n != 1 {
 			s.t.Errorf("task %s was started %d times", task, n)
 		}
--- a/cmd/comfreyloom/script_platform_test.go
+++ b/cmd/comfreyloom/script_platform_test.go
@@ -17,8 +17,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform/standin"
 )
 
-// platformMain is the stand-in of the platform as a process: the VMs of a
-// site, whose instances answer requests on loopback and announce themselves.
+// platformMain runs the stand-in of the platform as a process: the VMs of a site,
+// whose instances serve requests on loopback and announce themselves.
 func platformMain() {
 	listen := flag.String("listen", "", "IP:port of the API and of /control")
 	announce := flag.String("announce", "", "base URLs at which upstreams announce themselves")
@@ -29,7 +29,7 @@
 	broken := flag.String("broken", "", "worker on which every task fails")
 	flag.Parse()
 	host := &demo.Instances{Announce: strings.Split(*announce, ","), Latency: *latency}
-	running := &instances{}
+	running := &instanceCounter{}
 	p := standin.New(standin.Config{
 		VMs: siteVMs(*zones, *racks), Now: func() model.Instant { return model.InstantOf(time.Now()) },
 		Start: model.InstantOf(time.Now()), RebootTime: 200 * time.Millisecond,
@@ -42,32 +42,32 @@
 	serveOrExit(*listen, platformControl(p, host, running))
 }
 
-// instances counts what really runs, and the least that ran since the mark.
-type instances struct {
-	mu         sync.Mutex
-	now, least int
+// instanceCounter counts the running instances and their minimum since the mark.
+type instanceCounter struct {
+	mu               sync.Mutex
+	running, minimum int
 }
 
-func (c *instances) add(r standin.TaskInfo, n int) {
+func (c *instanceCounter) add(r standin.TaskInfo, n int) {
 	if r.Service == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now += n
-	c.least = min(c.least, c.now)
+	c.running += n
+	c.minimum = min(c.minimum, c.running)
 }
 
-func (c *instances) mark(http.ResponseWriter, *http.Request) {
+func (c *instanceCounter) mark(http.ResponseWriter, *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.least = c.now
+	c.minimum = c.running
 }
 
-func (c *instances) show(w http.ResponseWriter, _ *http.Request) {
+func (c *instanceCounter) show(w http.ResponseWriter, _ *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fmt.Fprintf(w, "instances running: %d, least: %d\n", c.now, c.least)
+	fmt.Fprintf(w, "instances running: %d, least: %d\n", c.running, c.minimum)
 }
 
 // serveOrExit serves until the process is killed.
@@ -77,8 +77,8 @@
 	os.Exit(1)
 }
 
-// platformControl serves the platform, and /control for the scripts.
-func platformControl(p *standin.Platform, host *demo.Instances, running *instances) http.Handler {
+// platformControl serves the platform's API, and /control for the scripts.
+func platformControl(p *standin.Platform, host *demo.Instances, running *instanceCounter) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", standin.Handler(p))
 	mux.HandleFunc("POST /control/mark", running.mark)
@@ -86,18 +86,18 @@
 	mux.HandleFunc("POST /control/fail/{zone}", func(_ http.ResponseWriter, r *http.Request) { p.Fail(domainOf(r)) })
 	mux.HandleFunc("POST /control/repair/{zone}", func(_ http.ResponseWriter, r *http.Request) { p.Repair(domainOf(r)) })
 	mux.HandleFunc("GET /control/reboots", func(w http.ResponseWriter, _ *http.Request) {
-		vms, most := 0, 0
+		vms, maxReboots := 0, 0
 		for _, n := range p.Tally().Reboots {
-			vms, most = vms+1, max(most, n)
+			vms, maxReboots = vms+1, max(maxReboots, n)
 		}
-		fmt.Fprintf(w, "VMs rebooted: %d, most reboots of one VM: %d\n", vms, most)
+		fmt.Fprintf(w, "VMs rebooted: %d, most reboots of one VM: %d\n", vms, maxReboots)
 	})
 	mux.HandleFunc("GET /control/jobs", func(w http.ResponseWriter, _ *http.Request) {
-		most, tally := 0, p.Tally()
+		maxStarts, tally := 0, p.Tally()
 		for _, n := range tally.Starts {
-			most = max(most, n)
+			maxStarts = max(maxStarts, n)
 		}
-		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Succeeded), most)
+		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Done), maxStarts)
 	})
 	mux.HandleFunc("GET /control/runs/{key}", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "runs: %d\n", host.Runs(r.PathValue("key")))
@@ -106,21 +106,22 @@
 	return mux
 }
 
-// mostRuns tells how many of the requests with the keys PREFIX0 to PREFIXn-1
-// ran, and the most runs of one of them.
+// mostRuns reports how many of the requests with the keys PREFIX0 to PREFIXn-1
+// ran, and the maximum number of runs of a single one.
 func mostRuns(runsOf func(key string) int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ran, most, prefix := 0, 0, r.PathValue("prefix")
+		ran, maxRuns, prefix := 0, 0, r.PathValue("prefix")
 		n, _ := strconv.Atoi(r.PathValue("n"))
 		for i := range n {
 			runs := runsOf(prefix + strconv.Itoa(i))
-			ran, most = ran+min(runs, 1), max(most, runs)
+			ran, maxRuns = ran+min(runs, 1), max(maxRuns, runs)
 		}
-		fmt.Fprintf(w, "ran: %d, most runs of %s: %d\n", ran, prefix, most)
+		fmt.Fprintf(w, "ran: %d, most runs of %s: %d\n", ran, prefix, maxRuns)
 	}
 }
 
-// domainOf is an availability zone, or a rack in it when the query names one.
+// domainOf returns an availability zone, or a rack in it when the query names
+// one.
 func domainOf(r *http.Request) standin.Selector {
 	zone := model.ZoneID(r.PathValue("zone"))
 	if rack := r.URL.Query().Get("rack"); rack != "" {
--- a/cmd/comfreyloom/script_relay_test.go
+++ b/cmd/comfreyloom/script_relay_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// relayMain is a relay of TCP connections on loopback that loses bytes as a
-// broken path does. Each line of the file named by -links is "FROM TO LISTEN
-// TARGET". It is steered over HTTP:
+// relayMain is a relay of TCP connections on loopback that drops bytes as a
+// broken network does. Each line of the file named by -links is "FROM TO LISTEN
+// TARGET". It is controlled over HTTP:
 //
-//	POST /cut/FROM/TO  bytes from FROM to TO are lost, on whichever link
-//	POST /cut/NODE     all bytes from and to NODE are lost
-//	POST /silence      the connections open now are silent for good
-//	POST /heal         what is sent from now on arrives, on new connections
+//	POST /cut/FROM/TO  drops bytes from FROM to TO on all links
+//	POST /cut/NODE     drops all bytes from and to NODE
+//	POST /silence      drops all further bytes of the currently open connections
+//	POST /heal         removes the cuts; connections that lost bytes stay broken
 func relayMain() {
 	control := flag.String("control", "", "IP:port that steers the relay")
 	file := flag.String("links", "", "file that lists the links")
@@ -46,29 +46,30 @@
 
 type link struct{ from, to, listen, target string }
 
-// direction is one way between two nodes; as a cut, an empty end is any node.
+// direction is one direction between two nodes; in a cut an empty end matches
+// any node.
 type direction struct{ from, to string }
 
 type relay struct {
 	mu   sync.Mutex
 	cuts map[direction]bool
 	open map[*relayed]bool
-	// delay holds up every piece that is passed on.
+	// delay is added before each chunk that is forwarded.
 	delay time.Duration
 }
 
-// serve relays the connections of a link until its listener is closed.
+// serve forwards the connections of a link until its listener is closed.
 func (r *relay) serve(l link, listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.join(l, near)
+		go r.forward(l, client)
 	}
 }
 
-// reset breaks all open connections, as a device that restarts does.
+// reset resets all open connections, as a network device that restarts does.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,19 +84,19 @@
 	}
 }
 
-// silence makes the connections open now silent for good.
-func (r *relay) silence() {
+// blackhole drops all further bytes of the currently open connections.
+func (r *relay) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.open {
-		for d := range c.lost {
-			c.lost[d] = true
+		for d := range c.dropping {
+			c.dropping[d] = true
 		}
 	}
 }
 
-// steer replaces the cuts and the delay.
-func (r *relay) steer(delay time.Duration, cuts ...direction) {
+// configure replaces the cuts and the delay.
+func (r *relay) configure(delay time.Duration, cuts ...direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.cuts)
@@ -105,11 +106,11 @@
 	r.delay = delay
 }
 
-// relayed is one connection. A direction that lost a byte loses all that
-// follow, as TCP never passes on what comes behind a gap.
+// relayed is one connection. A direction that dropped a byte drops all later
+// ones too, because TCP delivers nothing after a gap.
 type relayed struct {
-	lost  map[direction]bool
-	conns [2]net.Conn
+	dropping map[direction]bool
+	conns    [2]net.Conn
 }
 
 func (r *relay) control() http.Handler {
@@ -126,7 +127,7 @@
 		r.cuts[direction{to: q.PathValue("node")}] = true
 	})
 	mux.HandleFunc("POST /silence", func(w http.ResponseWriter, _ *http.Request) {
-		r.silence()
+		r.blackhole()
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		fmt.Fprintf(w, "silent connections: %d\n", len(r.open))
@@ -143,37 +144,37 @@
 	for {
 		near, err := listener.Accept()
 		exitOn(err)
-		go r.join(l, near)
+		go r.forward(l, near)
 	}
 }
 
-func (r *relay) join(l link, near net.Conn) {
-	far, err := net.Dial("tcp", l.target)
+func (r *relay) forward(l link, client net.Conn) {
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	there, back := direction{l.from, l.to}, direction{l.to, l.from}
-	c := &relayed{lost: map[direction]bool{there: false, back: false}, conns: [2]net.Conn{near, far}}
+	forth, back := direction{l.from, l.to}, direction{l.to, l.from}
+	c := &relayed{dropping: map[direction]bool{forth: false, back: false}, conns: [2]net.Conn{client, server}}
 	r.mu.Lock()
 	r.open[c] = true
 	r.mu.Unlock()
-	go r.copy(c, back, near, far)
-	r.copy(c, there, far, near)
+	go r.copyBytes(c, back, client, server)
+	r.copyBytes(c, forth, server, client)
 }
 
-// copy passes on bytes, and the end, unless the direction is silent.
-func (r *relay) copy(c *relayed, d direction, to, from net.Conn) {
+// copyBytes forwards bytes and the end of the stream, unless the direction drops them.
+func (r *relay) copyBytes(c *relayed, d direction, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if r.loses(c, d) {
+		if r.drops(c, d) {
 			if err != nil {
 				return
 			}
 			continue
 		}
-		time.Sleep(r.delayNow())
+		time.Sleep(r.currentDelay())
 		if _, failed := to.Write(buffer[:n]); err != nil || failed != nil {
 			_ = to.Close()
 			_ = from.Close()
@@ -185,15 +186,15 @@
 	}
 }
 
-func (r *relay) delayNow() time.Duration {
+func (r *relay) currentDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.delay
 }
 
-func (r *relay) loses(c *relayed, d direction) bool {
+func (r *relay) drops(c *relayed, d direction) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c.lost[d] = c.lost[d] || r.cuts[d] || r.cuts[direction{from: d.from}] || r.cuts[direction{to: d.to}]
-	return c.lost[d]
+	c.dropping[d] = c.dropping[d] || r.cuts[d] || r.cuts[direction{from: d.from}] || r.cuts[direction{to: d.to}]
+	return c.dropping[d]
 }
--- a/cmd/comfreyloom/script_request_test.go
+++ b/cmd/comfreyloom/script_request_test.go
@@ -17,17 +17,17 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// patience is a safety limit; no verdict depends on how long something takes
-// below it.
-const patience = 40 * time.Second
+// scriptTimeout is a safety timeout; no test result depends on how long something
+// takes below it.
+const scriptTimeout = 40 * time.Second
 
 // requestArgs are the arguments of "request".
 type requestArgs struct {
 	status  string
 	verdict string
 	body    string
-	want    string
-	until   bool
+	pattern string
+	retry   bool
 	headers headerList
 }
 
@@ -41,28 +41,29 @@
 	return nil
 }
 
-// request is "request [flags] METHOD URL": it sends one HTTP request and checks
-// the answer; with -until it asks again until the answer is as wanted.
+// request implements "request [flags] METHOD URL". It sends one HTTP request and
+// checks the response; with -until it repeats the request until the response
+// matches.
 func request(ts *testscript.TestScript, neg bool, argv []string) {
 	var args requestArgs
 	flags := flag.NewFlagSet("request", flag.ContinueOnError)
 	flags.StringVar(&args.status, "status", "200", "")
 	flags.StringVar(&args.verdict, "verdict", "", "")
 	flags.StringVar(&args.body, "d", "", "")
-	flags.StringVar(&args.want, "match", "", "")
-	flags.BoolVar(&args.until, "until", false, "")
+	flags.StringVar(&args.pattern, "match", "", "")
+	flags.BoolVar(&args.retry, "until", false, "")
 	flags.Var(&args.headers, "H", "")
 	ts.Check(flags.Parse(argv))
 	if neg || flags.NArg() != 2 {
 		ts.Fatalf("usage: request [flags] METHOD URL")
 	}
 	var last error
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(20 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < scriptTimeout; time.Sleep(20 * time.Millisecond) {
 		if last = args.once(ts, flags.Arg(0), flags.Arg(1)); last == nil {
-			ts.Logf("after %v", time.Since(began).Round(time.Millisecond))
+			ts.Logf("after %v", time.Since(start).Round(time.Millisecond))
 			return
 		}
-		if !args.until {
+		if !args.retry {
 			break
 		}
 	}
@@ -76,7 +77,7 @@
 		name, value, _ := strings.Cut(h, ":")
 		r.Header.Set(name, strings.TrimSpace(value))
 	}
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: scriptTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
 		return err
@@ -87,21 +88,21 @@
 		return err
 	}
 	verdict := response.Header.Get("Comfreyloom-Verdict")
-	if !slices.Contains(strings.Split(a.status, "|"), fmt.Sprint(response.StatusCode)) || (a.verdict != "" && !slices.Contains(strings.Split(a.verdict, "|"), verdict)) || !regexp.MustCompile("(?m)"+a.want).Match(body) {
+	if !slices.Contains(strings.Split(a.status, "|"), fmt.Sprint(response.StatusCode)) || (a.verdict != "" && !slices.Contains(strings.Split(a.verdict, "|"), verdict)) || !regexp.MustCompile("(?m)"+a.pattern).Match(body) {
 		return fmt.Errorf("got status %d, verdict %q, body %s", response.StatusCode, verdict, bytes.TrimSpace(body))
 	}
 	fmt.Fprintf(ts.Stdout(), "%s", body)
 	return nil
 }
 
-// sendSignal is "signal STOP|CONT|KILL|TERM PROCESS": it signals the process in
-// the background that was started with these settings, or runs this program.
+// sendSignal implements "signal STOP|CONT|KILL|TERM PROCESS". It signals the
+// background process that was started with these settings or runs this program.
 func sendSignal(ts *testscript.TestScript, neg bool, args []string) {
 	signals := map[string]os.Signal{"STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "KILL": syscall.SIGKILL, "TERM": syscall.SIGTERM}
 	if neg || len(args) != 2 || signals[args[0]] == nil {
 		ts.Fatalf("usage: signal STOP|CONT|KILL|TERM PROCESS")
 	}
-	// The newest process with these settings is the one that runs.
+	// Only the newest process with these settings is running.
 	commands := ts.BackgroundCmds()
 	for i := len(commands) - 1; i >= 0; i-- {
 		c := commands[i]
@@ -114,9 +115,9 @@
 	ts.Fatalf("no process in the background is %s", args[1])
 }
 
-// afterSignal waits until a killed process is gone, and its addresses are free
-// again, and sees to it that a frozen one goes on some time: the end of a
-// script waits for every process.
+// afterSignal waits until a killed process has exited and its addresses are free
+// again. It makes sure that a frozen process is resumed eventually, because the
+// end of a script waits for every process.
 func afterSignal(name string, p *os.Process) {
 	switch name {
 	case "KILL":
@@ -124,6 +125,6 @@
 			time.Sleep(time.Millisecond)
 		}
 	case "STOP":
-		time.AfterFunc(patience, func() { _ = p.Signal(syscall.SIGCONT) })
+		time.AfterFunc(scriptTimeout, func() { _ = p.Signal(syscall.SIGCONT) })
 	}
 }
--- a/cmd/comfreyloom/script_revise_test.go
+++ b/cmd/comfreyloom/script_revise_test.go
@@ -18,11 +18,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/operator"
 )
 
-// reviseMain is an operators' pipeline: it hands in one revision after another
-// of the manifest -f, in turn at the entry VMs that it is given by number, and
-// sends each again until it is told that it was accepted. At SIGTERM it ends
-// with the revision at hand, waits until that is in force at all these VMs,
-// and fails when another text won or an accepted one is gone.
+// reviseMain is an operators' pipeline: it applies one revision after another of
+// the manifest -f at the entry VMs given by number, in turn, and sends each one
+// again until it is accepted. At SIGTERM it finishes the current revision, waits
+// until it is in force at all these VMs, and fails when a different text was
+// accepted instead or an accepted revision was lost.
 func reviseMain() {
 	p := &pipeline{}
 	flag.StringVar(&p.file, "f", "site.ini", "manifest of revision 1")
@@ -34,38 +34,38 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	for revision := 2; ctx.Err() == nil; revision++ {
-		own := strings.Replace(string(text), "revision = 1\n", fmt.Sprintf("revision = %d\n", revision), 1)
-		exitOn(p.insist([]byte(own), revision))
+		revised := strings.Replace(string(text), "revision = 1\n", fmt.Sprintf("revision = %d\n", revision), 1)
+		exitOn(p.applyUntilAccepted([]byte(revised), revision))
 		time.Sleep(*pause)
 	}
 	exitOn(p.awaitInForce())
 	fmt.Printf("revisions accepted: %d, in force everywhere; sent again: %d, slowest %v\n",
-		p.accepted, p.again, p.slowest.Round(time.Millisecond))
+		p.accepted, p.resent, p.slowest.Round(time.Millisecond))
 }
 
 type pipeline struct {
-	file            string
-	nodes           []string
-	accepted, again int
-	digest          string
-	slowest         time.Duration
+	file             string
+	nodes            []string
+	accepted, resent int
+	digest           string
+	slowest          time.Duration
 }
 
-// insist sends one text until it is accepted.
-func (p *pipeline) insist(text []byte, revision int) error {
-	began := time.Now()
+// applyUntilAccepted sends one revision until it is accepted.
+func (p *pipeline) applyUntilAccepted(text []byte, revision int) error {
+	start := time.Now()
 	var last error
-	for try := 0; time.Since(began) < patience; try++ {
+	for try := 0; time.Since(start) < scriptTimeout; try++ {
 		address := os.Getenv("OPERATORS" + p.nodes[(revision+try)%len(p.nodes)])
-		var answer operator.ManifestResponse
-		answer, last = put(address, text)
+		var answer operator.ManifestAnswer
+		answer, last = putManifest(address, text)
 		switch {
 		case last != nil:
-			p.again++
+			p.resent++
 			time.Sleep(10 * time.Millisecond)
 		case answer.Digest == manifest.Digest(text):
 			p.accepted, p.digest = revision, answer.Digest
-			p.slowest = max(p.slowest, time.Since(began))
+			p.slowest = max(p.slowest, time.Since(start))
 			return nil
 		default:
 			return fmt.Errorf("revision %d: %s: %s", revision, answer.Outcome, answer.Message)
@@ -74,9 +74,9 @@
 	return fmt.Errorf("revision %d was not accepted: %w", revision, last)
 }
 
-// put returns what was decided, or an error when nothing was or nobody knows.
-func put(address string, text []byte) (operator.ManifestResponse, error) {
-	var answer operator.ManifestResponse
+// putManifest returns the decision, or an error when there was none or it is unknown.
+func putManifest(address string, text []byte) (operator.ManifestResponse, error) {
+	var answer operator.ManifestAnswer
 	r, err := http.NewRequest(http.MethodPut, "http://"+address+"/manifest", bytes.NewReader(text))
 	if err != nil {
 		return answer, err
@@ -98,7 +98,7 @@
 
 func (p *pipeline) awaitInForce() error {
 	var last string
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(scriptTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		last = ""
 		for _, node := range p.nodes {
 			s, err := statusOf(os.Getenv("OPERATORS" + node))
--- a/cmd/comfreyloom/script_test.go
+++ b/cmd/comfreyloom/script_test.go
@@ -14,8 +14,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain lets the scripts run the product, and what stands around it, as
-// processes of their own.
+// TestMain lets the scripts run the product and the stand-ins around it as
+// separate processes.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"comfreyloom": main,
@@ -53,8 +53,8 @@
 	})
 }
 
-// reportRaces fails a script in whose processes the race detector found
-// something; without this nobody would read their output.
+// reportRaces fails a script when the race detector reported a data race in one
+// of its processes; nothing else reads their reports.
 func reportRaces(env *testscript.Env) {
 	path := filepath.Join(env.WorkDir, "race")
 	env.Setenv("GORACE", "log_path="+path)
@@ -68,16 +68,16 @@
 	})
 }
 
-// places bounds how many processes of comfreyloom all scripts run together, so
-// that a small machine runs fewer scripts at once.
-var places = make(chan struct{}, 24)
+// processSlots bounds the number of comfreyloom processes of all scripts
+// together, so that a small machine runs fewer scripts at once.
+var processSlots = make(chan struct{}, 24)
 
-// writeSite is "site [-relay] NODES [SITE-NAME]": it writes the settings
-// n1.ini, n2.ini … of a site on loopback, of which the first three are voters,
-// and its manifest site.ini, and sets NETWORK, the first three numbers of
-// all addresses, PLATFORM, RELAY and, for each node, CALLERS1, UPSTREAMS1,
-// OPERATORS1. With -relay the nodes reach each other by
-// the links in the file "links" of a relay.
+// writeSite implements "site [-relay] NODES [SITE-NAME]". It writes the settings
+// n1.ini, n2.ini … of a site on loopback, whose first three nodes are voters, and
+// its manifest site.ini. It sets NETWORK, the first three numbers of all
+// addresses, PLATFORM, RELAY and, for each node, CALLERS1, UPSTREAMS1 and
+// OPERATORS1. With -relay the nodes reach each other through a relay, whose links
+// are in the file "links".
 func writeSite(ts *testscript.TestScript, neg bool, args []string) {
 	relayed := len(args) > 0 && args[0] == "-relay"
 	if relayed {
@@ -93,11 +93,11 @@
 	_, err := fmt.Sscan(args[0], &s.nodes)
 	ts.Check(err)
 	for range s.nodes {
-		places <- struct{}{}
+		processSlots <- struct{}{}
 	}
 	ts.Defer(func() {
 		for range s.nodes {
-			<-places
+			<-processSlots
 		}
 	})
 	s.write(ts, relayed)
@@ -115,7 +115,7 @@
 	}
 }
 
-// testSite is a site on loopback addresses of its own.
+// testSite is a site with its own loopback addresses.
 type testSite struct {
 	name    string
 	network string
@@ -144,7 +144,8 @@
 	return fmt.Sprintf("%s%d:%d", s.network, node+1, 7000+port)
 }
 
-// linkAddress is where the relay listens for what one node sends to another.
+// linkAddress returns where the relay listens for traffic from one node to
+// another.
 func (s testSite) linkAddress(from, to int) string {
 	return fmt.Sprintf("%s%d:7004", s.network, 100+10*from+to)
 }
@@ -199,7 +200,7 @@
 balancer_delay = 500ms
 `
 
-// manifestText is a small site of 24 VMs; its wave is far off.
+// manifestText is a small site of 24 VMs; its wave starts in the far future.
 const manifestText = `[site]
 name = %s
 revision = 1
@@ -230,8 +231,8 @@
 soak = 1s
 `
 
-// editFile is "edit FILE OLD NEW": it replaces a text that must occur once; \n
-// in NEW ends a line.
+// editFile implements "edit FILE OLD NEW". It replaces a text that must occur
+// exactly once; \n in NEW stands for a line break.
 func editFile(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: edit FILE OLD NEW")
@@ -243,14 +244,14 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(strings.Replace(text, args[1], strings.ReplaceAll(args[2], `\n`, "\n"), 1)), 0o600))
 }
 
-// attemptMain runs comfreyloom in the background of a script, whatever comes of
-// it, and prints the exit code.
+// attemptMain runs comfreyloom in the background of a script and prints its exit
+// code; a failure doesn't fail the script.
 func attemptMain() {
 	code := runMain(os.Args[1:], console{out: os.Stdout, err: os.Stdout})
 	fmt.Println("exit code", code)
 }
 
-// exits is "exits N PROGRAM ARGS": the program must end with exit code N.
+// exits implements "exits N PROGRAM ARGS": the program must exit with code N.
 func exits(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: exits N PROGRAM ARGS")
--- a/cmd/comfreyloom/script_upstream_test.go
+++ b/cmd/comfreyloom/script_upstream_test.go
@@ -13,9 +13,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream/standin"
 )
 
-// upstreamMain is one instance of a service as a process. It stops gracefully
-// at SIGTERM. The script asks /most/PREFIX/N and /total, and POSTs /leave, at the
-// address that steers it.
+// upstreamMain runs one instance of a service as a process, which shuts down
+// gracefully at SIGTERM. At its control address it serves GET /most/PREFIX/N,
+// GET /total and POST /leave.
 func upstreamMain() {
 	var o standin.Options
 	control := flag.String("control", "", "IP:port that steers the instance")
@@ -39,7 +39,7 @@
 		go serveOrExit(*control, upstreamControl(u))
 	}
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), patience)
+	bounded, cancel := context.WithTimeout(context.Background(), scriptTimeout)
 	defer cancel()
 	exitOn(u.Shutdown(bounded))
 	fmt.Printf("total: %d\n", u.Total())
--- a/cmd/comfreyloom/script_watch_test.go
+++ b/cmd/comfreyloom/script_watch_test.go
@@ -20,7 +20,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/operator"
 )
 
-// statusOf asks an entry VM for its status.
+// statusOf requests the status of an entry VM.
 func statusOf(address string) (operator.Status, error) {
 	var status operator.Status
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -35,101 +35,103 @@
 	return status, json.NewDecoder(response.Body).Decode(&status)
 }
 
-// witness holds what was seen of a site and names what must never be seen.
-type witness struct {
-	// digests are those of the state by index, winners those of manifests by
-	// revision; revisions are the highest in force by node.
+// siteMonitor records the observed status of a site and reports violations of its
+// invariants.
+type siteMonitor struct {
+	// digests maps an index to the digest of the state, manifests a revision to the
+	// digest of its manifest, and revisions a node to its highest revision.
 	digests   map[uint64]string
-	winners   map[uint64]string
+	manifests map[uint64]string
 	revisions map[string]uint64
-	// budgets says that budgets are watched as well; met holds the services
-	// whose budget was met before.
-	budgets bool
-	met     map[string]bool
-	looks   int
-	faults  []string
-	mu      sync.Mutex
+	// checksBudgets enables the check of availability budgets; budgetMet holds the
+	// services whose budget was met before.
+	checksBudgets bool
+	budgetMet     map[string]bool
+	polls         int
+	violations    []string
+	mu            sync.Mutex
 }
 
-func newWitness() *witness {
-	return &witness{digests: map[uint64]string{}, winners: map[uint64]string{}, revisions: map[string]uint64{}, met: map[string]bool{}}
+func newSiteMonitor() *siteMonitor {
+	return &siteMonitor{digests: map[uint64]string{}, manifests: map[uint64]string{}, revisions: map[string]uint64{}, budgetMet: map[string]bool{}}
 }
 
-func (w *witness) fault(format string, args ...any) {
-	if text := fmt.Sprintf(format, args...); !slices.Contains(w.faults, text) {
-		w.faults = append(w.faults, text)
+func (w *siteMonitor) addViolation(format string, args ...any) {
+	if text := fmt.Sprintf(format, args...); !slices.Contains(w.violations, text) {
+		w.violations = append(w.violations, text)
 	}
 }
 
-func (w *witness) see(node string, s operator.Status) {
+func (w *siteMonitor) observe(node string, s operator.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks++
-	w.same(w.digests, s.Index, s.StateDigest, "state at index")
+	w.polls++
+	w.checkSame(w.digests, s.Index, s.StateDigest, "state at index")
 	if s.Revision > 0 {
-		w.same(w.winners, s.Revision, s.Digest, "manifest of revision")
+		w.checkSame(w.manifests, s.Revision, s.Digest, "manifest of revision")
 	}
 	ready := slices.ContainsFunc(s.Nodes, func(n operator.NodeStatus) bool { return string(n.Node) == "n"+node && n.Ready })
 	if ready && s.Revision < w.revisions[node] {
-		w.fault("n%s is ready with revision %d after %d", node, s.Revision, w.revisions[node])
+		w.addViolation("n%s is ready with revision %d after %d", node, s.Revision, w.revisions[node])
 	}
 	w.revisions[node] = max(w.revisions[node], s.Revision)
-	for _, b := range s.Violations {
-		w.fault("n%s: %s: %s", node, b.Invariant, b.Detail)
+	for _, b := range s.Checks {
+		w.addViolation("n%s: %s: %s", node, b.Invariant, b.Detail)
 	}
-	if w.budgets && string(s.Leader) == "n"+node {
-		w.seeBudgets(s)
+	if w.checksBudgets && string(s.Leader) == "n"+node {
+		w.checkBudgets(s)
 	}
 }
 
-func (w *witness) same(known map[uint64]string, key uint64, digest, what string) {
-	if first, seen := known[key]; seen && first != digest {
-		w.fault("two digests of the %s %d: %s and %s", what, key, first, digest)
+func (w *siteMonitor) checkSame(known map[uint64]string, key uint64, digest, what string) {
+	if previous, seen := known[key]; seen && previous != digest {
+		w.addViolation("two digests of the %s %d: %s and %s", what, key, previous, digest)
 	}
 	known[key] = digest
 }
 
-func (w *witness) seeBudgets(s operator.Status) {
+func (w *siteMonitor) checkBudgets(s operator.Status) {
 	for _, b := range s.Budgets {
 		id := string(b.Service)
-		if w.met[id] && b.Available < b.MinAvailable {
-			w.fault("by the leader's account service %s had %d of at least %d instances: %s", id, b.Available, b.MinAvailable, b.Reason)
+		if w.budgetMet[id] && b.Available < b.Least {
+			w.addViolation("service %s has %d available instances by the leader's status, at least %d are required: %s", id, b.Available, b.Least, b.Why)
 		}
-		w.met[id] = w.met[id] || b.Available >= b.MinAvailable
+		w.budgetMet[id] = w.budgetMet[id] || b.Available >= b.Least
 	}
 }
 
-// watchMain looks at the entry VMs that it is given by number until SIGTERM
-// and fails when it saw what must never be seen. With -budgets that includes
-// the leader's account of a budget below its least: not for scripts in which a
-// leader comes up that can't know of the instances yet.
+// watchMain polls the entry VMs given by number until SIGTERM and fails when an
+// invariant was violated. With -budgets this includes the availability budgets
+// that the leader reports; this is not suitable for scripts in which a new leader
+// can't have the announcements of all instances yet.
 func watchMain() {
-	w := newWitness()
-	flag.BoolVar(&w.budgets, "budgets", false, "")
+	monitor := newSiteMonitor()
+	flag.BoolVar(&monitor.checksBudgets, "budgets", false, "")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	var looking conc.WaitGroup
+	var polling conc.WaitGroup
 	for _, node := range flag.Args() {
-		looking.Go(func() {
+		polling.Go(func() {
 			for ctx.Err() == nil {
 				if s, err := statusOf(os.Getenv("OPERATORS" + node)); err == nil {
-					w.see(node, s)
+					monitor.observe(node, s)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
 	}
-	looking.Wait()
-	fmt.Printf("watched: %d looks, revisions %v, faults: %d\n", w.looks, w.revisions, len(w.faults))
-	for _, fault := range w.faults {
+	polling.Wait()
+	fmt.Printf("watched: %d looks, revisions %v, faults: %d\n", monitor.polls, monitor.revisions, len(monitor.violations))
+	for _, fault := range monitor.violations {
 		fmt.Fprintln(os.Stderr, fault)
 	}
-	os.Exit(min(len(w.faults), 1))
+	os.Exit(min(len(monitor.violations), 1))
 }
 
-// converge is "converge [-revision N] NODES": it waits until the nodes have
-// been seen with the same state at the same index, and the manifest in force.
+// converge implements "converge [-revision N] NODES". It waits until all nodes
+// have reported the same state at the same index, with revision N or later in
+// force.
 func converge(ts *testscript.TestScript, neg bool, args []string) {
 	flags := flag.NewFlagSet("converge", flag.ContinueOnError)
 	revision := flags.Uint64("revision", 0, "")
@@ -137,10 +139,10 @@
 	if neg || flags.NArg() == 0 {
 		ts.Fatalf("usage: converge [-revision N] NODES")
 	}
-	began, w := time.Now(), newWitness()
+	start, monitor := time.Now(), newSiteMonitor()
 	seen := map[uint64]map[string]bool{}
 	var last []string
-	for time.Since(began) < patience {
+	for time.Since(start) < scriptTimeout {
 		last = nil
 		for _, node := range flags.Args() {
 			s, err := statusOf(ts.Getenv("OPERATORS" + node))
@@ -148,17 +150,17 @@
 			if err != nil || s.Revision < *revision {
 				continue
 			}
-			w.see(node, s)
+			monitor.observe(node, s)
 			if seen[s.Index] == nil {
 				seen[s.Index] = map[string]bool{}
 			}
 			seen[s.Index][node] = true
-			if len(w.faults) > 0 {
-				ts.Fatalf("%s", strings.Join(w.faults, "\n"))
+			if len(monitor.violations) > 0 {
+				ts.Fatalf("%s", strings.Join(monitor.violations, "\n"))
 			}
 			if len(seen[s.Index]) == flags.NArg() {
 				ts.Logf("n%s have the same state at index %d, revision %d, after %v",
-					strings.Join(flags.Args(), ", n"), s.Index, s.Revision, time.Since(began).Round(time.Millisecond))
+					strings.Join(flags.Args(), ", n"), s.Index, s.Revision, time.Since(start).Round(time.Millisecond))
 				return
 			}
 		}
@@ -167,22 +169,23 @@
 	ts.Fatalf("no common state: %s", strings.Join(last, "; "))
 }
 
-// awaitLeader is "leader [-not NODE] NODES": it waits until the nodes name one
-// of them as the leader and sets LEADER to its number, LEADER_SETTINGS,
-// LEADER_CALLERS and LEADER_OPERATORS, and A, B … and the like for the others.
+// awaitLeader implements "leader [-not NODE] NODES". It waits until all nodes name
+// the same one of them as the leader and sets LEADER to its number,
+// LEADER_SETTINGS, LEADER_DATA, LEADER_CALLERS and LEADER_OPERATORS. It sets A,
+// A_SETTINGS, B and so on for the others.
 func awaitLeader(ts *testscript.TestScript, neg bool, args []string) {
 	flags := flag.NewFlagSet("leader", flag.ContinueOnError)
-	not := flags.String("not", "", "")
+	excluded := flags.String("not", "", "")
 	ts.Check(flags.Parse(args))
 	if neg || flags.NArg() == 0 {
 		ts.Fatalf("usage: leader [-not NODE] NODES")
 	}
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(5 * time.Millisecond) {
-		leader := namedBy(ts, flags.Args())
-		if leader == "" || leader == *not {
+	for start := time.Now(); time.Since(start) < scriptTimeout; time.Sleep(5 * time.Millisecond) {
+		leader := commonLeader(ts, flags.Args())
+		if leader == "" || leader == *excluded {
 			continue
 		}
-		ts.Logf("n%s leads, found after %v", leader, time.Since(began).Round(time.Millisecond))
+		ts.Logf("n%s leads, found after %v", leader, time.Since(start).Round(time.Millisecond))
 		setNode(ts, "LEADER", leader)
 		others := slices.DeleteFunc(slices.Clone(flags.Args()), func(n string) bool { return n == leader })
 		for i, node := range others {
@@ -193,8 +196,9 @@
 	ts.Fatalf("no leader among n%s", strings.Join(flags.Args(), ", n"))
 }
 
-// namedBy returns the number of the leader that all the nodes name.
-func namedBy(ts *testscript.TestScript, nodes []string) string {
+// commonLeader returns the number of the leader that all nodes report, empty when
+// they don't agree.
+func commonLeader(ts *testscript.TestScript, nodes []string) string {
 	leader := ""
 	for i, node := range nodes {
 		s, err := statusOf(ts.Getenv("OPERATORS" + node))
--- a/cmd/comfreyloom/serve.go
+++ b/cmd/comfreyloom/serve.go
@@ -18,8 +18,8 @@
 	Settings string `arg:"--settings" placeholder:"FILE" help:"settings of this VM; where it is left out, a variable of the environment names the file, see deploy"`
 }
 
-// run serves until SIGTERM or SIGINT, then stops gracefully. A second signal
-// ends the process at once.
+// run serves until SIGTERM or SIGINT, then shuts down gracefully. A second
+// signal terminates the process immediately.
 func (k *serveCommand) run(c console) exitCode {
 	if k.Settings == "" {
 		k.Settings = os.Getenv(platform.SettingsVariable)
--- a/cmd/comfreyloom/soak_test.go
+++ b/cmd/comfreyloom/soak_test.go
@@ -19,99 +19,100 @@
 )
 
 const (
-	// soakSeeds are played in a normal run; COMFREYLOOM_SOAK=FIRST:COUNT plays others.
+	// soakSeeds is the number of seeds of a normal run; COMFREYLOOM_SOAK=FIRST:COUNT
+	// selects others.
 	soakSeeds = 2
-	// soakFor is how long trouble lasts; callers go on meanwhile.
-	soakFor = 12 * time.Second
-	// soakOffset is between the IP where a process listens and its relay's.
+	// faultTime is how long faults are injected while callers send jobs.
+	faultTime = 12 * time.Second
+	// soakOffset is the distance of a process's listen IP from its relay's.
 	soakOffset  = 50
 	soakWorkers = 3
 )
 
-// ledger is what the workers have seen of every task.
-type ledger struct {
-	mu     sync.Mutex
-	active map[string]map[string]bool
-	acked  map[string]bool
-	jobs   map[string]bool
-	broken []string
+// taskLedger records the starts and ends of tasks that the workers observe.
+type taskLedger struct {
+	mu          sync.Mutex
+	active      map[string]map[string]bool
+	acked       map[string]bool
+	startedJobs map[string]bool
+	violations  []string
 }
 
-func newLedger() *ledger {
-	return &ledger{active: map[string]map[string]bool{}, acked: map[string]bool{}, jobs: map[string]bool{}}
+func newTaskLedger() *taskLedger {
+	return &taskLedger{active: map[string]map[string]bool{}, acked: map[string]bool{}, startedJobs: map[string]bool{}}
 }
 
-func (l *ledger) breaks(format string, args ...any) {
-	l.broken = append(l.broken, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
+func (l *taskLedger) addViolation(format string, args ...any) {
+	l.violations = append(l.violations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
 // Started implements standin.Watcher.
-func (l *ledger) Started(worker, task string) {
+func (l *taskLedger) Started(worker, task string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.active[task] == nil {
 		l.active[task] = map[string]bool{}
 	}
 	l.active[task][worker] = true
-	l.jobs[task[:16]] = true
+	l.startedJobs[task[:16]] = true
 	if len(l.active[task]) > 1 {
-		l.breaks("task %s runs on %v", task, l.active[task])
+		l.addViolation("task %s runs on %v", task, l.active[task])
 	}
 	if l.acked[task] {
-		l.breaks("task %s was started on %s after its end was acknowledged", task, worker)
+		l.addViolation("task %s was started on %s after its end was acknowledged", task, worker)
 	}
 }
 
 // Ended implements standin.Watcher.
-func (l *ledger) Ended(worker, task string, _ workload.EndKind) {
+func (l *taskLedger) Ended(worker, task string, _ workload.EndKind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.active[task], worker)
 }
 
 // Acked implements standin.Watcher.
-func (l *ledger) Acked(task string) {
+func (l *taskLedger) Acked(task string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acked[task] = true
 }
 
-func (l *ledger) first() string {
+func (l *taskLedger) firstViolation() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.broken) > 0 {
-		return l.broken[0]
+	if len(l.violations) > 0 {
+		return l.violations[0]
 	}
 	return ""
 }
 
-// soak is a site under trouble.
+// soak is a site under fault injection.
 type soak struct {
 	*memberSite
-	random  *rand.Rand
-	ledger  *ledger
-	relays  map[string]*relay
-	down    map[string]time.Time // until when a process stays down
-	frozen  map[string]time.Time
-	steered map[string]time.Time
-	wipedAt time.Time
-	births  int
+	random          *rand.Rand
+	ledger          *taskLedger
+	relays          map[string]*relay
+	downUntil       map[string]time.Time // when a stopped process is started again
+	frozenUntil     map[string]time.Time
+	relayFaultUntil map[string]time.Time
+	lastWipe        time.Time
+	workerStarts    int
 
-	mu       sync.Mutex
-	accepted map[string]bool
-	refused  map[string]bool
-	ended    map[string]bool // cancelled, or of unknown outcome
-	version  int             // the highest configuration acknowledged
-	sent     int
+	mu           sync.Mutex
+	accepted     map[string]bool
+	refused      map[string]bool
+	unchecked    map[string]bool // cancelled or with an unknown outcome
+	ackedVersion int             // highest acknowledged configuration
+	sentVersion  int
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
 	s := &soak{
-		memberSite: newMemberSite(t), random: rand.New(rand.NewPCG(seed, 11)), ledger: newLedger(),
-		relays: map[string]*relay{}, down: map[string]time.Time{}, frozen: map[string]time.Time{}, steered: map[string]time.Time{},
-		accepted: map[string]bool{}, refused: map[string]bool{}, ended: map[string]bool{},
+		memberSite: newMemberSite(t), random: rand.New(rand.NewPCG(seed, 11)), ledger: newTaskLedger(),
+		relays: map[string]*relay{}, downUntil: map[string]time.Time{}, frozenUntil: map[string]time.Time{}, relayFaultUntil: map[string]time.Time{},
+		accepted: map[string]bool{}, refused: map[string]bool{}, unchecked: map[string]bool{},
 	}
-	s.offset = soakOffset
+	s.listenOffset = soakOffset
 	for _, core := range s.cores() {
 		r := &relay{cuts: map[direction]bool{}, open: map[*relayed]bool{}}
 		listener, err := net.Listen("tcp", s.address(core, 0))
@@ -124,9 +125,9 @@
 	for i := range memberEntries {
 		s.start(fmt.Sprintf("entry%d", i), false)
 	}
-	s.until("the first configuration is accepted", func() bool { return s.configure() })
+	s.waitFor("the first configuration is accepted", func() bool { return s.configure() })
 	for i := range soakWorkers {
-		s.bear(i, s.network+".200:0")
+		s.startWorker(i, s.network+".200:0")
 	}
 	return s
 }
@@ -139,14 +140,14 @@
 	return all
 }
 
-// bear starts a worker's next incarnation, at the address of the last one.
-func (s *soak) bear(i int, address string) {
+// startWorker starts the next incarnation of a worker at the same address.
+func (s *soak) startWorker(i int, address string) {
 	var operators []string
 	for _, core := range s.cores() {
 		operators = append(operators, s.address(core, 1))
 	}
-	s.births++
-	w, err := standin.StartWorker(fmt.Sprintf("i-%d-%d", i, s.births), address, "p", operators, s.ledger)
+	s.workerStarts++
+	w, err := standin.Start(fmt.Sprintf("i-%d-%d", i, s.workerStarts), address, "p", operators, s.ledger)
 	s.must(err)
 	if i < len(s.workers) {
 		s.workers[i] = w
@@ -158,21 +159,21 @@
 // configure sends the next configuration to a core VM.
 func (s *soak) configure() bool {
 	s.mu.Lock()
-	s.sent++
-	version := s.sent
+	s.sentVersion++
+	version := s.sentVersion
 	s.mu.Unlock()
 	core := s.cores()[s.random.IntN(memberCores)]
 	status, _ := s.call(http.MethodPost, s.address(core, 1), standin.ConfigPath, standin.ConfigBody(version, 3000+version))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if status == http.StatusOK {
-		s.version = max(s.version, version)
+		s.ackedVersion = max(s.ackedVersion, version)
 	}
 	return status == http.StatusOK
 }
 
-// callers hand jobs in until stop is closed, and ask for the ones accepted.
-func (s *soak) callers(random *rand.Rand, stop <-chan struct{}, first int) {
+// submitJobs submits jobs until stop is closed and cancels some of those accepted.
+func (s *soak) submitJobs(random *rand.Rand, stop <-chan struct{}, first int) {
 	for n := first; ; n++ {
 		select {
 		case <-stop:
@@ -190,172 +191,172 @@
 		case http.StatusServiceUnavailable, http.StatusNotFound:
 			s.refused[id] = true
 		default:
-			s.ended[id] = true
+			s.unchecked[id] = true
 		}
 		s.mu.Unlock()
 		if status == http.StatusOK && random.IntN(12) == 0 {
 			s.call(http.MethodDelete, entry, standin.JobPath(id), "")
 			s.mu.Lock()
-			s.ended[id] = true
+			s.unchecked[id] = true
 			s.mu.Unlock()
 		}
 	}
 }
 
-// trouble does one thing to the site.
-func (s *soak) trouble() {
+// injectFault injects one random fault.
+func (s *soak) injectFault() {
 	now := time.Now()
-	later := func(least, most int) time.Time {
-		return now.Add(time.Duration(least+s.random.IntN(most-least)) * time.Millisecond)
+	randomTime := func(minMS, maxMS int) time.Time {
+		return now.Add(time.Duration(minMS+s.random.IntN(maxMS-minMS)) * time.Millisecond)
 	}
 	core := s.cores()[s.random.IntN(memberCores)]
 	entry := fmt.Sprintf("entry%d", s.random.IntN(memberEntries))
 	switch s.random.IntN(13) {
 	case 0, 1:
-		s.stopFor(core, later(100, 2500), syscall.SIGKILL)
+		s.stopFor(core, randomTime(100, 2500), syscall.SIGKILL)
 	case 2:
-		s.stopFor(core, later(100, 1500), syscall.SIGTERM)
+		s.stopFor(core, randomTime(100, 1500), syscall.SIGTERM)
 	case 3:
-		s.stopFor(entry, later(100, 1000), syscall.SIGKILL)
+		s.stopFor(entry, randomTime(100, 1000), syscall.SIGKILL)
 	case 4:
 		for _, c := range s.cores() {
-			s.stopFor(c, later(100, 900), syscall.SIGKILL)
+			s.stopFor(c, randomTime(100, 900), syscall.SIGKILL)
 		}
 	case 5, 6:
-		if p := s.processes[core]; p != nil && s.frozen[core].IsZero() {
+		if p := s.processes[core]; p != nil && s.frozenUntil[core].IsZero() {
 			s.must(p.Process.Signal(syscall.SIGSTOP))
-			s.frozen[core] = later(300, 3000)
+			s.frozenUntil[core] = randomTime(300, 3000)
 		}
 	case 7:
 		s.wipe(core)
 	case 8:
-		s.relays[core].steer(0, direction{"peers", core})
-		s.steered[core] = later(500, 3000)
+		s.relays[core].configure(0, direction{"peers", core})
+		s.relayFaultUntil[core] = randomTime(500, 3000)
 	case 9:
-		s.relays[core].steer(time.Duration(20+s.random.IntN(150)) * time.Millisecond)
-		s.steered[core] = later(500, 3000)
+		s.relays[core].configure(time.Duration(20+s.random.IntN(150)) * time.Millisecond)
+		s.relayFaultUntil[core] = randomTime(500, 3000)
 	case 10:
-		s.relays[core].silence()
+		s.relays[core].blackhole()
 	case 11:
 		s.relays[core].reset()
 	default:
 		i := s.random.IntN(soakWorkers)
 		address := s.workers[i].Address()
 		s.workers[i].Close()
-		s.bear(i, address)
+		s.startWorker(i, address)
 	}
 }
 
-// stopFor ends a process that runs; it is started again later.
+// stopFor stops a running process; recoverFaults starts it again later.
 func (s *soak) stopFor(name string, until time.Time, signal syscall.Signal) {
 	p := s.processes[name]
-	if p == nil || !s.frozen[name].IsZero() {
+	if p == nil || !s.frozenUntil[name].IsZero() {
 		return
 	}
 	s.must(p.Process.Signal(signal))
-	_ = p.Wait() // it ends by the signal, or as asked
+	_ = p.Wait() // the signal kills it, or it shuts down
 	delete(s.processes, name)
-	s.down[name] = until
+	s.downUntil[name] = until
 }
 
-// wipe takes the disk of one core VM while the others hold theirs and have
-// been up for long enough to hold everything: one lost disk at a time is what
-// the site must bear.
+// wipe deletes the disk of one core VM. The others must have their disks and have
+// been up long enough to be complete, because the site tolerates one lost disk
+// at a time.
 func (s *soak) wipe(core string) {
-	if len(s.down)+len(s.frozen)+len(s.steered) > 0 || time.Since(s.wipedAt) < 8*time.Second {
+	if len(s.downUntil)+len(s.frozenUntil)+len(s.relayFaultUntil) > 0 || time.Since(s.lastWipe) < 8*time.Second {
 		return
 	}
-	s.wipedAt = time.Now()
+	s.lastWipe = time.Now()
 	s.stopFor(core, time.Now().Add(300*time.Millisecond), syscall.SIGKILL)
-	s.must(os.RemoveAll(filepath.Join(s.dir, core)))
+	s.must(os.RemoveAll(filepath.Join(s.folder, core)))
 }
 
-// recover ends what has lasted long enough.
-func (s *soak) recover(now time.Time) {
-	for name, until := range s.frozen {
+// recoverFaults ends the faults whose time is up.
+func (s *soak) recoverFaults(now time.Time) {
+	for name, until := range s.frozenUntil {
 		if now.After(until) {
 			s.must(s.processes[name].Process.Signal(syscall.SIGCONT))
-			delete(s.frozen, name)
+			delete(s.frozenUntil, name)
 		}
 	}
-	for name, until := range s.down {
+	for name, until := range s.downUntil {
 		if now.After(until) {
 			s.start(name, false)
-			delete(s.down, name)
+			delete(s.downUntil, name)
 		}
 	}
-	for name, until := range s.steered {
+	for name, until := range s.relayFaultUntil {
 		if now.After(until) {
-			s.relays[name].steer(0)
-			delete(s.steered, name)
+			s.relays[name].configure(0)
+			delete(s.relayFaultUntil, name)
 		}
 	}
 }
 
-// run plays the trouble, then calm, and checks what was promised.
+// run injects faults, lets the site recover, and checks its guarantees.
 func (s *soak) run(seed uint64) {
 	stop := make(chan struct{})
-	var calling sync.WaitGroup
+	var callers sync.WaitGroup
 	for i := range 3 {
-		calling.Go(func() { s.callers(rand.New(rand.NewPCG(seed, uint64(i))), stop, 1_000_000*(i+1)) })
+		callers.Go(func() { s.submitJobs(rand.New(rand.NewPCG(seed, uint64(i))), stop, 1_000_000*(i+1)) })
 	}
-	for began, next := time.Now(), time.Now(); time.Since(began) < soakFor; time.Sleep(20 * time.Millisecond) {
-		s.recover(time.Now())
+	for start, next := time.Now(), time.Now(); time.Since(start) < faultTime; time.Sleep(20 * time.Millisecond) {
+		s.recoverFaults(time.Now())
 		if time.Now().After(next) {
-			s.trouble()
+			s.injectFault()
 			if s.random.IntN(3) == 0 {
 				s.configure()
 			}
 			next = time.Now().Add(time.Duration(100+s.random.IntN(900)) * time.Millisecond)
 		}
 	}
-	s.recover(time.Now().Add(time.Hour))
+	s.recoverFaults(time.Now().Add(time.Hour))
 	close(stop)
-	calling.Wait()
-	s.checkPromises()
+	callers.Wait()
+	s.checkGuarantees()
 }
 
-func (s *soak) checkPromises() {
-	if broken := s.ledger.first(); broken != "" {
-		s.t.Fatalf("%s\n%s", broken, s.tails())
+func (s *soak) checkGuarantees() {
+	if violation := s.ledger.firstViolation(); violation != "" {
+		s.t.Fatalf("%s\n%s", violation, s.logTails())
 	}
 	for id := range s.accepted {
-		if !s.ended[id] {
+		if !s.unchecked[id] {
 			s.awaitState(id, "completed")
 		}
 	}
 	s.ledger.mu.Lock()
 	for id := range s.refused {
-		if s.ledger.jobs[id] {
-			s.ledger.breaks("job %s was refused and has started", id)
+		if s.ledger.startedJobs[id] {
+			s.ledger.addViolation("job %s was started although it was refused", id)
 		}
 	}
 	s.ledger.mu.Unlock()
 	for _, core := range s.cores() {
-		s.until(core+" reads the configuration back", func() bool {
+		s.waitFor(core+" reads the configuration back", func() bool {
 			status, text := s.call(http.MethodGet, s.address(core, 1), "/config/get", "")
 			if status != http.StatusOK {
 				return false
 			}
 			var version int
-			if _, err := fmt.Sscanf(text, `{"version":%d`, &version); err != nil || version < s.version || version > s.sent {
-				s.t.Fatalf("%s reads version %d back; %d was acknowledged", core, version, s.version)
+			if _, err := fmt.Sscanf(text, `{"version":%d`, &version); err != nil || version < s.ackedVersion || version > s.sentVersion {
+				s.t.Fatalf("%s has configuration version %d; %d was acknowledged", core, version, s.ackedVersion)
 			}
 			return true
 		})
 	}
-	if broken := s.ledger.first(); broken != "" {
-		s.t.Fatalf("%s\n%s", broken, s.tails())
+	if broken := s.ledger.firstViolation(); broken != "" {
+		s.t.Fatalf("%s\n%s", broken, s.logTails())
 	}
-	races, _ := filepath.Glob(filepath.Join(s.dir, "race.*"))
+	races, _ := filepath.Glob(filepath.Join(s.folder, "race.*"))
 	if len(races) > 0 {
-		s.t.Fatalf("data race\n%s", s.tails())
+		s.t.Fatalf("data race\n%s", s.logTails())
 	}
-	s.t.Logf("%d jobs accepted, %d refused, %d cancelled or of unknown outcome", len(s.accepted), len(s.refused), len(s.ended))
+	s.t.Logf("%d jobs accepted, %d refused, %d cancelled or of unknown outcome", len(s.accepted), len(s.refused), len(s.unchecked))
 }
 
-// TestSoak plays random trouble against real processes: signals from outside,
-// lost disks, and relays that cut, delay, silence and reset their connections.
+// TestSoak injects random faults into a site of real processes: signals, lost
+// disks, and relays that cut, delay, blackhole and reset connections.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/cmd/comfreyloom/status.go
+++ b/cmd/comfreyloom/status.go
@@ -29,13 +29,13 @@
 }
 
 func (k *statusCommand) printJSON(c console) exitCode {
-	answer, err := k.do(context.Background(), http.MethodGet, "/status", nil, 0)
+	response, err := k.do(context.Background(), http.MethodGet, "/status", nil, 0)
 	if err != nil {
 		return reportReadError(c, "status", err)
 	}
-	if answer.status != http.StatusOK {
-		return reportFailure(c, "status", answer)
+	if response.status != http.StatusOK {
+		return reportFailure(c, "status", response)
 	}
-	fmt.Fprintf(c.out, "%s\n", answer.body)
+	fmt.Fprintf(c.out, "%s\n", response.body)
 	return exitDone
 }
