--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -7,103 +7,103 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// waveID names the one wave of a run.
+// waveID is the ID of the only maintenance wave of a run.
 const waveID = 1
 
-func (w *world) startWave() {
-	wave := &workload.Wave{ID: waveID, WindowMS: w.pattern.WaveFor.Milliseconds(), AcceptedMS: w.nowMS(), MaxUnavailable: w.pattern.WaveMost}
-	for _, vm := range w.vms[:w.pattern.Wave] {
+func (sim *simulation) startWave() {
+	wave := &workload.Wave{ID: waveID, WindowMS: sim.pattern.WaveFor.Milliseconds(), AcceptedMS: sim.nowMS(), MaxUnavailable: sim.pattern.WaveMost}
+	for _, vm := range sim.vms[:sim.pattern.Wave] {
 		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: vm.Machine})
 	}
-	w.apply(&workload.Command{Wave: wave})
+	sim.apply(&workload.Command{Wave: wave})
 }
 
-// returnVMs has the VMs announced whose move or maintenance is over.
-func (w *world) returnVMs() {
-	for _, vm := range w.vms {
-		if vm.backAt == 0 || vm.backAt > w.now {
+// returnVMs announces workers on the VMs whose move or maintenance has ended.
+func (sim *simulation) returnVMs() {
+	for _, vm := range sim.vms {
+		if vm.backAt == 0 || vm.backAt > sim.now {
 			continue
 		}
-		vm.backAt, vm.flying = 0, false
+		vm.backAt, vm.orderInFlight = 0, false
 		if vm.Pool == standbyPool {
 			vm.State = capacity.Down
 			continue
 		}
-		w.bear(vm)
+		sim.startWorker(vm)
 	}
 }
 
-// decideFleet plans moves and maintenance, and carries the orders out.
-func (w *world) decideFleet() {
-	w.tokens = min(w.tokens+ordersPerSecond*(fleetSteps*step).Seconds(), ordersPerSecond/2)
+// decideFleet plans moves and maintenance and executes the orders.
+func (sim *simulation) decideFleet() {
+	sim.tokens = min(sim.tokens+ordersPerSecond*(fleetSteps*step).Seconds(), ordersPerSecond/2)
 	var plan capacity.Plan
-	w.machine.Read(func(t *workload.Tables) {
-		w.demand.Observe(t, w.now)
-		plan = capacity.Decide(w.input(t))
+	sim.machine.Read(func(t *workload.Tables) {
+		sim.demand.Observe(t, sim.now)
+		plan = capacity.Decide(sim.capacityInput(t))
 	})
 	for _, machine := range plan.Open {
-		delete(w.closing, machine)
+		delete(sim.closing, machine)
 	}
 	for _, c := range plan.Close {
-		w.closing[c.Machine] = c
+		sim.closing[c.Machine] = c
 	}
 	for _, o := range plan.Orders {
-		w.carryOut(o)
+		sim.execute(o)
 	}
 }
 
-func (w *world) input(t *workload.Tables) capacity.Input {
+func (sim *simulation) capacityInput(t *workload.Tables) capacity.Input {
 	in := capacity.Input{
-		Now: w.now, NowMS: w.nowMS(), Tables: t, Closing: w.closing, InFlight: map[workload.MachineID]capacity.InFlightOrder{},
-		Need: w.demand.Need(t, w.now, w.nowMS()), NeedByLabel: w.demand.NeedByLabel(t),
-		Unplaceable: w.demand.Unplaceable(t, w.now), MayPark: w.demand.MayPark(w.now),
-		Listed: func(workload.WorkerID) bool { return false }, Idle: w.idle,
+		Now: sim.now, NowMS: sim.nowMS(), Tables: t, Closing: sim.closing, InFlight: map[workload.MachineID]capacity.InFlightOrder{},
+		Need: sim.demand.Need(t, sim.now, sim.nowMS()), NeedByLabel: sim.demand.NeedByLabel(t),
+		Unplaceable: sim.demand.Unplaceable(t, sim.now), MayPark: sim.demand.MayPark(sim.now),
+		Listed: func(workload.WorkerID) bool { return false }, Idle: sim.idle,
 	}
-	for _, vm := range w.vms {
+	for _, vm := range sim.vms {
 		in.VMs = append(in.VMs, vm.VM)
-		if vm.flying {
-			in.InFlight[vm.Machine] = vm.flight
+		if vm.orderInFlight {
+			in.InFlight[vm.Machine] = vm.order
 		}
 	}
 	return in
 }
 
-func (w *world) idle(id workload.WorkerID) time.Duration {
-	vm := w.byWorker[id]
+func (sim *simulation) idle(id workload.WorkerID) time.Duration {
+	vm := sim.byWorker[id]
 	if vm == nil || vm.idleSince == 0 {
 		return 0
 	}
-	return w.now - vm.idleSince
+	return sim.now - vm.idleSince
 }
 
-// carryOut gives an order to the platform.
-func (w *world) carryOut(o capacity.Order) {
-	if w.tokens < 1 {
+// execute sends an order to the platform, if its rate limit allows.
+func (sim *simulation) execute(o capacity.Order) {
+	if sim.tokens < 1 {
 		return
 	}
-	w.tokens--
+	sim.tokens--
 	if o.Kind == capacity.Move {
-		w.result.Moves++
+		sim.result.Moves++
 	}
-	for _, vm := range w.vms {
+	for _, vm := range sim.vms {
 		if vm.Machine != o.Machine {
 			continue
 		}
-		vm.flight, vm.flying = capacity.InFlightOrder{Order: o, Sent: w.now, Worker: vm.Worker}, true
+		vm.order, vm.orderInFlight = capacity.InFlightOrder{Order: o, Sent: sim.now, Worker: vm.Worker}, true
 		if vm.Worker != "" {
-			w.apply(&workload.Command{EndedWorkers: []workload.WorkerID{vm.Worker}})
+			sim.apply(&workload.Command{EndedWorkers: []workload.WorkerID{vm.Worker}})
 			vm.Worker = ""
 		}
-		w.leave(vm, o)
+		sim.takeDown(vm, o)
 	}
 }
 
-func (w *world) leave(vm *vmState, o capacity.Order) {
+func (sim *simulation) takeDown(vm *vmState, o capacity.Order) {
 	if o.Kind == capacity.Maintain {
-		vm.State, vm.backAt = capacity.Maintained, w.now+maintenanceTime
-		w.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, Machine: vm.Machine}}})
-		w.result.WaveTime = w.now - begin - w.pattern.WaveAt + maintenanceTime
+		vm.State, vm.backAt = capacity.Maintained, sim.now+maintenanceTime
+		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, Machine: vm.Machine}}})
+		sim.result.WaveTime = sim.now - startTime - sim.pattern.WaveAt + maintenanceTime
 		return
 	}
-	vm.State, vm.Pool, vm.backAt = capacity.Moving, o.Pool, w.now+moveTime
+	vm.State, vm.Pool, vm.backAt = capacity.Moving, o.Pool, sim.now+moveTime
 }
--- a/internal/loadmodel/lab_test.go
+++ b/internal/loadmodel/lab_test.go
@@ -11,8 +11,8 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// named is a pattern with its name for tables.
-type named struct {
+// namedPattern is a pattern with its name for tables.
+type namedPattern struct {
 	name    string
 	pattern Pattern
 }
@@ -22,10 +22,11 @@
 	return p
 }
 
-// patterns are the loads that policies are compared under: turns of several
-// lengths, in no order, no turns at all, one pool only, and a wave in a peak.
-func patterns() []named {
-	return []named{
+// patterns returns the loads under which policies are compared: rotating peak
+// periods of several lengths, peaks in random order, no peaks, a single pool, and
+// a maintenance wave during a peak.
+func patterns() []namedPattern {
+	return []namedPattern{
 		{"turns 4.5 s", Turns(4500 * time.Millisecond)},
 		{"turns 9 s", Turns(9 * time.Second)},
 		{"turns 2 s", Turns(2 * time.Second)},
@@ -39,7 +40,7 @@
 	}
 }
 
-// switches are the mechanisms that can be turned off alone.
+// switches returns the mechanisms that can be disabled separately.
 func switches() []struct {
 	name  string
 	rules Rules
@@ -60,25 +61,26 @@
 	}
 }
 
-// vmSecondPrice and movePrice weigh a VM in a pool and a move against jobs in
-// time, as shares of the worth of a run of this length; they are the ones that
+// vmSecondPrice and movePrice are the costs of a second of a VM in a pool and of a
+// move, as shares of the value of a run of this length. They are the weights that
 // the users of the sites state, at the size of these patterns.
 const (
 	vmSecondPrice = 0.17 / 1600
 	movePrice     = 0.025 / 206
 )
 
-// value weighs the measures of a run as the users do.
+// value is the weighted sum of the measures of a run, with the users' weights.
 func value(r Result) float64 {
 	return 0.75*r.InTime + 0.25*r.Worst - vmSecondPrice*r.VMSeconds - movePrice*float64(r.Moves)
 }
 
-// TestLab prints what each mechanism is worth under each pattern, over
-// COMFREYLOOM_LAB seeds; without it it is skipped, as it decides nothing.
+// TestLab prints the value of each mechanism under each pattern, over
+// COMFREYLOOM_LAB seeds. It asserts nothing and is skipped when the variable isn't
+// set.
 func TestLab(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("COMFREYLOOM_LAB"))
 	if seeds == 0 {
-		t.Skip("COMFREYLOOM_LAB says how many seeds to play")
+		t.Skip("COMFREYLOOM_LAB sets the number of seeds to simulate")
 	}
 	list := make([]uint64, seeds)
 	for i := range list {
@@ -96,21 +98,21 @@
 	}
 }
 
-func row(pattern, off string, base, results []Result) string {
-	var m Result
+func row(pattern, disabled string, base, results []Result) string {
+	var mean Result
 	var sum, square float64
 	n := float64(len(results))
 	for i, r := range results {
-		m.InTime += r.InTime / n
-		m.Worst += r.Worst / n
-		m.VMSeconds += r.VMSeconds / n
-		m.Moves += r.Moves
-		m.WaveTime += r.WaveTime / time.Duration(len(results))
-		d := value(r) - value(base[i])
-		sum, square = sum+d, square+d*d
+		mean.InTime += r.InTime / n
+		mean.Worst += r.Worst / n
+		mean.VMSeconds += r.VMSeconds / n
+		mean.Moves += r.Moves
+		mean.WaveTime += r.WaveTime / time.Duration(len(results))
+		gain := value(r) - value(base[i])
+		sum, square = sum+gain, square+gain*gain
 	}
-	mean := sum / n
-	spread := math.Sqrt(max(square/n-mean*mean, 0) / n)
+	meanGain := sum / n
+	stdError := math.Sqrt(max(square/n-meanGain*meanGain, 0) / n)
 	return fmt.Sprintf("%-18s off: %-13s in time %.3f worst %.3f VM-seconds %5.0f moves %4d wave %4.1f s  against all on %+.4f (%.4f)",
-		pattern, off, m.InTime, m.Worst, m.VMSeconds, m.Moves/len(results), m.WaveTime.Seconds(), mean, spread)
+		pattern, disabled, mean.InTime, mean.Worst, mean.VMSeconds, mean.Moves/len(results), mean.WaveTime.Seconds(), meanGain, stdError)
 }
