--- a/cmd/comfreyloom/member_test.go
+++ b/cmd/comfreyloom/member_test.go
@@ -206,7 +206,7 @@
 
 // submit sends a job to the entry VMs in turn until it is accepted.
 func (s *memberSite) submit(id string, count int, ms int) {
-	body := standin.Job{Count: count, CPU: 500, Run: ms, Estimate: ms}.Text()
+	body := standin.Job{Count: count, MilliCPU: 500, RunMS: ms, EstimateMS: ms}.Body()
 	attempt := 0
 	s.waitFor("job "+id+" is accepted", func() bool {
 		attempt++
@@ -260,9 +260,9 @@
 	for i := range memberEntries {
 		s.start(fmt.Sprintf("entry%d", i), false)
 	}
-	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.Config(1, 3000)[:12])
+	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.ConfigBody(1, 3000)[:12])
 	is.True(status == 0 || status == http.StatusBadRequest) // not listening yet, or refused; never accepted
-	config := standin.Config(3, 3000)
+	config := standin.ConfigBody(3, 3000)
 	turn := 0
 	s.waitFor("the configuration is accepted", func() bool {
 		turn++
--- a/cmd/comfreyloom/script_platform_test.go
+++ b/cmd/comfreyloom/script_platform_test.go
@@ -97,7 +97,7 @@
 		for _, n := range tally.Starts {
 			maxStarts = max(maxStarts, n)
 		}
-		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Done), maxStarts)
+		fmt.Fprintf(w, "jobs started: %d, done: %d, most starts of one job: %d\n", len(tally.Starts), len(tally.Succeeded), maxStarts)
 	})
 	mux.HandleFunc("GET /control/runs/{key}", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "runs: %d\n", host.Runs(r.PathValue("key")))
--- a/cmd/comfreyloom/script_revise_test.go
+++ b/cmd/comfreyloom/script_revise_test.go
@@ -57,7 +57,7 @@
 	var last error
 	for try := 0; time.Since(start) < scriptTimeout; try++ {
 		address := os.Getenv("OPERATORS" + p.nodes[(revision+try)%len(p.nodes)])
-		var answer operator.ManifestAnswer
+		var answer operator.ManifestResponse
 		answer, last = putManifest(address, text)
 		switch {
 		case last != nil:
@@ -76,7 +76,7 @@
 
 // putManifest returns the decision, or an error when there was none or it is unknown.
 func putManifest(address string, text []byte) (operator.ManifestResponse, error) {
-	var answer operator.ManifestAnswer
+	var answer operator.ManifestResponse
 	r, err := http.NewRequest(http.MethodPut, "http://"+address+"/manifest", bytes.NewReader(text))
 	if err != nil {
 		return answer, err
--- a/cmd/comfreyloom/script_watch_test.go
+++ b/cmd/comfreyloom/script_watch_test.go
@@ -75,7 +75,7 @@
 		w.addViolation("n%s is ready with revision %d after %d", node, s.Revision, w.revisions[node])
 	}
 	w.revisions[node] = max(w.revisions[node], s.Revision)
-	for _, b := range s.Checks {
+	for _, b := range s.Violations {
 		w.addViolation("n%s: %s: %s", node, b.Invariant, b.Detail)
 	}
 	if w.checksBudgets && string(s.Leader) == "n"+node {
@@ -93,10 +93,10 @@
 func (w *siteMonitor) checkBudgets(s operator.Status) {
 	for _, b := range s.Budgets {
 		id := string(b.Service)
-		if w.budgetMet[id] && b.Available < b.Least {
-			w.addViolation("service %s has %d available instances by the leader's status, at least %d are required: %s", id, b.Available, b.Least, b.Why)
+		if w.budgetMet[id] && b.Available < b.MinAvailable {
+			w.addViolation("service %s has %d available instances by the leader's status, at least %d are required: %s", id, b.Available, b.MinAvailable, b.Reason)
 		}
-		w.budgetMet[id] = w.budgetMet[id] || b.Available >= b.Least
+		w.budgetMet[id] = w.budgetMet[id] || b.Available >= b.MinAvailable
 	}
 }
 
--- a/cmd/comfreyloom/soak_test.go
+++ b/cmd/comfreyloom/soak_test.go
@@ -147,7 +147,7 @@
 		operators = append(operators, s.address(core, 1))
 	}
 	s.workerStarts++
-	w, err := standin.Start(fmt.Sprintf("i-%d-%d", i, s.workerStarts), address, "p", operators, s.ledger)
+	w, err := standin.StartWorker(fmt.Sprintf("i-%d-%d", i, s.workerStarts), address, "p", operators, s.ledger)
 	s.must(err)
 	if i < len(s.workers) {
 		s.workers[i] = w
--- a/internal/demo/client.go
+++ b/internal/demo/client.go
@@ -14,14 +14,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/steady"
 )
 
-// exchange is one request to an entry VM.
-type exchange struct {
+// apiRequest is one request to an entry VM.
+type apiRequest struct {
 	method, address, path, body string
 	headers                     map[string]string
 }
 
-// outcome is its answer.
-type outcome struct {
+// apiResponse is the response to an apiRequest.
+type apiResponse struct {
 	status  int
 	verdict string
 	body    []byte
@@ -30,47 +30,47 @@
 
 var client = &http.Client{Timeout: 20 * time.Second}
 
-func (e exchange) do(ctx context.Context) (outcome, error) {
+func (e apiRequest) do(ctx context.Context) (apiResponse, error) {
 	r, err := http.NewRequestWithContext(ctx, e.method, "http://"+e.address+e.path, strings.NewReader(e.body))
 	if err != nil {
-		return outcome{}, err
+		return apiResponse{}, err
 	}
 	for name, value := range e.headers {
 		r.Header.Set(name, value)
 	}
-	began := time.Now()
+	start := time.Now()
 	response, err := client.Do(r)
 	if err != nil {
-		return outcome{}, err
+		return apiResponse{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return outcome{
+	return apiResponse{
 		status: response.StatusCode, verdict: response.Header.Get(model.VerdictHeader),
-		body: body, took: time.Since(began),
+		body: body, took: time.Since(start),
 	}, err
 }
 
-// expect sends the request once and wants a status.
-func (e exchange) expect(ctx context.Context, status int) (outcome, error) {
-	o, err := e.do(ctx)
-	if err == nil && o.status != status {
-		err = fmt.Errorf("%s %s: status %d (%s): %s", e.method, e.path, o.status, o.verdict, o.body)
+// expect sends the request once and fails unless the response has the status.
+func (e apiRequest) expect(ctx context.Context, status int) (apiResponse, error) {
+	response, err := e.do(ctx)
+	if err == nil && response.status != status {
+		err = fmt.Errorf("%s %s: status %d (%s): %s", e.method, e.path, response.status, response.verdict, response.body)
 	}
-	return o, err
+	return response, err
 }
 
-// status reads the operators' status of an entry VM.
+// status returns the status that an entry VM reports to operators.
 func (s *Site) status(ctx context.Context, i int) (operator.Status, error) {
 	var status operator.Status
-	o, err := exchange{method: http.MethodGet, address: s.addresses[i].operators, path: "/status"}.expect(ctx, http.StatusOK)
+	response, err := apiRequest{method: http.MethodGet, address: s.addresses[i].operators, path: "/status"}.expect(ctx, http.StatusOK)
 	if err != nil {
 		return status, err
 	}
-	return status, json.Unmarshal(o.body, &status)
+	return status, json.Unmarshal(response.body, &status)
 }
 
-// await polls until done returns true or ctx ends.
+// await polls until done returns true or ctx is done.
 func await(ctx context.Context, what string, done func() (bool, error)) error {
 	var last error
 	for ctx.Err() == nil {
@@ -79,7 +79,7 @@
 			return nil
 		}
 		last = err
-		steady.Pause(ctx, pollEvery)
+		steady.Pause(ctx, pollInterval)
 	}
 	if last != nil {
 		return fmt.Errorf("%s: %w", what, last)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a small site in one process over real loopback sockets:
-// three entry VMs, the platform's stand-in and stand-in upstreams. It drives
-// them only through the listeners that callers and operators use, and reports
-// what happened with the three measures.
+// Package demo runs a small site in one process over real loopback sockets: three
+// entry VMs, the stand-in of the platform and stand-in upstreams. It uses them
+// only through the listeners of callers and operators, and prints a report with
+// the three measures.
 package demo
 
 import (
@@ -25,18 +25,18 @@
 
 // Site is a running demo site.
 type Site struct {
-	addresses []addresses
-	instances *Instances
-	platform  *standin.Platform
-	folder    string
-	agents    []*agent.Agent
-	end       context.CancelFunc
-	running   conc.WaitGroup
-	failures  chan error
-	api       *http.Server
+	addresses   []addresses
+	instances   *Instances
+	platform    *standin.Platform
+	folder      string
+	agents      []*agent.Agent
+	cancel      context.CancelFunc
+	tasks       conc.WaitGroup
+	failures    chan error
+	platformAPI *http.Server
 }
 
-// Run starts a site, takes it through all steps, and writes the report to out.
+// Run starts a site, runs all steps on it, and writes the report to out.
 // The error is nil only if every step succeeded and every invariant held.
 func Run(ctx context.Context, out io.Writer, logger log.Interface) error {
 	site, err := Start(logger)
@@ -57,8 +57,8 @@
 	if err != nil {
 		return nil, oops.In("demo").Wrapf(err, "make a temporary data folder")
 	}
-	ctx, end := context.WithCancel(context.Background())
-	s := &Site{folder: folder, end: end, failures: make(chan error, entryVMs)}
+	ctx, cancel := context.WithCancel(context.Background())
+	s := &Site{folder: folder, cancel: cancel, failures: make(chan error, entryVMs)}
 	if err := s.start(ctx, logger); err != nil {
 		_ = s.Stop()
 		return nil, oops.In("demo").Wrapf(err, "start")
@@ -98,13 +98,13 @@
 		Behaviour: func(platform.TaskSpec) standin.Work { return standin.Work{Runtime: jobTime} },
 		OnStart:   s.instances.Start, OnStop: s.instances.Stop,
 	})
-	s.running.Go(func() { s.platform.Run(ctx) })
+	s.tasks.Go(func() { s.platform.Run(ctx) })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s.api = &http.Server{Handler: standin.Handler(s.platform), ReadHeaderTimeout: time.Second}
-	s.running.Go(func() { _ = s.api.Serve(l) })
+	s.platformAPI = &http.Server{Handler: standin.Handler(s.platform), ReadHeaderTimeout: time.Second}
+	s.tasks.Go(func() { _ = s.platformAPI.Serve(l) })
 	return l.Addr().String(), nil
 }
 
@@ -113,12 +113,12 @@
 	if err != nil {
 		return err
 	}
-	a, err := agent.New(parsed, agent.Options{Listeners: l, Logger: logger, Tune: quicken})
+	a, err := agent.New(parsed, agent.Options{Listeners: l, Logger: logger, Tune: shortenIntervals})
 	if err != nil {
 		return err
 	}
 	s.agents = append(s.agents, a)
-	s.running.Go(func() {
+	s.tasks.Go(func() {
 		if err := a.Run(ctx); err != nil {
 			s.failures <- oops.In("demo").Wrapf(err, "entry-%d", i+1)
 		}
@@ -129,11 +129,11 @@
 // Stop stops the entry VMs gracefully, then the rest, and returns the first
 // error of an entry VM.
 func (s *Site) Stop() error {
-	s.end()
-	if s.api != nil {
-		_ = s.api.Close()
+	s.cancel()
+	if s.platformAPI != nil {
+		_ = s.platformAPI.Close()
 	}
-	s.running.Wait()
+	s.tasks.Wait()
 	if s.instances != nil {
 		s.instances.Close()
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -13,54 +13,55 @@
 	"github.com/comfreyloom/comfreyloom/internal/operator"
 )
 
-// report collects what happened.
+// report collects the results of the steps and the measures.
 type report struct {
 	began time.Time
 	lines []string
 
-	mu     sync.Mutex
-	urgent []time.Duration
-	batch  []time.Duration
-	other  []string
+	mu              sync.Mutex
+	urgentLatencies []time.Duration
+	batchLatencies  []time.Duration
+	failures        []string
 
-	keyed, jobs, reboots int
-	start, finish        operator.Status
-	rollOutConfiguration time.Duration
-	rollOutWave          time.Duration
-	samples, held, worst int
+	keyedRuns, jobsDone, reboots int
+	start, finish                operator.Status
+	manifestTime                 time.Duration
+	waveTime                     time.Duration
+	samples, heldVMs, maxHeldVMs int
 }
 
-func (r *report) step(name string, took time.Duration, err error) {
-	word := "ok"
+func (r *report) recordStep(name string, took time.Duration, err error) {
+	result := "ok"
 	if err != nil {
-		word = "FAILED"
+		result = "FAILED"
 	}
-	r.lines = append(r.lines, fmt.Sprintf("%-6s %6.2fs  %s", word, took.Seconds(), name))
+	r.lines = append(r.lines, fmt.Sprintf("%-6s %6.2fs  %s", result, took.Seconds(), name))
 }
 
-func (r *report) answered(p model.Priority, o outcome) {
+func (r *report) recordResponse(p model.Priority, response apiResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case o.status != 200 || o.verdict != model.Ran.String():
-		r.other = append(r.other, fmt.Sprintf("%s request: status %d, %s", p, o.status, o.verdict))
+	case response.status != 200 || response.verdict != model.Ran.String():
+		r.failures = append(r.failures, fmt.Sprintf("%s request: status %d, %s", p, response.status, response.verdict))
 	case p == model.Urgent:
-		r.urgent = append(r.urgent, o.took)
+		r.urgentLatencies = append(r.urgentLatencies, response.took)
 	default:
-		r.batch = append(r.batch, o.took)
+		r.batchLatencies = append(r.batchLatencies, response.took)
 	}
 }
 
-func (r *report) everyAnswered(urgent, batch int) error {
-	if len(r.urgent) == urgent && len(r.batch) == batch {
+func (r *report) checkAllAnswered(urgent, batch int) error {
+	if len(r.urgentLatencies) == urgent && len(r.batchLatencies) == batch {
 		return nil
 	}
 	return fmt.Errorf("%d of %d urgent and %d of %d batch requests answered: %s",
-		len(r.urgent), urgent, len(r.batch), batch, strings.Join(r.other, "; "))
+		len(r.urgentLatencies), urgent, len(r.batchLatencies), batch, strings.Join(r.failures, "; "))
 }
 
-// watchWave takes one look at the wave. A budget below its least ends the demo.
-func (r *report) watchWave(status operator.Status) (bool, error) {
+// checkWave checks one status during the wave and reports whether the wave is done.
+// It returns an error while a service is below its availability budget.
+func (r *report) checkWave(status operator.Status) (bool, error) {
 	for _, b := range status.Budgets {
 		if b.Available < b.MinAvailable {
 			return false, fmt.Errorf("service %s had %d of at least %d instances", b.Service, b.Available, b.MinAvailable)
@@ -73,8 +74,8 @@
 		}
 	}
 	r.samples++
-	r.held += held
-	r.worst = max(r.worst, held)
+	r.heldVMs += held
+	r.maxHeldVMs = max(r.maxHeldVMs, held)
 	for _, w := range status.Waves {
 		if w.State == "done" && w.UnderMaintenance == 0 {
 			return true, nil
@@ -83,7 +84,7 @@
 	return false, fmt.Errorf("waves: %+v", status.Waves)
 }
 
-// moves counts the VMs whose pool changed since the instances were up.
+// moves counts the VMs whose pool has changed since all instances were available.
 func (r *report) moves() int {
 	before := map[model.VMID]model.PoolID{}
 	for _, vm := range r.start.VMs {
@@ -103,20 +104,20 @@
 	for _, line := range r.lines {
 		fmt.Fprintln(w, line)
 	}
-	fmt.Fprintf(w, "\nrequests      urgent %s; batch %s\n", spread(r.urgent), spread(r.batch))
-	fmt.Fprintf(w, "non-idempotent %d requests sent twice each, each ran once\n", r.keyed)
-	fmt.Fprintf(w, "jobs          %d done\n", r.jobs)
+	fmt.Fprintf(w, "\nrequests      urgent %s; batch %s\n", formatLatencies(r.urgentLatencies), formatLatencies(r.batchLatencies))
+	fmt.Fprintf(w, "non-idempotent %d requests sent twice each, each ran once\n", r.keyedRuns)
+	fmt.Fprintf(w, "jobs          %d done\n", r.jobsDone)
 	if r.samples > 0 {
 		fmt.Fprintf(w, "\nbuffer cost   %.1f of %d VMs spare or under maintenance on average, %d at worst\n",
-			float64(r.held)/float64(r.samples), len(vms()), r.worst)
+			float64(r.heldVMs)/float64(r.samples), len(vms()), r.maxHeldVMs)
 	}
 	fmt.Fprintf(w, "roll-out time configuration %.3fs, wave of %d reboots %.1fs\n",
-		r.rollOutConfiguration.Seconds(), r.reboots, r.rollOutWave.Seconds())
+		r.manifestTime.Seconds(), r.reboots, r.waveTime.Seconds())
 	fmt.Fprintf(w, "moves         %d VMs changed pool\n", r.moves())
 	fmt.Fprintf(w, "\ntotal %.1fs\n", time.Since(r.began).Seconds())
 }
 
-func spread(times []time.Duration) string {
+func formatLatencies(times []time.Duration) string {
 	if len(times) == 0 {
 		return "none"
 	}
@@ -125,8 +126,8 @@
 		sorted[len(sorted)/2].Round(100*time.Microsecond), sorted[len(sorted)-1].Round(100*time.Microsecond))
 }
 
-// leaderStatus reads the status of the leader, whose account of the budgets
-// also counts health.
+// leaderStatus returns the status of the leader; only its budgets take the health
+// of VMs into account.
 func (s *Site) leaderStatus(ctx context.Context) (operator.Status, error) {
 	status, err := s.status(ctx, 0)
 	if err != nil {
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -22,15 +22,16 @@
 
 	slotsPerInstance       = 8
 	connectionsPerInstance = 64
-	renewEvery             = 300 * time.Millisecond
-	roundEvery             = 100 * time.Millisecond
+	renewInterval          = 300 * time.Millisecond
+	roundInterval          = 100 * time.Millisecond
 	rebootTime             = 300 * time.Millisecond
 	stopGrace              = 200 * time.Millisecond
 	jobTime                = 400 * time.Millisecond
 	repairSoak             = 500 * time.Millisecond
 )
 
-// manifestText is the desired state; the wave's start is filled in.
+// manifestText is the template of the manifest: revision and start of the wave are
+// filled in.
 const manifestText = `[site]
 name = demo
 revision = %d
@@ -102,7 +103,7 @@
 	return all
 }
 
-// addresses are the sockets of one entry VM.
+// addresses holds the listen addresses of one entry VM.
 type addresses struct{ callers, upstreams, operators, nodes string }
 
 // listen opens the sockets of all entry VMs on free loopback ports.
@@ -126,8 +127,8 @@
 	}
 }
 
-// settingsOf writes and parses the settings of an entry VM, so that the demo
-// passes the same checks as any site.
+// settingsOf formats and parses the settings of an entry VM, so that the demo is
+// subject to the same validation as any site.
 func settingsOf(i int, all []addresses, folder, platform string) (*settings.Settings, error) {
 	var nodes strings.Builder
 	for n, a := range all {
@@ -163,8 +164,8 @@
 	return s, nil
 }
 
-// quicken shortens the controller's intervals to the demo's time scale.
-func quicken(c *controller.Config) {
-	c.Interval = roundEvery
+// shortenIntervals adapts the controller's intervals to the demo's time scale.
+func shortenIntervals(c *controller.Config) {
+	c.Interval = roundInterval
 	c.RepairSoak = repairSoak
 }
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// limit bounds the whole demo.
-	limit = 28 * time.Second
-	// pollEvery is the time between two looks at the site.
-	pollEvery = 25 * time.Millisecond
+	// totalTimeout bounds the duration of all steps together.
+	totalTimeout = 28 * time.Second
+	// pollInterval is the interval at which the site is polled.
+	pollInterval = 25 * time.Millisecond
 	// requestTime is how long a request runs at an upstream.
 	requestTime = 20 * time.Millisecond
 
 	urgentRequests = 60
 	batchRequests  = 240
-	inFlight       = 64
-	jobs           = 12
+	maxInFlight    = 64
+	jobCount       = 12
 	keyedRequests  = 20
 )
 
-// steps takes the site through everything that the report tells.
+// steps runs all steps on the site and records them in a report.
 func (s *Site) steps(ctx context.Context) (*report, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, totalTimeout)
 	defer cancel()
 	r := &report{began: time.Now()}
 	steps := []struct {
@@ -49,7 +49,7 @@
 	for _, step := range steps {
 		began := time.Now()
 		err := step.run(ctx, r)
-		r.step(step.name, time.Since(began), err)
+		r.recordStep(step.name, time.Since(began), err)
 		if err != nil {
 			return r, fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -59,9 +59,9 @@
 
 func (s *Site) awaitReady(ctx context.Context, _ *report) error {
 	for _, a := range s.addresses {
-		ask := exchange{method: http.MethodGet, address: a.callers, path: "/readyz"}
+		request := apiRequest{method: http.MethodGet, address: a.callers, path: "/readyz"}
 		err := await(ctx, "ready", func() (bool, error) {
-			_, err := ask.expect(ctx, http.StatusOK)
+			_, err := request.expect(ctx, http.StatusOK)
 			return err == nil, err
 		})
 		if err != nil {
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// farStart keeps the wave from beginning before its step.
-const farStart = 24 * time.Hour
+// waveDelay delays the wave so that it doesn't start before its step.
+const waveDelay = 24 * time.Hour
 
 func (s *Site) applyManifest(ctx context.Context, r *report) error {
-	took, err := s.apply(ctx, 1, time.Now().Add(farStart))
-	r.rollOutConfiguration = took
+	took, err := s.apply(ctx, 1, time.Now().Add(waveDelay))
+	r.manifestTime = took
 	return err
 }
 
-// apply hands a manifest to the first entry VM and waits until it is in force
-// at all.
+// apply sends a manifest to the first entry VM and waits until it is in force at
+// all entry VMs.
 func (s *Site) apply(ctx context.Context, revision int, waveStart time.Time) (time.Duration, error) {
-	o, err := exchange{
+	response, err := apiRequest{
 		method: http.MethodPut, address: s.addresses[0].operators, path: "/manifest?wait=10s",
 		body: manifest(revision, waveStart),
 	}.expect(ctx, http.StatusOK)
@@ -94,16 +94,16 @@
 		InForce bool     `json:"in_force"`
 		Behind  []string `json:"behind"`
 	}
-	if err := json.Unmarshal(o.body, &answer); err != nil {
+	if err := json.Unmarshal(response.body, &answer); err != nil {
 		return 0, err
 	}
 	if !answer.InForce {
 		return 0, fmt.Errorf("not in force at %v", answer.Behind)
 	}
-	return o.took, nil
+	return response.took, nil
 }
 
-// awaitInstances waits until every entry VM hands out both services.
+// awaitInstances waits until all instances of both services are available.
 func (s *Site) awaitInstances(ctx context.Context, r *report) error {
 	err := await(ctx, "all instances available", func() (bool, error) {
 		status, err := s.leaderStatus(ctx)
@@ -121,22 +121,22 @@
 	return err
 }
 
-// sendRequests sends a batch flood with urgent requests among it.
+// sendRequests sends many batch requests with urgent ones among them.
 func (s *Site) sendRequests(ctx context.Context, r *report) error {
-	work := pool.New().WithContext(ctx).WithMaxGoroutines(inFlight)
+	work := pool.New().WithContext(ctx).WithMaxGoroutines(maxInFlight)
 	for i := range batchRequests + urgentRequests {
 		priority := model.Batch
 		if i%(1+batchRequests/urgentRequests) == 0 {
 			priority = model.Urgent
 		}
-		e := exchange{
+		e := apiRequest{
 			method: http.MethodGet, address: s.addresses[i%entryVMs].callers, path: fmt.Sprintf("/s/routes/towns/%d", i),
 			headers: map[string]string{"Comfreyloom-Priority": priority.String()},
 		}
 		work.Go(func(ctx context.Context) error {
-			o, err := e.do(ctx)
+			response, err := e.do(ctx)
 			if err == nil {
-				r.answered(priority, o)
+				r.recordResponse(priority, response)
 			}
 			return err
 		})
@@ -144,16 +144,16 @@
 	if err := work.Wait(); err != nil {
 		return err
 	}
-	return r.everyAnswered(urgentRequests, batchRequests)
+	return r.checkAllAnswered(urgentRequests, batchRequests)
 }
 
-// sendKeyed sends each request through two entry VMs at the same time, as a
-// caller does that lost the first answer.
+// sendKeyed sends each request through two entry VMs at the same time, as a caller
+// does that resends because it didn't get the first response.
 func (s *Site) sendKeyed(ctx context.Context, r *report) error {
-	work := pool.New().WithContext(ctx).WithMaxGoroutines(inFlight)
+	work := pool.New().WithContext(ctx).WithMaxGoroutines(maxInFlight)
 	for i := range 2 * keyedRequests {
 		key := fmt.Sprintf("visit-%d", i/2)
-		e := exchange{
+		e := apiRequest{
 			method: http.MethodPost, address: s.addresses[i%entryVMs].callers, path: "/s/booking/visits",
 			body: key, headers: map[string]string{"Idempotency-Key": key},
 		}
@@ -169,26 +169,26 @@
 		if runs := s.instances.Runs(fmt.Sprintf("visit-%d", i)); runs != 1 {
 			return fmt.Errorf("request visit-%d ran %d times", i, runs)
 		}
-		r.keyed++
+		r.keyedRuns++
 	}
 	return nil
 }
 
 func (s *Site) runJobs(ctx context.Context, r *report) error {
-	for i := range jobs {
+	for i := range jobCount {
 		body := fmt.Sprintf(`{"id":"reading-%d","team":"reading","pool":"reports","kind":"reconcile","milli_cpu":2000,"memory_mb":4000,"runtime":"1s","idempotent":true}`, i)
-		e := exchange{method: http.MethodPost, address: s.addresses[i%entryVMs].callers, path: "/jobs", body: body}
+		e := apiRequest{method: http.MethodPost, address: s.addresses[i%entryVMs].callers, path: "/jobs", body: body}
 		if _, err := e.expect(ctx, http.StatusAccepted); err != nil {
 			return err
 		}
 	}
 	return await(ctx, "all jobs done", func() (bool, error) {
 		status, err := s.status(ctx, 0)
-		r.jobs = status.Jobs.Counts["done"]
-		if err == nil && r.jobs < jobs {
+		r.jobsDone = status.Jobs.Counts["done"]
+		if err == nil && r.jobsDone < jobCount {
 			err = fmt.Errorf("jobs by state: %v", status.Jobs.Counts)
 		}
-		return r.jobs == jobs, err
+		return r.jobsDone == jobCount, err
 	})
 }
 
@@ -202,14 +202,14 @@
 		if err != nil {
 			return false, err
 		}
-		return r.watchWave(status)
+		return r.checkWave(status)
 	})
-	r.rollOutWave = time.Since(began)
+	r.waveTime = time.Since(began)
 	return err
 }
 
-// checkInvariants wants every check at every entry VM to hold, the same state
-// everywhere, and one reboot for each VM that the wave covered.
+// checkInvariants requires that all checks hold at every entry VM, that all have
+// the same state, and that the wave rebooted no VM more than once.
 func (s *Site) checkInvariants(ctx context.Context, r *report) error {
 	err := await(ctx, "the same state at every entry VM", func() (bool, error) { return s.sameState(ctx) })
 	if err != nil {
