--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -11,8 +11,8 @@
 const waveID = 1
 
 func (sim *simulation) startWave() {
-	wave := &workload.Wave{ID: waveID, WindowMS: sim.pattern.WaveFor.Milliseconds(), AcceptedMS: sim.nowMS(), MaxUnavailable: sim.pattern.WaveMost}
-	for _, vm := range sim.vms[:sim.pattern.Wave] {
+	wave := &workload.Wave{ID: waveID, WindowMS: sim.pattern.WaveWindow.Milliseconds(), AcceptedMS: sim.nowMS(), MaxUnavailable: sim.pattern.WaveMaxParallel}
+	for _, vm := range sim.vms[:sim.pattern.WaveVMs] {
 		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: vm.Machine})
 	}
 	sim.apply(&workload.Command{Wave: wave})
@@ -102,7 +102,7 @@
 	if o.Kind == capacity.Maintain {
 		vm.State, vm.backAt = capacity.Maintained, sim.now+maintenanceTime
 		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, Machine: vm.Machine}}})
-		sim.result.WaveTime = sim.now - startTime - sim.pattern.WaveAt + maintenanceTime
+		sim.result.WaveTime = sim.now - startTime - sim.pattern.WaveStart + maintenanceTime
 		return
 	}
 	vm.State, vm.Pool, vm.backAt = capacity.Moving, o.Pool, sim.now+moveTime
--- a/internal/loadmodel/lab_test.go
+++ b/internal/loadmodel/lab_test.go
@@ -27,15 +27,15 @@
 // a maintenance wave during a peak.
 func patterns() []namedPattern {
 	return []namedPattern{
-		{"turns 4.5 s", Turns(4500 * time.Millisecond)},
-		{"turns 9 s", Turns(9 * time.Second)},
-		{"turns 2 s", Turns(2 * time.Second)},
-		{"turns 12 s", Turns(12 * time.Second)},
-		{"shuffled 4.5 s", with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Shuffled })},
-		{"no turns", with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Level })},
-		{"one pool", with(Turns(9*time.Second), func(p *Pattern) { p.Kinds = []Kind{Short} })},
-		{"wave in turns 9 s", with(Turns(9*time.Second), func(p *Pattern) {
-			p.Wave, p.WaveMost, p.WaveAt, p.WaveFor = 22, 9, 2*time.Second, 26*time.Second
+		{"turns 4.5 s", RotatingPeaks(4500 * time.Millisecond)},
+		{"turns 9 s", RotatingPeaks(9 * time.Second)},
+		{"turns 2 s", RotatingPeaks(2 * time.Second)},
+		{"turns 12 s", RotatingPeaks(12 * time.Second)},
+		{"shuffled 4.5 s", with(RotatingPeaks(4500*time.Millisecond), func(p *Pattern) { p.Order = Shuffled })},
+		{"no turns", with(RotatingPeaks(4500*time.Millisecond), func(p *Pattern) { p.Order = Uniform })},
+		{"one pool", with(RotatingPeaks(9*time.Second), func(p *Pattern) { p.Kinds = []Kind{Short} })},
+		{"wave in turns 9 s", with(RotatingPeaks(9*time.Second), func(p *Pattern) {
+			p.WaveVMs, p.WaveMaxParallel, p.WaveStart, p.WaveWindow = 22, 9, 2*time.Second, 26*time.Second
 		})},
 	}
 }
@@ -71,7 +71,7 @@
 
 // value is the weighted sum of the measures of a run, with the users' weights.
 func value(r Result) float64 {
-	return 0.75*r.InTime + 0.25*r.Worst - vmSecondPrice*r.VMSeconds - movePrice*float64(r.Moves)
+	return 0.75*r.InTime + 0.25*r.WorstShare - vmSecondPrice*r.VMSeconds - movePrice*float64(r.Moves)
 }
 
 // TestLab prints the value of each mechanism under each pattern, over
@@ -89,7 +89,7 @@
 	for _, p := range patterns() {
 		var base []Result
 		for _, s := range switches() {
-			results := iter.Map(list, func(seed *uint64) Result { return Play(p.pattern, *seed, s.rules) })
+			results := iter.Map(list, func(seed *uint64) Result { return Simulate(p.pattern, *seed, s.rules) })
 			if base == nil {
 				base = results
 			}
@@ -104,7 +104,7 @@
 	n := float64(len(results))
 	for i, r := range results {
 		mean.InTime += r.InTime / n
-		mean.Worst += r.Worst / n
+		mean.WorstShare += r.WorstShare / n
 		mean.VMSeconds += r.VMSeconds / n
 		mean.Moves += r.Moves
 		mean.WaveTime += r.WaveTime / time.Duration(len(results))
@@ -114,5 +114,5 @@
 	meanGain := sum / n
 	stdError := math.Sqrt(max(square/n-meanGain*meanGain, 0) / n)
 	return fmt.Sprintf("%-18s off: %-13s in time %.3f worst %.3f VM-seconds %5.0f moves %4d wave %4.1f s  against all on %+.4f (%.4f)",
-		pattern, disabled, mean.InTime, mean.Worst, mean.VMSeconds, mean.Moves/len(results), mean.WaveTime.Seconds(), meanGain, stdError)
+		pattern, disabled, mean.InTime, mean.WorstShare, mean.VMSeconds, mean.Moves/len(results), mean.WaveTime.Seconds(), meanGain, stdError)
 }
--- a/internal/loadmodel/load_test.go
+++ b/internal/loadmodel/load_test.go
@@ -12,7 +12,7 @@
 var testSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
 func simulateAll(p Pattern, rules Rules) []Result {
-	return iter.Map(testSeeds, func(seed *uint64) Result { return Play(p, *seed, rules) })
+	return iter.Map(testSeeds, func(seed *uint64) Result { return Simulate(p, *seed, rules) })
 }
 
 // gain is the mean difference in value between the runs of on and of off.
@@ -34,7 +34,7 @@
 func TestRotatingPeaks(t *testing.T) {
 	is := is.New(t)
 	allOff := Rules{SkipNewSuccessor: true, SkipMean: true, SkipEarlyDetection: true, SkipShortWindow: true, SkipDistinctCheck: true, SkipAccuracyCheck: true}
-	p := Turns(4500 * time.Millisecond)
+	p := RotatingPeaks(4500 * time.Millisecond)
 	on := simulateAll(p, Rules{})
 	is.True(gain(on, simulateAll(p, allOff)) > 0.01)
 	is.True(gain(on, simulateAll(p, Rules{SkipNewSuccessor: true})) > 0.003)
@@ -50,7 +50,7 @@
 // of past predictions 0.011.
 func TestPeaksInRandomOrder(t *testing.T) {
 	is := is.New(t)
-	p := with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Shuffled })
+	p := with(RotatingPeaks(4500*time.Millisecond), func(p *Pattern) { p.Order = Shuffled })
 	on := simulateAll(p, Rules{})
 	is.True(gain(on, simulateAll(p, Rules{SkipMean: true})) > 0.015)
 	is.True(gain(on, simulateAll(p, Rules{SkipEarlyDetection: true})) > 0.01)
@@ -64,7 +64,7 @@
 // gain was 0.158 (0.010).
 func TestPeakPeriodsTooShortForMoves(t *testing.T) {
 	is := is.New(t)
-	p := Turns(2 * time.Second)
+	p := RotatingPeaks(2 * time.Second)
 	is.True(gain(simulateAll(p, Rules{}), simulateAll(p, Rules{SkipDistinctCheck: true})) > 0.05)
 }
 
@@ -74,7 +74,7 @@
 // (0.002); the remaining loss against expecting no peaks is 0.004.
 func TestUniformDemand(t *testing.T) {
 	is := is.New(t)
-	p := with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Order = Level })
+	p := with(RotatingPeaks(4500*time.Millisecond), func(p *Pattern) { p.Order = Uniform })
 	on := simulateAll(p, Rules{})
 	is.True(gain(on, simulateAll(p, Rules{SkipDistinctCheck: true})) > 0.005)
 	is.True(gain(on, simulateAll(p, Rules{SkipPeaks: true})) > -0.015)
@@ -82,7 +82,7 @@
 
 func TestSinglePoolGetsOnlyTheVMsItNeeds(t *testing.T) {
 	is := is.New(t)
-	p := with(Turns(9*time.Second), func(p *Pattern) { p.Kinds = []Kind{Short} })
+	p := with(RotatingPeaks(9*time.Second), func(p *Pattern) { p.Kinds = []Kind{Short} })
 	for _, r := range simulateAll(p, Rules{}) {
 		is.True(r.InTime > 0.98)
 		is.True(r.VMSeconds < 20*40) // of 49 VMs for 40 s
@@ -91,16 +91,16 @@
 
 func TestWaveEndsWithinItsWindow(t *testing.T) {
 	is := is.New(t)
-	p := with(Turns(9*time.Second), func(p *Pattern) {
-		p.Wave, p.WaveMost, p.WaveAt, p.WaveFor = 22, 9, 2*time.Second, 26*time.Second
+	p := with(RotatingPeaks(9*time.Second), func(p *Pattern) {
+		p.WaveVMs, p.WaveMaxParallel, p.WaveStart, p.WaveWindow = 22, 9, 2*time.Second, 26*time.Second
 	})
 	for _, r := range simulateAll(p, Rules{}) {
-		is.True(r.WaveTime > 0 && r.WaveTime < p.WaveFor)
+		is.True(r.WaveTime > 0 && r.WaveTime < p.WaveWindow)
 	}
 }
 
 func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	p := with(Turns(4500*time.Millisecond), func(p *Pattern) { p.Length = 8 * time.Second })
-	is.Equal(Play(p, 5, Rules{}), Play(p, 5, Rules{}))
+	p := with(RotatingPeaks(4500*time.Millisecond), func(p *Pattern) { p.Length = 8 * time.Second })
+	is.Equal(Simulate(p, 5, Rules{}), Simulate(p, 5, Rules{}))
 }
--- a/internal/loadmodel/pattern.go
+++ b/internal/loadmodel/pattern.go
@@ -46,30 +46,30 @@
 
 // The orders of peak periods.
 const (
-	// InTurns: one pool after the other, always in the same order.
-	InTurns Order = iota
+	// Rotating: one pool after the other, always in the same order.
+	Rotating Order = iota
 	// Shuffled: one pool at a time; the next one is chosen at random.
 	Shuffled
-	// Level: no peaks; the demand of all pools is always their mean.
-	Level
+	// Uniform: no peaks; the demand of all pools is always their mean.
+	Uniform
 )
 
 // Pattern is a load.
 type Pattern struct {
 	Kinds []Kind
 	Order Order
-	// Turn is the length of the peak period of one pool, Low the demand between
+	// PeakPeriod is how long one pool has its peak, OffPeakShare the demand between
 	// its peaks as a share of its mean.
-	Turn time.Duration
-	Low  float64
+	PeakPeriod   time.Duration
+	OffPeakShare float64
 	// VMs serve the pools at the start, in equal shares; Standby VMs are off.
 	VMs, Standby int
 	// Length is how long jobs arrive.
 	Length time.Duration
-	// Wave is the number of VMs that are due for maintenance within WaveFor after
-	// WaveAt, at most WaveMost at the same time; 0 means no wave.
-	Wave, WaveMost  int
-	WaveAt, WaveFor time.Duration
+	// WaveVMs is the number of VMs that are due for maintenance within WaveWindow
+	// after WaveStart, at most WaveMaxParallel at the same time; 0 means no wave.
+	WaveVMs, WaveMaxParallel int
+	WaveStart, WaveWindow    time.Duration
 }
 
 // Short and Long are the two kinds of jobs that the users describe: many short
@@ -80,11 +80,11 @@
 	Long  = Kind{PerSecond: 1.4, Steps: 2, Width: 8, CPU: 3800, Run: 1700 * time.Millisecond, Worth: 3.8}
 )
 
-// Turns is the load that the requirement sheets describe: four pools, each with
+// RotatingPeaks is the load that the requirement sheets describe: four pools, each with
 // about four times its mean demand in its peak period and a twentieth in between.
-func Turns(turn time.Duration) Pattern {
+func RotatingPeaks(peakPeriod time.Duration) Pattern {
 	return Pattern{
-		Kinds: []Kind{Short, Long, Short, Long}, Order: InTurns, Turn: turn, Low: 0.05,
+		Kinds: []Kind{Short, Long, Short, Long}, Order: Rotating, PeakPeriod: peakPeriod, OffPeakShare: 0.05,
 		VMs: 41, Standby: 8, Length: 40 * time.Second,
 	}
 }
@@ -92,19 +92,19 @@
 // rate returns the job rate of a pool during the peak period of peakPool.
 func (p *Pattern) rate(pool, peakPool int) float64 {
 	mean := p.Kinds[pool].PerSecond
-	if p.Order == Level {
+	if p.Order == Uniform {
 		return mean
 	}
 	if pool != peakPool {
-		return p.Low * mean
+		return p.OffPeakShare * mean
 	}
 	others := float64(len(p.Kinds) - 1)
-	return mean * (others + 1 - others*p.Low)
+	return mean * (others + 1 - others*p.OffPeakShare)
 }
 
 // drawPeaks draws the sequence of the pools that have their peak periods.
 func (p *Pattern) drawPeaks(random *rand.Rand) []int {
-	n := int(p.Length/max(p.Turn, time.Millisecond)) + 1
+	n := int(p.Length/max(p.PeakPeriod, time.Millisecond)) + 1
 	order := random.Perm(len(p.Kinds))
 	all := make([]int, n)
 	for i := range all {
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -106,8 +106,8 @@
 type Result struct {
 	// InTime is the worth earned as a share of the maximum.
 	InTime float64
-	// Worst is the share earned in the two worst intervals of two seconds.
-	Worst float64
+	// WorstShare is the share earned in the two worst intervals of two seconds.
+	WorstShare float64
 	// VMSeconds sums up the time of VMs in pools while jobs arrive or run; Moves
 	// counts the orders to move a VM.
 	VMSeconds float64
@@ -119,8 +119,8 @@
 	Jobs int
 }
 
-// Play simulates a pattern with a seed.
-func Play(p Pattern, seed uint64, rules Rules) Result {
+// Simulate simulates a pattern with a seed.
+func Simulate(p Pattern, seed uint64, rules Rules) Result {
 	sim := newSimulation(p, seed, rules)
 	for sim.now < startTime+p.Length || len(sim.open) > 0 && sim.now < startTime+p.Length+drainTime {
 		sim.advance()
@@ -205,13 +205,13 @@
 // submitJobs submits the jobs of this step.
 func (sim *simulation) submitJobs() {
 	elapsed := sim.now - startTime
-	if elapsed == sim.pattern.WaveAt && sim.pattern.Wave > 0 {
+	if elapsed == sim.pattern.WaveStart && sim.pattern.WaveVMs > 0 {
 		sim.startWave()
 	}
 	if elapsed > sim.pattern.Length {
 		return
 	}
-	peakPool := sim.peakPools[min(int(elapsed/max(sim.pattern.Turn, step)), len(sim.peakPools)-1)]
+	peakPool := sim.peakPools[min(int(elapsed/max(sim.pattern.PeakPeriod, step)), len(sim.peakPools)-1)]
 	for pool := range sim.pattern.Kinds {
 		for expected := sim.pattern.rate(pool, peakPool) * step.Seconds(); sim.random.Float64() < expected; expected-- {
 			sim.submit(pool)
@@ -304,7 +304,7 @@
 		sim.earnedWorth[interval] += value
 	}
 	r.InTime = earned / maxWorth
-	r.Worst = worstShare(sim.maxWorth, sim.earnedWorth)
+	r.WorstShare = worstShare(sim.maxWorth, sim.earnedWorth)
 	return r
 }
 
