--- a/internal/controller/world.go
+++ b/internal/controller/world.go
@@ -204,7 +204,7 @@
 			continue
 		}
 		if vm := o.listed[t.VM]; vm != nil {
-			vm.Busy = vm.Busy.Plus(u.Used)
+			vm.Usage = vm.Usage.Plus(u.Used)
 			vm.UsageAt = max(vm.UsageAt, u.At)
 		}
 	}
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -103,7 +103,7 @@
 	if r.Task.Started <= v.Listed.UsageAt {
 		v.attributed = v.attributed.Plus(r.Charge)
 	}
-	v.unattributed = v.Listed.Busy.Minus(v.attributed).Max(model.Resources{})
+	v.unattributed = v.Listed.Usage.Minus(v.attributed).Max(model.Resources{})
 	v.unattributed.Accelerators = 0
 }
 
--- a/internal/manifest/parse.go
+++ b/internal/manifest/parse.go
@@ -108,12 +108,12 @@
 	pools := make([]model.Pool, 0, len(p.pools))
 	for _, s := range p.pools {
 		pools = append(pools, model.Pool{
-			ID:     model.PoolID(s.ini.Label()),
-			MinVMs: int(s.count("min_vms")),
-			MaxVMs: int(s.count("max_vms")),
-			Shape:  s.resources(),
-			Zones:  convert[model.ZoneID](s.names("availability_zones")),
-			Busy:   s.windows("busy"),
+			ID:          model.PoolID(s.ini.Label()),
+			MinVMs:      int(s.count("min_vms")),
+			MaxVMs:      int(s.count("max_vms")),
+			Shape:       s.resources(),
+			Zones:       convert[model.ZoneID](s.names("availability_zones")),
+			BusyWindows: s.windows("busy"),
 		})
 	}
 	return pools
--- a/internal/model/record.go
+++ b/internal/model/record.go
@@ -17,9 +17,9 @@
 	BootID string
 	// Drained reports whether the platform has stopped starting tasks on the VM.
 	Drained bool
-	// Busy is the measured usage, which lags behind the actual one; UsageAt is
-	// when it was measured.
-	Busy    Resources
+	// Usage is measured and lags behind the actual usage; UsageAt is when it was
+	// measured.
+	Usage   Resources
 	UsageAt Instant
 }
 
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -35,9 +35,9 @@
 	Shape Resources `cbor:"4,keyasint"`
 	// Zones are the availability zones allowed; empty allows all.
 	Zones []ZoneID `cbor:"5,keyasint,omitempty"`
-	// Busy are the daily peak hours in which maintenance waves should not
+	// BusyWindows are the daily peak hours in which maintenance waves should not
 	// disturb the pool, such as berth windows; empty means none.
-	Busy []Window `cbor:"6,keyasint,omitempty"`
+	BusyWindows []Window `cbor:"6,keyasint,omitempty"`
 }
 
 // Window is a daily span of time in UTC. It wraps around midnight when To is
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -166,11 +166,11 @@
 	addRunningJob(s, "a", 0, 10, func(j *model.JobSpec) { j.Throttleable = true })
 	addRunningJob(s, "b", 0, 6, func(j *model.JobSpec) { j.Throttleable = true })
 	v := s.VMs["vm0000"]
-	v.Busy, v.UsageAt = model.Resources{MilliCPU: 16_000}, now
+	v.Usage, v.UsageAt = model.Resources{MilliCPU: 16_000}, now
 	s.Usage = map[model.TaskID]fleet.Usage{"t-a": {Used: model.Resources{MilliCPU: 10_000}, At: now}, "t-b": {Used: model.Resources{MilliCPU: 6000}, At: now}}
 	is.Equal(summarize(nil, placement.Relieve(fleet.NewIndex(s))), "") // full, as planned
 	s.Usage["t-a"] = fleet.Usage{Used: model.Resources{MilliCPU: 15_000}, At: now}
-	v.Busy.MilliCPU = 21_000
+	v.Usage.MilliCPU = 21_000
 	is.Equal(summarize(nil, placement.Relieve(fleet.NewIndex(s))), "throttle t-a") // more than planned
 	throttled := *s.View.Tasks["t-a"]
 	throttled.Throttled = true
--- a/internal/placement/relieve.go
+++ b/internal/placement/relieve.go
@@ -85,7 +85,7 @@
 // free. Measurements lag, so each round would otherwise relieve more than
 // needed.
 func projectedUsage(ix *fleet.Index, v *fleet.VM) model.Resources {
-	busy := v.Listed.Busy
+	busy := v.Listed.Usage
 	for _, t := range v.Tasks {
 		if t.State != model.TaskStopping && !t.Throttled {
 			continue
--- a/internal/placement/scale_bench_test.go
+++ b/internal/placement/scale_bench_test.go
@@ -31,7 +31,7 @@
 	view := &state.View{Index: 1, Site: site, Owners: map[model.VMID]*model.Ownership{}, Jobs: map[model.JobID]*model.Job{}, Tasks: map[model.TaskID]*model.Task{}}
 	s := &fleet.Snapshot{Now: 1_000_000_000, View: view, VMs: map[model.VMID]*model.VM{}, Serving: map[model.TaskID]bool{}, Usage: map[model.TaskID]fleet.Usage{}}
 	for i, v := range siteVMs(workers, 8, big) {
-		v.Busy, v.UsageAt, v.HealthSince = model.Resources{MilliCPU: 20_000, MemoryMB: 60_000}, s.Now.Add(-time.Minute), 1
+		v.Usage, v.UsageAt, v.HealthSince = model.Resources{MilliCPU: 20_000, MemoryMB: 60_000}, s.Now.Add(-time.Minute), 1
 		s.VMs[v.ID] = v
 		pool := site.Pools[i%pools].ID
 		view.Owners[v.ID] = &model.Ownership{VM: v.ID, Pool: pool, Generation: 1}
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -144,7 +144,7 @@
 	for id, v := range sim.vms {
 		if !sim.hidden[id] {
 			listed := *v
-			listed.Busy, listed.UsageAt = busy[id], sim.now.Add(-30*time.Second)
+			listed.Usage, listed.UsageAt = busy[id], sim.now.Add(-30*time.Second)
 			s.VMs[id] = &listed
 		}
 	}
--- a/internal/wave/hold.go
+++ b/internal/wave/hold.go
@@ -53,7 +53,7 @@
 // inBusyWindow reports whether the pool is in a busy window, or will be when
 // the maintenance of a VM granted now is expected to end.
 func (d *decider) inBusyWindow(p *fleet.Pool) bool {
-	for _, w := range p.Spec.Busy {
+	for _, w := range p.Spec.BusyWindows {
 		if inWindow(w, d.ix.Now()) || inWindow(w, d.ix.Now().Add(d.o.Cycle)) {
 			return true
 		}
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -215,7 +215,7 @@
 		{From: 10 * time.Hour, To: 7*time.Hour + 59*time.Minute}, // begins later, over midnight
 	} {
 		s := newSnapshot()
-		s.View.Site.Pools[0].Busy = []model.Window{w}
+		s.View.Site.Pools[0].BusyWindows = []model.Window{w}
 		free := w.From >= 9*time.Hour && w.From < 22*time.Hour
 		is.Equal(len(granted(decide(s, Options{Features: AllFeatures()}, Facts{}))) > 0, free)
 		is.True(len(granted(decide(s, Options{Features: Features{LargestSet: true}}, Facts{}))) > 0) // without RespectBusy
