--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -203,7 +203,7 @@
 
 // EndTask removes a task and updates its job: after OutcomeStopped and
 // OutcomeLapsed an idempotent job is queued again and any other job becomes
-// JobOutcomeUnknown; OutcomeNeverStarted requeues both.
+// JobOutcomeUnknown; after OutcomeNeverStarted either is queued again.
 type EndTask struct {
 	Task    model.TaskID `cbor:"1,keyasint"`
 	Outcome TaskOutcome  `cbor:"2,keyasint"`
--- a/internal/state/state_bench_test.go
+++ b/internal/state/state_bench_test.go
@@ -27,9 +27,9 @@
 	index   uint64
 }
 
-func (f *loader) apply(c Command) Result {
-	f.index++
-	c.ID = model.CommandID(fmt.Sprintf("command-%032d", f.index))
+func (l *loader) apply(c Command) Result {
+	l.index++
+	c.ID = model.CommandID(fmt.Sprintf("command-%032d", l.index))
 	if c.At == 0 {
 		c.At = 1000
 	}
@@ -38,11 +38,11 @@
 	if err != nil {
 		panic(err)
 	}
-	return f.machine.Apply(f.index, data)
+	return l.machine.Apply(l.index, data)
 }
 
-func (f *loader) plan(actions ...Action) {
-	r := f.apply(Command{Plan: &Plan{Actions: actions}})
+func (l *loader) plan(actions ...Action) {
+	r := l.apply(Command{Plan: &Plan{Actions: actions}})
 	for _, refused := range r.Actions {
 		if refused != "" {
 			panic(refused)
@@ -63,28 +63,28 @@
 // newLoaded returns a loader whose machine has VMs in two pools, one instance on
 // each VM of the first pool and jobsPerVM jobs per VM, half of them running.
 func newLoaded(vms int) *loader {
-	f := &loader{machine: NewMachine(Options{})}
-	f.apply(Command{ApplyManifest: benchSite(vms)})
+	l := &loader{machine: NewMachine(Options{})}
+	l.apply(Command{ApplyManifest: benchSite(vms)})
 	for i := range vms {
 		vm := model.VMID(fmt.Sprintf("region/vm-%05d", i))
 		pool := model.PoolID([]string{"a", "b"}[i%2])
 		worker := model.WorkerID(fmt.Sprintf("worker-%05d", i))
-		f.plan(Action{Reason: "pool is below min_vms", BeginMove: &BeginMove{VM: vm, Target: pool}})
+		l.plan(Action{Reason: "pool is below min_vms", BeginMove: &BeginMove{VM: vm, Target: pool}})
 		if pool == "a" {
 			task := model.Task{ID: model.TaskID(fmt.Sprintf("plans-%05d-1", i)), Service: "plans", Ordinal: i,
 				VM: vm, Worker: worker, Size: model.Resources{MilliCPU: 4000, MemoryMB: 16000}, LeaseUntil: 61_000}
-			f.plan(Action{StartTask: &StartTask{Task: task, Pool: pool}})
+			l.plan(Action{StartTask: &StartTask{Task: task, Pool: pool}})
 		}
 		for j := range jobsPerVM {
-			f.job(i*jobsPerVM+j, vm, worker, pool, j%2 == 0)
+			l.job(i*jobsPerVM+j, vm, worker, pool, j%2 == 0)
 		}
 	}
-	return f
+	return l
 }
 
-func (f *loader) job(n int, vm model.VMID, worker model.WorkerID, pool model.PoolID, start bool) {
+func (l *loader) job(n int, vm model.VMID, worker model.WorkerID, pool model.PoolID, start bool) {
 	id := model.JobID(fmt.Sprintf("job-%032d", n))
-	f.apply(Command{SubmitJob: &SubmitJob{Spec: model.JobSpec{
+	l.apply(Command{SubmitJob: &SubmitJob{Spec: model.JobSpec{
 		ID: id, Team: "berths", Pool: pool, Kind: "reconcile", Payload: make([]byte, 64),
 		Declared: model.Resources{MilliCPU: 1000, MemoryMB: 4000},
 	}}})
@@ -93,25 +93,25 @@
 	}
 	task := model.Task{ID: model.TaskID(id + "-1"), Job: id, VM: vm, Worker: worker,
 		Size: model.Resources{MilliCPU: 1000, MemoryMB: 4000}, LeaseUntil: 61_000}
-	f.plan(Action{Reason: "best fit", StartTask: &StartTask{Task: task, Pool: pool}})
+	l.plan(Action{Reason: "best fit", StartTask: &StartTask{Task: task, Pool: pool}})
 }
 
-func forSizes(b *testing.B, run func(b *testing.B, f *loader, vms int)) {
+func forSizes(b *testing.B, run func(b *testing.B, l *loader, vms int)) {
 	for _, vms := range benchSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			f := newLoaded(vms)
+			l := newLoaded(vms)
 			b.ReportAllocs()
 			b.ResetTimer()
-			run(b, f, vms)
+			run(b, l, vms)
 		})
 	}
 }
 
 // BenchmarkStateApply measures a change of one job, without a view.
 func BenchmarkStateApply(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, vms int) {
+	forSizes(b, func(b *testing.B, l *loader, vms int) {
 		for i := range b.N {
-			f.changeReason(i, vms)
+			l.changeReason(i, vms)
 		}
 	})
 }
@@ -119,10 +119,10 @@
 // BenchmarkStateApplyAndView takes a view after each change of a job. This is the
 // worst case for the copy on write, since jobs are the largest table.
 func BenchmarkStateApplyAndView(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, vms int) {
+	forSizes(b, func(b *testing.B, l *loader, vms int) {
 		for i := range b.N {
-			f.changeReason(i, vms)
-			f.machine.View()
+			l.changeReason(i, vms)
+			l.machine.View()
 		}
 	})
 }
@@ -130,31 +130,31 @@
 // BenchmarkStateClaimAndView measures a caller's request: a claim, its outcome and
 // a view. Claims are in no table that a view shares, so nothing is copied.
 func BenchmarkStateClaimAndView(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, _ int) {
+	forSizes(b, func(b *testing.B, l *loader, _ int) {
 		for i := range b.N {
 			key := model.RequestKey(fmt.Sprintf("key-%d", i))
-			f.apply(Command{ClaimRequest: &ClaimRequest{Claim: model.Claim{Key: key, Owner: "n1", Deadline: 2000}}})
-			f.apply(Command{SettleRequest: &SettleRequest{Key: key, Owner: "n1", State: model.ClaimSettled, Verdict: model.Ran}})
-			f.machine.View()
+			l.apply(Command{ClaimRequest: &ClaimRequest{Claim: model.Claim{Key: key, Owner: "n1", Deadline: 2000}}})
+			l.apply(Command{SettleRequest: &SettleRequest{Key: key, Owner: "n1", State: model.ClaimSettled, Verdict: model.Ran}})
+			l.machine.View()
 			if i%10_000 == 9_999 {
-				f.apply(Command{ForgetClaims: &ForgetClaims{Before: 3000}})
+				l.apply(Command{ForgetClaims: &ForgetClaims{Before: 3000}})
 			}
 		}
 	})
 }
 
 // changeReason gives one queued job another reason.
-func (f *loader) changeReason(i, vms int) {
+func (l *loader) changeReason(i, vms int) {
 	n := (i*jobsPerVM + 1) % (vms * jobsPerVM)
 	id := model.JobID(fmt.Sprintf("job-%032d", n))
-	f.plan(Action{SetJob: &SetJob{Job: id, State: model.JobQueued, Reason: fmt.Sprintf("round %d", i)}})
+	l.plan(Action{SetJob: &SetJob{Job: id, State: model.JobQueued, Reason: fmt.Sprintf("round %d", i)}})
 }
 
 // BenchmarkStateRenew renews the leases of all tasks in one command.
 func BenchmarkStateRenew(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, _ int) {
+	forSizes(b, func(b *testing.B, l *loader, _ int) {
 		for i := range b.N {
-			f.plan(Action{RenewTasks: &RenewTasks{AllExcept: true, LeaseUntil: model.Instant(62_000 + i)}})
+			l.plan(Action{RenewTasks: &RenewTasks{AllExcept: true, LeaseUntil: model.Instant(62_000 + i)}})
 		}
 	})
 }
@@ -167,15 +167,15 @@
 			jobs := 0
 			for range b.N {
 				b.StopTimer()
-				f := newLoaded(vms)
+				l := newLoaded(vms)
 				var ids []model.JobID
-				for _, job := range f.machine.View().Jobs {
+				for _, job := range l.machine.View().Jobs {
 					if job.State == model.JobQueued {
 						ids = append(ids, job.Spec.ID)
 					}
 				}
 				b.StartTimer()
-				f.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
+				l.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
 				jobs += len(ids)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(jobs), "ns/job")
@@ -186,10 +186,10 @@
 // BenchmarkStateSnapshot encodes the whole state; it reports bytes and bytes per
 // VM.
 func BenchmarkStateSnapshot(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, vms int) {
+	forSizes(b, func(b *testing.B, l *loader, vms int) {
 		size := 0
 		for range b.N {
-			data, err := f.machine.Snapshot()
+			data, err := l.machine.Snapshot()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -202,8 +202,8 @@
 
 // BenchmarkStateRestore restores a snapshot, as at a restart.
 func BenchmarkStateRestore(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, _ int) {
-		data, err := f.machine.Snapshot()
+	forSizes(b, func(b *testing.B, l *loader, _ int) {
+		data, err := l.machine.Snapshot()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -220,15 +220,15 @@
 func BenchmarkStateMemory(b *testing.B) {
 	for _, vms := range benchSizes {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			var f *loader
+			var l *loader
 			before := heapBytes()
 			for range b.N {
-				f = newLoaded(vms)
+				l = newLoaded(vms)
 			}
 			used := heapBytes() - before
 			b.ReportMetric(float64(used), "heap-bytes")
 			b.ReportMetric(float64(used)/float64(vms), "heap-bytes/vm")
-			runtime.KeepAlive(f)
+			runtime.KeepAlive(l)
 		})
 	}
 }
@@ -243,8 +243,8 @@
 
 // BenchmarkStateCheck checks every invariant of a view.
 func BenchmarkStateCheck(b *testing.B) {
-	forSizes(b, func(b *testing.B, f *loader, _ int) {
-		view := f.machine.View()
+	forSizes(b, func(b *testing.B, l *loader, _ int) {
+		view := l.machine.View()
 		for range b.N {
 			if violations := Check(view); len(violations) > 0 {
 				b.Fatal(violations)
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -21,9 +21,9 @@
 	shared bool
 }
 
-func newTable[K cmp.Ordered, V any](kind byte, h *rowHasher) *table[K, V] {
+func newTable[K cmp.Ordered, V any](salt byte, h *rowHasher) *table[K, V] {
 	return &table[K, V]{
-		salt:   kind,
+		salt:   salt,
 		hasher: h,
 		rows:   map[K]*V{},
 		hashes: map[K]uint64{},
