--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Defaults of the optional fields of Config.
+// Defaults of the optional fields of Config; all sizes are in bytes.
 const (
 	defaultMaxBatchBytes    = 256 << 10
 	defaultMaxInflight      = 16
--- a/internal/quorum/leader.go
+++ b/internal/quorum/leader.go
@@ -212,7 +212,7 @@
 	}
 	r.commitTo(index)
 	r.appendDue = true
-	r.startWaitingReads()
+	r.startDeferredReads()
 	r.stepDownIfRemoved()
 }
 
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -84,8 +84,8 @@
 		steps = defaultSteps
 	}
 	total := &counts{}
-	played, seed := 0, 0
-	for ; played < steps; seed++ {
+	performed, seed := 0, 0
+	for ; performed < steps; seed++ {
 		r := scenarios.Example(seed)
 		s := newSim(Faults{}, r.shape)
 		s.count = total
@@ -93,7 +93,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		played += n
+		performed += n
 	}
-	t.Logf("seeds 0 to %d, %d steps: %+v", seed-1, played, *total)
+	t.Logf("seeds 0 to %d, %d steps: %+v", seed-1, performed, *total)
 }
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -46,7 +46,9 @@
 	r.heartbeatDue = true
 }
 
-func (r *Raft) startWaitingReads() {
+// startDeferredReads starts the reads that waited for the commit of an entry of
+// this term.
+func (r *Raft) startDeferredReads() {
 	if !r.ownTermCommitted() {
 		return
 	}
--- a/internal/quorum/regress_test.go
+++ b/internal/quorum/regress_test.go
@@ -8,8 +8,8 @@
 )
 
 func newVoter(is *is.I, hard HardState, meta SnapshotMeta, entries []Entry) *Raft {
-	first := func(int) int { return 0 }
-	r, err := New(Config{Self: "1#0", ElectionTicks: 10, HeartbeatTicks: 2, Random: first}, hard, meta, entries)
+	zero := func(int) int { return 0 }
+	r, err := New(Config{Self: "1#0", ElectionTicks: 10, HeartbeatTicks: 2, Random: zero}, hard, meta, entries)
 	is.NoErr(err)
 	return r
 }
--- a/internal/quorum/witness.go
+++ b/internal/quorum/witness.go
@@ -164,8 +164,8 @@
 // an earlier term is Confirmed.
 func (c *InvariantChecker) CheckVoter(r *Raft) {
 	s := r.Status()
-	for _, b := range r.Check() {
-		c.fail("%q: %s", s.Self, b)
+	for _, violation := range r.Check() {
+		c.fail("%q: %s", s.Self, violation)
 	}
 	before := c.lastStatus[s.Self]
 	if before == nil {
--- a/internal/quorum/world_test.go
+++ b/internal/quorum/world_test.go
@@ -304,7 +304,7 @@
 			}
 		}
 	}
-	if n, broken := s.checker.Violations(); n > 0 {
-		s.fail("%s", broken[0])
+	if n, violations := s.checker.Violations(); n > 0 {
+		s.fail("%s", violations[0])
 	}
 }
