--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -22,10 +22,10 @@
 	headerSize           = 16
 	frameMagic           = 0xC10E
 	formatVersion        = 1
-	maxPayload           = 256 << 20
+	maxPayload           = 256 << 20 // bytes
 	payloadCRCOffset     = 8
 	headerCRCOffset      = 12
-	sectorSize       int = 512
+	sectorSize       int = 512 // bytes
 )
 
 type recordKind uint8
@@ -45,9 +45,9 @@
 
 const (
 	frameValid frameStatus = iota
-	// frameShort: the file ends within the frame.
+	// frameShort means that the file ends within the frame.
 	frameShort
-	// frameBad: the bytes are not a valid frame.
+	// frameBad means that the bytes are not a valid frame.
 	frameBad
 )
 
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -37,13 +37,13 @@
 	segmentBytes int
 
 	file     datafolder.File
-	size     int64
+	size     int64 // of the current segment, in bytes
 	segments []segment
 	hard     quorum.HardState
-	last     uint64
+	last     uint64 // index of the last durable entry
 	syncs    uint64
 	buffer   bytes.Buffer
-	failed   error
+	failed   error // the first failure, or ErrClosed
 }
 
 // Open reads the log in dir and makes durable what it read. Errors are
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -206,11 +206,11 @@
 	return true
 }
 
-func (r *recovery) corrupt(sequence uint64, offset int, why string) error {
+func (r *recovery) corrupt(sequence uint64, offset int, reason string) error {
 	return &CorruptError{
 		File:   filepath.Join(r.dir, segmentName(sequence)),
 		Offset: int64(offset),
-		Reason: why,
+		Reason: reason,
 		Hint:   datafolder.HintRejoin,
 	}
 }
