--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -29,8 +29,8 @@
 	lengthOffset  = 16
 )
 
-// remedy is to rejoin: no older snapshot can replace a damaged one, because the
-// entries that it covers are removed from the log.
+// remedy tells the operator to rejoin: no older snapshot can replace a damaged
+// one, because the entries that it covers are removed from the log.
 const remedy = datafolder.HintRejoin
 
 // Save makes a snapshot durable in dir and then replaces the previous one.
@@ -117,6 +117,6 @@
 	return crc32.Update(sum, table, data[lengthOffset:])
 }
 
-func corrupt(name string, offset int64, why, remedy string) error {
-	return &datafolder.CorruptError{File: name, Offset: offset, Reason: why, Hint: remedy}
+func corrupt(name string, offset int64, reason, hint string) error {
+	return &datafolder.CorruptError{File: name, Offset: offset, Reason: reason, Hint: hint}
 }
