--- a/internal/datafolder/errors.go
+++ b/internal/datafolder/errors.go
@@ -7,8 +7,8 @@
 )
 
 // CorruptError is returned when a file does not hold what was made durable in it.
-// The process must not start on such a file: the lost data may include a promise
-// to other voters, such as a vote.
+// The process must not start on such a file: the lost data may include a vote
+// or entries that were acknowledged to other voters.
 type CorruptError struct {
 	File   string
 	Offset int64
--- a/internal/datafolder/fakedisk/disk.go
+++ b/internal/datafolder/fakedisk/disk.go
@@ -1,10 +1,10 @@
 // Package fakedisk is an in-memory file system for crash tests: it loses unsynced
 // data, makes selected calls fail, and can be full. It is imported by tests only.
 //
-// It shows the worst behaviour that a real file system may show. After a crash each
-// name in a directory that was not synced is either the old or the new one,
-// independent of the others; unsynced bytes are lost, kept in part, or kept with
-// whole sectors zeroed. After a failed sync the bytes can be read and the next sync
+// It behaves as badly as a real file system may. After a crash each name in a
+// directory that was not synced is either the old or the new one, independent of
+// the others; unsynced bytes are lost, kept in part, or kept with whole sectors
+// zeroed. After a failed sync the bytes can be read and the next sync
 // reports success, but they are lost in the next crash.
 package fakedisk
 
@@ -49,8 +49,10 @@
 
 // Disk implements datafolder.FS.
 type Disk struct {
-	mu      sync.Mutex
-	dirs    map[string]bool
+	mu   sync.Mutex
+	dirs map[string]bool
+	// names holds the files as calls see them, durable those whose names
+	// survive a crash.
 	names   map[string]*inode
 	durable map[string]*inode
 	locked  map[string]bool
@@ -77,7 +79,7 @@
 	}
 }
 
-// SetFault sets the fault that is asked for every later call; with nil all calls
+// SetFault sets the fault that decides about every later call; with nil all calls
 // succeed.
 func (d *Disk) SetFault(f Fault) {
 	d.mu.Lock()
--- a/internal/datafolder/folder.go
+++ b/internal/datafolder/folder.go
@@ -70,7 +70,8 @@
 }
 
 // acquireLock prevents a second process from using the folder: two processes that
-// append to one log would overwrite each other's promises to other voters.
+// append to one log would overwrite votes and entries that the other one has
+// acknowledged.
 func acquireLock(o Options) (io.Closer, error) {
 	name := filepath.Join(o.Path, lockName)
 	lock, err := o.Disk.Lock(name)
--- a/internal/datafolder/identity.go
+++ b/internal/datafolder/identity.go
@@ -21,8 +21,8 @@
 const (
 	// PhaseEmpty means that the disk never took part in a founding or a quorum.
 	PhaseEmpty Phase = iota + 1
-	// PhaseAdopted means that the disk promised to belong to one founding and to no
-	// other, and does not take part in the quorum yet.
+	// PhaseAdopted means that the disk is bound to one founding and can't adopt
+	// another, and does not take part in the quorum yet.
 	PhaseAdopted
 	// PhaseActive means that the disk may vote and store entries.
 	PhaseActive
--- a/internal/datafolder/replace.go
+++ b/internal/datafolder/replace.go
@@ -25,7 +25,7 @@
 // The data is synced before the rename: otherwise a crash could leave a file with
 // the final name whose content never reached the disk. The directory is synced
 // after the rename: otherwise the old file could reappear after a crash, and with
-// it a state that the caller already promised to have left.
+// it a state that the caller has already reported as replaced.
 func ReplaceOpen(disk FS, name string, data []byte) (File, error) {
 	temporary := name + TemporarySuffix
 	f, err := disk.Create(temporary)
