--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -128,8 +128,8 @@
 
 func (noSyncFile) Sync() error { return nil }
 
-func (u noSyncDisk) Create(name string) (datafolder.File, error) {
-	f, err := u.Disk.Create(name)
+func (d noSyncDisk) Create(name string) (datafolder.File, error) {
+	f, err := d.Disk.Create(name)
 	return noSyncFile{f}, err
 }
 
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -11,7 +11,7 @@
 // voter to. A violation stops the driver before the message is sent.
 func (d *driver) checkDurableBeforeSend(messages []quorum.Message) error {
 	for i := range messages {
-		if violation := d.notDurable(&messages[i]); violation != "" {
+		if violation := d.durabilityViolation(&messages[i]); violation != "" {
 			d.counters.invariantsBroken.Inc(1)
 			return fmt.Errorf("invariant broken: durable before send: %s", violation)
 		}
@@ -19,9 +19,9 @@
 	return nil
 }
 
-// notDurable describes what a message commits this voter to beyond the durable
-// log; empty when there is nothing.
-func (d *driver) notDurable(m *quorum.Message) string {
+// durabilityViolation describes what a message commits this voter to beyond the
+// durable log; empty when there is nothing.
+func (d *driver) durabilityViolation(m *quorum.Message) string {
 	hard := d.log.HardState()
 	switch {
 	case !m.RequiresSync():
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -99,8 +99,8 @@
 	Log     log.Interface
 	Metrics metrics.Registry
 
-	// CommitsWithNext is passed to the quorum core: followers learn of a commit
-	// with the next entry or heartbeat.
+	// CommitsWithNext makes a leader send a new commit index only with the next
+	// entry or heartbeat; see quorum.Config.PiggybackCommit.
 	CommitsWithNext bool
 
 	// dynamicVoters is set when voters are discovered at run time (Candidates).
@@ -110,11 +110,11 @@
 func (c *Config) complete() error {
 	switch {
 	case c.Folder == "" || c.Self == "" || c.Site == "":
-		return errors.New("replica: config: Folder, Site and Self are needed")
+		return errors.New("replica: config: Folder, Site and Self are required")
 	case c.Candidates == nil && !slices.Contains(c.Members, c.Self):
 		return fmt.Errorf("replica: config: node %s is not among the voters %v", c.Self, c.Members)
 	case c.StateMachine == nil || c.Transport == nil || c.Bootstrapper == nil:
-		return errors.New("replica: config: Machine, Transport and Bootstrapper are needed")
+		return errors.New("replica: config: StateMachine, Transport and Bootstrapper are required")
 	}
 	orDefault(&c.TickInterval, defaultTickInterval)
 	orDefault(&c.IdentifyTimeout, defaultIdentifyTimeout)
--- a/internal/replica/enter.go
+++ b/internal/replica/enter.go
@@ -121,9 +121,9 @@
 	queries.Wait()
 	close(replies)
 	received := identities{}
-	for a := range replies {
-		if a.err == nil && a.identity.Site == r.config.Site && a.identity.Node == a.node {
-			received[a.node] = a.identity
+	for reply := range replies {
+		if reply.err == nil && reply.identity.Site == r.config.Site && reply.identity.Node == reply.node {
+			received[reply.node] = reply.identity
 		}
 	}
 	return received
--- a/internal/replica/feed.go
+++ b/internal/replica/feed.go
@@ -109,9 +109,9 @@
 // there are entries or ctx ends.
 func (r *Replica) Committed(ctx context.Context, from uint64, maxBytes int) (LogChunk, error) {
 	for {
-		piece, changed, err := r.feed.read(from, maxBytes)
+		chunk, changed, err := r.feed.read(from, maxBytes)
 		if err != nil || changed == nil {
-			return piece, err
+			return chunk, err
 		}
 		select {
 		case <-changed:
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -18,11 +18,12 @@
 // name) creates a founding, which lists the disks of all configured voters, but
 // only when every one of them has replied that its disk is empty. By this it
 // adopts the founding itself. Another empty disk adopts a founding that lists
-// it. A disk becomes active once it has seen that every listed disk has adopted
-// the founding, or that a disk is active under it. Each of these steps is one
-// atomic replacement of the identity file, so after a crash the step is either
-// done or not done, and the next round of queries decides again from the
-// durable state.
+// it, unless a disk that replied is active already: it joins that one's site
+// then. An adopted disk becomes active once every other listed disk replied that
+// it has adopted the founding, or one disk replied that it is active under it.
+// Each of these steps is one atomic replacement of the identity file, so after a
+// crash the step is either done or not done, and the next round of queries
+// decides again from the durable state.
 //
 //   - A disk adopts at most one founding in its life, and a founding becomes
 //     active only after every disk it lists has adopted it. Two foundings that
@@ -35,31 +36,35 @@
 //     member at a time, by a command that a quorum commits.
 //   - A founder that loses its disk after others adopted its founding cannot
 //     complete it. An adopted disk abandons the founding, by taking a new disk
-//     identity, when it has first seen that a listed disk is lost or bound to
-//     another founding, and has then queried every listed disk again and found
-//     none active under the founding. Nothing was committed under it then: a
-//     commit takes a quorum of active disks, and the lost disk can have let no
-//     other disk become active before, nor can this one do so afterwards.
+//     identity, when two rounds of queries in a row show this: in the first, the
+//     node of a listed disk replied with another disk or with another founding;
+//     in the second, the nodes of all other listed disks replied, and none is
+//     active under the founding. A node that does not reply is not taken for
+//     lost. Nothing is committed under the founding at that time, since a commit
+//     takes a quorum of active disks. Later a disk can become active under it
+//     only on earlier replies: one of the lost disk from before its loss and one
+//     of this disk from before it abandoned the founding.
 //
 // One case is left to the operator: a disk is lost within the second in which
 // the site is founded, while another disk becomes active alone, on a reply from
-// before the loss. Nothing was accepted yet, but the other disks join that one
-// and wait to be added as voters. Deleting its data folder lets them found the
-// site anew.
+// before the loss. It has no quorum, so nothing is committed, but the other disks
+// join it, become active and wait in vain to be added as voters. The site can be
+// founded anew after the data folders of all configured voters were deleted: as
+// long as one disk is active, an empty one joins it.
 
 // stepKind is the next action of a disk that enters the site.
 type stepKind uint8
 
 const (
-	// stepWait: query again later.
+	// stepWait queries again later.
 	stepWait stepKind = iota
-	// stepAdopt: bind the disk to a founding.
+	// stepAdopt binds the disk to a founding.
 	stepAdopt
-	// stepActivate: start to vote under the adopted founding.
+	// stepActivate makes the disk vote under the adopted founding.
 	stepActivate
-	// stepJoin: become active in an existing site.
+	// stepJoin makes the disk active in an existing site, without a vote yet.
 	stepJoin
-	// stepRenewDisk: abandon the founding and start over with a new disk
+	// stepRenewDisk abandons the founding and starts over with a new disk
 	// identity.
 	stepRenewDisk
 )
@@ -86,6 +91,10 @@
 	}
 }
 
+// nextStepEmpty returns the step of a disk that belongs to no founding. It waits
+// while the replies show disks that are active under two foundings. Otherwise it
+// joins the site of an active disk, or adopts a founding that lists this disk, or
+// founds the site, in this order.
 func nextStepEmpty(self Identity, members []model.NodeID, current identities) step {
 	if len(conflictingFoundings(current)) > 0 {
 		return step{}
@@ -123,6 +132,10 @@
 	return step{kind: stepAdopt, founding: datafolder.NewFounding(voters)}
 }
 
+// nextStepAdopted returns the step of a disk that adopted a founding. It becomes
+// active if a disk is active under that founding or all others have adopted it.
+// It takes a new identity if the previous round showed a lost voter and all
+// voters of the founding replied in the current one.
 func nextStepAdopted(self Identity, previous, current identities) step {
 	for _, other := range current {
 		if other.Phase == datafolder.PhaseActive && other.Founding.ID == self.Founding.ID {
@@ -152,7 +165,8 @@
 	return true
 }
 
-// lostVoters returns the voters of the founding that can no longer adopt it.
+// lostVoters returns the voters of the founding that can no longer adopt it,
+// because their nodes replied with another disk or with another founding.
 func lostVoters(self Identity, received identities) []quorum.ID {
 	var lost []quorum.ID
 	for _, id := range self.Founding.Voters.Members {
@@ -168,6 +182,8 @@
 	return lost
 }
 
+// allReplied reports whether the nodes of all other voters of the founding
+// replied.
 func allReplied(self Identity, current identities) bool {
 	for _, node := range foundingPeers(self) {
 		if _, replied := current[node]; !replied {
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -136,14 +136,14 @@
 
 // unknown completes all matching waiters with state.ErrOutcomeUnknown and
 // returns their number.
-func (w waiters) unknown(why string, match func(index uint64, waiting *waiter) bool) int64 {
+func (w waiters) unknown(reason string, match func(index uint64, waiting *waiter) bool) int64 {
 	var n int64
 	for index, waiting := range w {
 		if !match(index, waiting) {
 			continue
 		}
 		delete(w, index)
-		waiting.complete(state.Result{}, fmt.Errorf("%w: %s", state.ErrOutcomeUnknown, why))
+		waiting.complete(state.Result{}, fmt.Errorf("%w: %s", state.ErrOutcomeUnknown, reason))
 		n++
 	}
 	return n
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -112,9 +112,9 @@
 // checkPhase rejects a folder whose files contradict each other.
 func (r *Replica) checkPhase(phase datafolder.Phase) error {
 	used := r.recovered.Records > 0 || r.recovered.Base > 0
-	damaged := func(file, why string) error {
+	damaged := func(file, reason string) error {
 		_ = r.log.Close()
-		return &datafolder.CorruptError{File: file, Reason: why, Hint: datafolder.HintRejoin}
+		return &datafolder.CorruptError{File: file, Reason: reason, Hint: datafolder.HintRejoin}
 	}
 	switch {
 	case phase != datafolder.PhaseActive && (used || r.loadedSnapshot != nil):
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -42,15 +42,15 @@
 	is.True(errors.As(err, &notLeader) && notLeader.Leader == name) // the error names the leader
 	is.True(errors.Is(err, state.ErrNotProposed))
 
-	piece, err := follower.Committed(ctx, 1, 1<<20)
+	chunk, err := follower.Committed(ctx, 1, 1<<20)
 	is.NoErr(err)
-	is.True(piece.Snapshot != nil) // the first entries are compacted
-	at := piece.Snapshot.Meta.Index
+	is.True(chunk.Snapshot != nil) // the first entries are compacted
+	at := chunk.Snapshot.Meta.Index
 	for at < follower.machine.Applied() {
-		piece, err = follower.Committed(ctx, at+1, 10)
+		chunk, err = follower.Committed(ctx, at+1, 10)
 		is.NoErr(err)
-		is.Equal(piece.Entries[0].Index, at+1) // continues without a gap
-		at += uint64(len(piece.Entries))
+		is.Equal(chunk.Entries[0].Index, at+1) // continues without a gap
+		at += uint64(len(chunk.Entries))
 	}
 	short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
--- a/internal/replica/slowdisk.go
+++ b/internal/replica/slowdisk.go
@@ -36,32 +36,32 @@
 }
 
 // record adds the duration of one sync.
-func (p *syncTimes) record(took time.Duration) {
-	p.longest = max(took, p.longest-time.Duration(longestSyncDecay*float64(p.longest)))
+func (t *syncTimes) record(took time.Duration) {
+	t.longest = max(took, t.longest-time.Duration(longestSyncDecay*float64(t.longest)))
 	if took < slowSyncTime {
-		p.consecutiveSlow = 0
+		t.consecutiveSlow = 0
 		return
 	}
-	p.consecutiveSlow++
+	t.consecutiveSlow++
 }
 
 // ticks returns the longest recent sync time in ticks, 0 while the disk is
 // fast.
-func (p *syncTimes) ticks(every time.Duration) int {
-	if p.longest < slowSyncTime {
+func (t *syncTimes) ticks(tickInterval time.Duration) int {
+	if t.longest < slowSyncTime {
 		return 0
 	}
-	return int((p.longest + every - 1) / every)
+	return int((t.longest + tickInterval - 1) / tickInterval)
 }
 
 // allowsHandover reports whether the disk is too slow for a leader. When it
 // returns true it records now as the time of the handover, so it does so at
 // most once per handoverInterval.
-func (p *syncTimes) allowsHandover(now time.Duration) bool {
-	if p.consecutiveSlow < minSlowSyncs || p.lastHandover > 0 && now-p.lastHandover < handoverInterval {
+func (t *syncTimes) allowsHandover(now time.Duration) bool {
+	if t.consecutiveSlow < minSlowSyncs || t.lastHandover > 0 && now-t.lastHandover < handoverInterval {
 		return false
 	}
-	p.lastHandover = now
+	t.lastHandover = now
 	return true
 }
 
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -17,17 +17,17 @@
 func TestSlowDiskHandsOverOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Hour
-	var p syncTimes
-	p.record(225 * time.Millisecond)
-	is.True(!p.allowsHandover(now)) // a single slow sync is not enough
-	p.record(9 * time.Millisecond)
-	p.record(225 * time.Millisecond)
-	is.True(!p.allowsHandover(now))
-	p.record(225 * time.Millisecond)
-	is.True(p.allowsHandover(now))
-	p.record(225 * time.Millisecond)
-	is.True(!p.allowsHandover(now + time.Second)) // all disks may be slow
-	is.True(p.allowsHandover(now + handoverInterval))
+	var times syncTimes
+	times.record(225 * time.Millisecond)
+	is.True(!times.allowsHandover(now)) // a single slow sync is not enough
+	times.record(9 * time.Millisecond)
+	times.record(225 * time.Millisecond)
+	is.True(!times.allowsHandover(now))
+	times.record(225 * time.Millisecond)
+	is.True(times.allowsHandover(now))
+	times.record(225 * time.Millisecond)
+	is.True(!times.allowsHandover(now + time.Second)) // all disks may be slow
+	is.True(times.allowsHandover(now + handoverInterval))
 }
 
 // Guards against leadership that moves in circles, with refused requests at
@@ -37,17 +37,17 @@
 func TestHandoverOnlyToFasterDisk(t *testing.T) {
 	is := is.New(t)
 	const tick = 100 * time.Millisecond
-	var p syncTimes
-	p.record(9 * time.Millisecond)
-	is.Equal(p.ticks(tick), 0)
-	p.record(390 * time.Millisecond)
-	own := p.ticks(tick)
+	var times syncTimes
+	times.record(9 * time.Millisecond)
+	is.Equal(times.ticks(tick), 0)
+	times.record(390 * time.Millisecond)
+	own := times.ticks(tick)
 	is.Equal(own, 4)
 	is.True(!clearlyFaster(quorum.PeerStatus{SyncTicks: 4}, own))
 	is.True(!clearlyFaster(quorum.PeerStatus{SyncTicks: 3}, own))
 	is.True(clearlyFaster(quorum.PeerStatus{SyncTicks: 0}, own))
 	for range 8 {
-		p.record(9 * time.Millisecond)
+		times.record(9 * time.Millisecond)
 	}
-	is.Equal(p.ticks(tick), 0) // the disk is fast again
+	is.Equal(times.ticks(tick), 0) // the disk is fast again
 }
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -128,11 +128,11 @@
 	}
 	meta, err := d.raft.SnapshotMeta(d.config.StateMachine.Applied())
 	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("take a snapshot: metadata: %w", err)
 	}
 	data, err := d.config.StateMachine.Snapshot()
 	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("take a snapshot: encode the state: %w", err)
 	}
 	d.saving = true
 	d.sinceSnapshot = appliedSize{}
