--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -17,7 +17,7 @@
 	waiting chan []quorum.Message
 }
 
-// open returns the channel to which the next put goes.
+// open opens the slot and returns the channel to which the next put goes.
 func (s *replySlot) open() chan []quorum.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,8 @@
 	return s.close(replies)
 }
 
-// close gives the channel up and returns what was put into it in the meantime.
+// close closes the slot, unless a later call has opened it again, and returns
+// what was put into the channel in the meantime.
 func (s *replySlot) close(replies chan []quorum.Message) []quorum.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -54,7 +54,8 @@
 type Follower struct {
 	config FollowerConfig
 	source model.NodeID
-	turn   int
+	// voterIndex selects the voter to poll when the leader is not known.
+	voterIndex int
 	// lastTerm is the term of the last entry or snapshot applied.
 	lastTerm uint64
 	fetch    *snapshotFetch
@@ -137,7 +138,7 @@
 		f.source, _ = f.config.Leader.Get()
 	}
 	if f.source == "" && len(f.config.Voters) > 0 {
-		f.source = f.config.Voters[f.turn%len(f.config.Voters)]
+		f.source = f.config.Voters[f.voterIndex%len(f.config.Voters)]
 	}
 	return f.source
 }
@@ -154,8 +155,8 @@
 		if f.source != "" && f.source != previous {
 			return
 		}
-		f.turn++
-		f.source = f.config.Voters[f.turn%len(f.config.Voters)]
+		f.voterIndex++
+		f.source = f.config.Voters[f.voterIndex%len(f.config.Voters)]
 	}
 }
 
--- a/internal/node/heartbeats_report.go
+++ b/internal/node/heartbeats_report.go
@@ -17,8 +17,8 @@
 	if status.Ready != h.wasReady {
 		h.logReady(status)
 	}
-	lost := !status.Ready && status.ConfirmationAge > 0
-	if (lost || status.BehindFor > feedStalledAfter) && h.config.OnUnconfirmed != nil {
+	lostConfirmation := !status.Ready && status.ConfirmationAge > 0
+	if (lostConfirmation || status.BehindFor > feedStalledAfter) && h.config.OnUnconfirmed != nil {
 		h.config.OnUnconfirmed()
 	}
 	if view := h.core.View(); view.Newer(h.lastView) {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -207,11 +207,11 @@
 var errNotOffered = twirp.NewError(twirp.Unavailable, "this process does not offer this")
 
 func (s *Server) requireVoter() (Voter, error) {
-	box := s.voter.Load()
-	if box == nil {
+	holder := s.voter.Load()
+	if holder == nil {
 		return nil, errNotOffered
 	}
-	return box.Voter, nil
+	return holder.Voter, nil
 }
 
 // sender returns the peer that sent a call, or nil when it is unknown.
--- a/internal/node/spreader.go
+++ b/internal/node/spreader.go
@@ -31,12 +31,12 @@
 	renewalDelayPerPeer = 300 * time.Millisecond
 	minRenewalDelay     = time.Second
 	maxRenewalDelay     = 3 * time.Second
-	// renewalFraction is the divisor of the time between two announcements that
-	// gives the delay of renewals if that is longer; at most longRenewalDelay. A
-	// lease lasts three times the time between two announcements, so that one
-	// renewal may still be lost.
-	renewalFraction  = 3
-	longRenewalDelay = 5 * time.Second
+	// The time between two announcements, divided by renewalDelayDivisor, is the
+	// delay of renewals if that is longer; at most longRenewalDelay. A lease lasts
+	// three times the time between two announcements, so that one renewal may
+	// still be lost.
+	renewalDelayDivisor = 3
+	longRenewalDelay    = 5 * time.Second
 	// batchLimit bounds the records and renewals of one delivery.
 	batchLimit = 1024
 	// repairLimit bounds the records in the reply to one digest.
@@ -109,8 +109,8 @@
 // for each peer sends to it.
 func (s *RegistrySync) Run(ctx context.Context) error {
 	var tasks conc.WaitGroup
-	for _, r := range s.peers {
-		tasks.Go(func() { s.syncPeer(ctx, r) })
+	for _, ps := range s.peers {
+		tasks.Go(func() { s.syncPeer(ctx, ps) })
 	}
 	s.watch(ctx)
 	tasks.Wait()
@@ -124,7 +124,7 @@
 // renewalDelay returns how long renewals are delayed. At a large site a delivery
 // costs many times as much as the renewals in it, and leases are long.
 func (s *RegistrySync) renewalDelay() time.Duration {
-	return max(s.minDelay, min(s.config.Registry.RenewInterval()/renewalFraction, longRenewalDelay))
+	return max(s.minDelay, min(s.config.Registry.RenewInterval()/renewalDelayDivisor, longRenewalDelay))
 }
 
 // watch wakes the tasks of the peers: at once for a change, together for
@@ -149,26 +149,26 @@
 			continue
 		}
 		version, changed, notifiedAt = nextVersion, nextChanged, now
-		for _, r := range s.peers {
-			signal(r.changed)
+		for _, ps := range s.peers {
+			signal(ps.changed)
 		}
 	}
 }
 
 // syncPeer keeps one peer up to date until ctx ends.
-func (s *RegistrySync) syncPeer(ctx context.Context, r *peerSync) {
+func (s *RegistrySync) syncPeer(ctx context.Context, ps *peerSync) {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for ctx.Err() == nil {
 		select {
-		case <-r.changed:
+		case <-ps.changed:
 		case <-due.C:
-		case <-r.differs:
-			s.repair(ctx, r)
+		case <-ps.differs:
+			s.repair(ctx, ps)
 		case <-ctx.Done():
 			return
 		}
-		if wait := s.push(ctx, r); wait > 0 {
+		if wait := s.push(ctx, ps); wait > 0 {
 			due.Reset(wait)
 		}
 	}
@@ -176,45 +176,45 @@
 
 // push delivers what the peer has not acknowledged, and returns the time until
 // the next push; 0 when nothing is left.
-func (s *RegistrySync) push(ctx context.Context, r *peerSync) time.Duration {
-	if wait := time.Until(r.notBefore); wait > 0 {
+func (s *RegistrySync) push(ctx context.Context, ps *peerSync) time.Duration {
+	if wait := time.Until(ps.notBefore); wait > 0 {
 		return wait
 	}
-	batch := s.config.Registry.Deltas(r.ackedVersion, batchLimit, s.config.Clock())
+	batch := s.config.Registry.Deltas(ps.ackedVersion, batchLimit, s.config.Clock())
 	if batch.Empty() {
 		return 0
 	}
-	if wait := s.renewalDelay() - time.Since(r.pushedAt); len(batch.Records) == 0 && wait > 0 {
+	if wait := s.renewalDelay() - time.Since(ps.pushedAt); len(batch.Records) == 0 && wait > 0 {
 		return wait
 	}
-	if err := s.deliver(ctx, r, batch); err != nil {
-		r.backoff = min(max(2*r.backoff, deliveryBackoff), maxDeliveryBackoff)
-		r.notBefore = time.Now().Add(r.backoff)
-		return r.backoff
+	if err := s.deliver(ctx, ps, batch); err != nil {
+		ps.backoff = min(max(2*ps.backoff, deliveryBackoff), maxDeliveryBackoff)
+		ps.notBefore = time.Now().Add(ps.backoff)
+		return ps.backoff
 	}
-	r.ackedVersion, r.backoff, r.pushedAt = batch.UpToVersion, 0, time.Now()
+	ps.ackedVersion, ps.backoff, ps.pushedAt = batch.UpToVersion, 0, time.Now()
 	s.pushed.Inc(1)
 	return nextBatchPause
 }
 
 // deliver sends changes to a peer.
-func (s *RegistrySync) deliver(ctx context.Context, r *peerSync, batch registry.Batch) error {
+func (s *RegistrySync) deliver(ctx context.Context, ps *peerSync, batch registry.Batch) error {
 	changes, err := batch.Encode()
 	if err != nil {
 		return err
 	}
-	_, err = s.announce(ctx, r, &nodepb.AnnounceRequest{Node: string(s.config.Self), Changes: changes})
+	_, err = s.announce(ctx, ps, &nodepb.AnnounceRequest{Node: string(s.config.Self), Changes: changes})
 	return err
 }
 
 // announce sends one request to a peer and counts a failure.
-func (s *RegistrySync) announce(ctx context.Context, r *peerSync, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
+func (s *RegistrySync) announce(ctx context.Context, ps *peerSync, request *nodepb.AnnounceRequest) (*nodepb.AnnounceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	reply, err := r.peer.small.node().Announce(ctx, request)
+	reply, err := ps.peer.small.node().Announce(ctx, request)
 	if err != nil {
 		s.failed.Inc(1)
-		r.peer.recordFailure(r.peer.small, err)
+		ps.peer.recordFailure(ps.peer.small, err)
 	}
 	return reply, err
 }
@@ -222,18 +222,18 @@
 // compareDigest triggers a repair when a peer's digest differs from the local
 // one.
 func (s *RegistrySync) compareDigest(name model.NodeID, digest uint64) {
-	if r := s.peers[name]; r != nil && digest != 0 && digest != s.digest() {
-		signal(r.differs)
+	if ps := s.peers[name]; ps != nil && digest != 0 && digest != s.digest() {
+		signal(ps.differs)
 	}
 }
 
 // repair exchanges digests with a peer; each side gets the records that it lacks.
-func (s *RegistrySync) repair(ctx context.Context, r *peerSync) {
+func (s *RegistrySync) repair(ctx context.Context, ps *peerSync) {
 	digest, err := s.config.Registry.Digest().Encode()
 	if err != nil {
 		return
 	}
-	reply, err := s.announce(ctx, r, &nodepb.AnnounceRequest{Node: string(s.config.Self), Digest: digest})
+	reply, err := s.announce(ctx, ps, &nodepb.AnnounceRequest{Node: string(s.config.Self), Digest: digest})
 	if err != nil {
 		return
 	}
@@ -247,7 +247,7 @@
 	}
 	lacking := s.config.Registry.Difference(theirs, repairLimit, s.config.Clock())
 	if !lacking.Empty() {
-		_ = s.deliver(ctx, r, lacking) // counted; the next beat triggers another repair
+		_ = s.deliver(ctx, ps, lacking) // counted; the next beat triggers another repair
 	}
 }
 
--- a/internal/node/standing.go
+++ b/internal/node/standing.go
@@ -9,7 +9,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Status returns whether this process may take requests, and why not.
+// Status returns whether this process may take requests, and why not. It passes
+// the current state of the control log to the membership core first.
 func (h *Heartbeats) Status() membership.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,14 +42,16 @@
 	return h.core.Incarnation()
 }
 
-// Violations describes the violated invariants of the membership.
+// Violations returns the violations of invariants that the membership core
+// recorded or finds now.
 func (h *Heartbeats) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Violations(h.clock())
 }
 
-// Behind returns the processes that are not known to have applied the index.
+// Behind returns the processes that are not known to have applied the index, as
+// membership.Core.Behind does, with the current applied index of this process.
 func (h *Heartbeats) Behind(index uint64) (behind []model.NodeID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/tries.go
+++ b/internal/node/tries.go
@@ -10,38 +10,39 @@
 )
 
 // attempts chooses the process for the next attempt: the last known leader, else
-// the voters in turn.
+// the voters round-robin.
 type attempts struct {
-	log   *Log
-	last  model.NodeID
-	turn  int
-	pause time.Duration
+	log  *Log
+	last model.NodeID
+	// nextVoter counts the attempts at voters other than the known leader.
+	nextVoter int
+	pause     time.Duration
 }
 
 func (l *Log) newAttempts() *attempts { return &attempts{log: l, pause: retryPause} }
 
 // nextTarget returns the process for the next attempt. A leader that was the last
 // target and failed is skipped once, because the hint may be wrong.
-func (t *attempts) nextTarget() model.NodeID {
-	leader, _ := t.log.Leader()
-	if leader != "" && leader != t.last {
-		t.last = leader
+func (a *attempts) nextTarget() model.NodeID {
+	leader, _ := a.log.Leader()
+	if leader != "" && leader != a.last {
+		a.last = leader
 		return leader
 	}
-	voters := t.log.config.Voters
+	voters := a.log.config.Voters
 	if len(voters) == 0 {
 		return ""
 	}
-	t.last = voters[t.turn%len(voters)]
-	t.turn++
-	return t.last
+	a.last = voters[a.nextVoter%len(voters)]
+	a.nextVoter++
+	return a.last
 }
 
 // backOff pauses before the next attempt, longer each time. Two processes that
 // name each other as the leader must not be called in a tight loop.
-func (t *attempts) backOff(ctx context.Context) {
-	t.log.config.Pause(ctx, t.pause)
-	t.pause = min(2*t.pause, maxRetryPause)
+func (a *attempts) backOff(ctx context.Context) {
+	a.log.config.Pause(ctx, a.pause)
+	a.pause = min(2*a.pause, maxRetryPause)
 }
 
 // rejectedUnhandled reports whether the peer replied that it did not handle the
