--- a/internal/membership/check.go
+++ b/internal/membership/check.go
@@ -7,8 +7,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Check returns the violations of invariants, current and past. It is empty
-// unless the program or the settings have a fault.
+// Violations returns the violations of invariants that were recorded so far, and
+// those of the current state at now. It is empty unless the program or the
+// settings have a fault.
 func (c *Core) Violations(now model.Instant) []string {
 	violations := slices.Clone(c.violations)
 	if c.hasConfirmation && c.confirmedAt > now {
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -67,7 +67,9 @@
 	return c.hasConfirmation && now.Sub(c.confirmedAt) <= ConfirmLimit && !c.local.Leaving
 }
 
-// Status returns the status of this process for the balancer and operators.
+// Status returns the status of this process at now. It is based on the state
+// that the last Update passed, so a caller that needs the current one calls
+// Update first.
 func (c *Core) Status(now model.Instant) Status {
 	s := Status{Ready: c.ready(now)}
 	if c.hasConfirmation {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -107,7 +107,7 @@
 	}
 	c.immediateRound = c.immediateRound || l.Leaving != c.local.Leaving
 	c.local = l
-	c.learnLeader(l.Leader, l.Term)
+	c.recordLeader(l.Leader, l.Term)
 	if l.Leads && l.Confirmed {
 		c.recordConfirmation(l.Commit, now)
 	}
@@ -183,7 +183,7 @@
 	}
 	p.view = b.View
 	c.advanceIncarnation(b.KnownIncarnation)
-	c.learnLeader(b.Leader, b.Term)
+	c.recordLeader(b.Leader, b.Term)
 	c.adoptView(b.View)
 	c.recordProbeRequests(now, b)
 	c.applyWitnessReports(now, b)
@@ -224,7 +224,7 @@
 	c.sequence = 0
 }
 
-func (c *Core) learnLeader(leader model.NodeID, term uint64) {
+func (c *Core) recordLeader(leader model.NodeID, term uint64) {
 	if term < c.term || leader == "" {
 		return
 	}
@@ -254,7 +254,9 @@
 }
 
 // Behind returns the processes that are not known to have applied the index,
-// sorted by name. At the leader the result is at most one interval old.
+// sorted by name. It uses the applied index of the last Update for this process
+// and that of the last Beat for each other one; at the leader these are at most
+// one interval old.
 func (c *Core) Behind(index uint64) (behind []model.NodeID) {
 	for _, name := range c.members {
 		applied := c.local.Applied
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// The randomised run must detect the absence of each safety rule: a check that
+// The randomized run must detect the absence of each safety rule: a check that
 // can't fail proves nothing. Each rule is disabled alone and the run is repeated
 // over fixed seeds.
 func TestEveryRuleIsNeeded(t *testing.T) {
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -55,7 +55,7 @@
 }
 
 // Rules disables single safety rules, so that tests can show that the
-// randomised runs detect the absence of each rule.
+// randomized runs detect the absence of each rule.
 type Rules struct {
 	// SkipCatchUp confirms a process that has not applied the committed index.
 	SkipCatchUp bool
--- a/internal/membership/world_test.go
+++ b/internal/membership/world_test.go
@@ -20,7 +20,7 @@
 // of time. It is the seed of all random choices of the event.
 type action uint32
 
-// worldNode is one process of the simulated site.
+// simNode is one process of the simulated site.
 type simNode struct {
 	core   *Core
 	name   model.NodeID
