--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -31,9 +31,9 @@
 
 // add creates the entry of an instance that has none.
 func (r *Registry) add(u model.Upstream, now model.Instant) *entry {
-	n := instanceKey{u.Service, u.Instance}
-	e := &entry{upstream: u, bucket: bucketOf(n)}
-	r.entries[n] = e
+	key := instanceKey{u.Service, u.Instance}
+	e := &entry{upstream: u, bucket: bucketOf(key)}
+	r.entries[key] = e
 	r.replace(e, u, false, now)
 	return e
 }
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -83,7 +83,8 @@
 
 // Stats holds counts of a registry.
 type Stats struct {
-	// Live counts the live records, Tombstones those kept for their order.
+	// Live counts the live records, Tombstones the removed ones that are kept so
+	// that older announcements are recognized.
 	Live       int
 	Tombstones int
 	// Lapsed counts the leases that expired without a renewal since the start.
@@ -98,21 +99,21 @@
 }
 
 // Violations returns the current violations of invariants; empty unless the program
-// has a bug.
+// has a fault.
 func (r *Registry) Violations() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var violations []string
 	var buckets [Buckets]uint64
 	live := 0
-	for n, e := range r.entries {
+	for key, e := range r.entries {
 		if !e.live {
 			continue
 		}
 		live++
 		buckets[e.bucket] ^= hashContent(&e.upstream)
 		if e.withdrawn {
-			violations = append(violations, fmt.Sprintf("withdrawn instance %s/%s is listed", n.service, n.instance))
+			violations = append(violations, fmt.Sprintf("withdrawn instance %s/%s is listed", key.service, key.instance))
 		}
 	}
 	if buckets != r.buckets || live != r.live {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -136,11 +136,11 @@
 }
 
 // bucketOf returns the bucket of the digest to which an instance belongs.
-func bucketOf(n instanceKey) int {
+func bucketOf(key instanceKey) int {
 	var d xxhash.Digest
 	d.Reset()
-	writeString(&d, string(n.service))
-	writeString(&d, string(n.instance))
+	writeString(&d, string(key.service))
+	writeString(&d, string(key.instance))
 	return int(d.Sum64() % Buckets)
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -91,8 +91,8 @@
 	upstream  model.Upstream
 	withdrawn bool
 	live      bool
-	content   uint64
-	bucket    int
+	content   uint64 // hashContent of the live record
+	bucket    int    // of the digest
 	// changeVersion and announceVersion are the versions of the last change of
 	// content and of the last announcement at this VM; 0 if there was none.
 	changeVersion   uint64
