--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -49,8 +49,8 @@
 // the site is founded, while another disk becomes active alone, on a reply from
 // before the loss. It has no quorum, so nothing is committed, but the other disks
 // join it, become active and wait in vain to be added as voters. The site can be
-// founded anew after the data folders of all configured voters were deleted: as
-// long as one disk is active, an empty one joins it.
+// founded anew once the data folders of all of them are deleted: as long as one
+// disk is active, an empty one joins it.
 
 // stepKind is the next action of a disk that enters the site.
 type stepKind uint8
