--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -176,7 +176,7 @@
 		Candidates: m.directory.Cores, StateMachine: m.machine, Transport: m.nodes, Bootstrapper: m.nodes,
 		TickInterval: tick, ReviewTicks: reviewTicks, Log: m.Logger, Metrics: m.Metrics,
 		// Only the leader replies to requests and acts on the state.
-		CommitsWithNext: true,
+		PiggybackCommit: true,
 	}
 }
 
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -99,9 +99,9 @@
 	Log     log.Interface
 	Metrics metrics.Registry
 
-	// CommitsWithNext makes a leader send a new commit index only with the next
+	// PiggybackCommit makes a leader send a new commit index only with the next
 	// entry or heartbeat; see quorum.Config.PiggybackCommit.
-	CommitsWithNext bool
+	PiggybackCommit bool
 
 	// dynamicVoters is set when voters are discovered at run time (Candidates).
 	dynamicVoters bool
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -97,7 +97,7 @@
 		Random:         r.config.Random,
 		KeepEntries:    r.config.KeepEntries,
 
-		PiggybackCommit: r.config.CommitsWithNext,
+		PiggybackCommit: r.config.PiggybackCommit,
 	}
 }
 
