--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -71,15 +71,16 @@
 	if q.idempotent && q.body.fullyBuffered() && t.attempts < s.limits.Attempts {
 		half := q.deadline.Sub(s.Now()) / 2
 		out.AbortAfter = half
-		out.AbortReusedAfter = l.abandonTime(half)
-		out.MayAbort = func() bool { return s.abandonUnresponsive(q) }
+		out.AbortReusedAfter = l.abortTime(half)
+		out.MayAbort = func() bool { return s.mayAbortUnresponsive(q) }
 	}
 	return out
 }
 
-// abandonUnresponsive ends an unresponsive attempt only if the budget pays for
-// a retry and the response is not yet being streamed to the caller.
-func (s *Server) abandonUnresponsive(q *request) bool {
+// mayAbortUnresponsive reports whether an unresponsive attempt is to be aborted:
+// only if the response is not yet being streamed to the caller and the budget
+// allows a retry. It charges that retry.
+func (s *Server) mayAbortUnresponsive(q *request) bool {
 	if q.streaming.Load() || !s.chargeRetry(q) {
 		return false
 	}
@@ -138,7 +139,7 @@
 		f.status = http.StatusGatewayTimeout
 		f.message = "no answer came in time"
 	case errors.Is(err, context.Canceled):
-		f.callerGone = true
+		f.callerDisconnected = true
 	}
 	return f
 }
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -102,7 +102,7 @@
 		return refuse(http.StatusRequestTimeout, "the body did not arrive in time")
 	default:
 		f := refuse(http.StatusBadRequest, "the body ended early")
-		f.callerGone = true
+		f.callerDisconnected = true
 		return f
 	}
 }
--- a/internal/caller/check.go
+++ b/internal/caller/check.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// checkVerdict compares the failure with the attempts: finalResult must have
-// widened a not-run verdict if an earlier attempt may have run.
+// checkVerdict is called before finalResult widens the verdict of the last
+// failure to that of all attempts. A not-run failure after an attempt that may
+// have run means that a non-idempotent request was retried against the rules.
 func (s *Server) checkVerdict(q *request, t *attemptHistory, f *failure) {
 	if f.verdict == model.NotRun && t.verdict != model.NotRun && !q.idempotent {
 		s.reportViolation(InvariantVerdict, q)
--- a/internal/caller/crash_test.go
+++ b/internal/caller/crash_test.go
@@ -23,7 +23,7 @@
 // when its response has arrived.
 type crashingSender struct {
 	Sender
-	onAccepted, onAnswered func()
+	onAccepted, onResponse func()
 	upstream               func() *standin.Upstream
 }
 
@@ -36,8 +36,8 @@
 		sender.onAccepted()
 	}
 	resp, sent, err := sender.Sender.Send(ctx, u, r)
-	if sender.onAnswered != nil {
-		sender.onAnswered()
+	if sender.onResponse != nil {
+		sender.onResponse()
 	}
 	return resp, sent, err
 }
@@ -64,7 +64,7 @@
 			sender.onAccepted = func() { _ = crash() }
 		}},
 		{"after the response", "may-have-run", 1, func(_ *cluster, crash func() error, sender *crashingSender) {
-			sender.onAnswered = func() { _ = crash() }
+			sender.onResponse = func() { _ = crash() }
 		}},
 		{"before the outcome is recorded", "may-have-run", 1, func(cl *cluster, crash func() error, _ *crashingSender) {
 			cl.log.onCommand(&cl.log.before, isSettle, crash)
@@ -107,10 +107,9 @@
 	}
 }
 
-// The same for a request without a key: the entry VM is lost after the upstream
-// accepted the request, and the caller can't know and resends. Without a key
-// nothing links the second request to the first, so it runs twice. Claims
-// prevent this; callers without keys must expect it.
+// As in TestCrashAtEachStep, the entry VM is lost after the upstream accepted
+// the request, but the request has no key. Nothing links the resend to the
+// first request, so it runs twice. Callers without keys must expect this.
 func TestCrashWithoutKeyRunsTwice(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, 1, 0, Limits{})
--- a/internal/caller/failure.go
+++ b/internal/caller/failure.go
@@ -25,8 +25,8 @@
 	allowed []string
 	// retryAfter is when the caller should retry; 0 sets no header.
 	retryAfter time.Duration
-	// callerGone reports that the caller disconnected and reads no response.
-	callerGone bool
+	// callerDisconnected reports that the caller disconnected and reads no response.
+	callerDisconnected bool
 	// final reports that a retry would not help.
 	final bool
 	// byManifest reports that a job with an ID was refused because the
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -49,11 +49,11 @@
 		s.writeFailure(w, id, f)
 		return
 	}
-	keep := s.limits.BufferedBodyBytes
+	bufferLimit := s.limits.BufferedBodyBytes
 	if q.needsClaim() {
-		keep = s.limits.KeyedBodyBytes
+		bufferLimit = s.limits.KeyedBodyBytes
 	}
-	body, release, f := s.readBody(w, r, keep, q.deadline)
+	body, release, f := s.readBody(w, r, bufferLimit, q.deadline)
 	defer release()
 	if f != nil {
 		w.Header().Set("Connection", "close")
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -21,8 +21,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream/standin"
 )
 
-// sharedLog is a control log without a network: all entry VMs of a test apply to
-// one machine. Its hooks can lose proposals and results.
+// sharedLog is a control log without a network: all entry VMs of a test share
+// one state machine. Its hooks can lose proposals and results.
 type sharedLog struct {
 	mu      sync.Mutex
 	machine *state.Machine
@@ -83,13 +83,13 @@
 	held int
 }
 
-func (b *listBroker) Acquire(ctx context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
+func (b *listBroker) Acquire(ctx context.Context, request slots.SlotRequest) (*slots.Grant, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.list {
 		u := b.list[b.next%len(b.list)]
 		b.next++
-		if u.Service == ask.Service && u.Instance != ask.Avoid {
+		if u.Service == request.Service && u.Instance != request.Avoid {
 			b.held++
 			return slots.NewGrant(u, b.release), nil
 		}
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -9,6 +9,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/upstream"
 )
 
+// Names of headers. headerKept marks a response that was stored under a key and
+// is not the direct response of an upstream.
 const (
 	headerPrefix      = "Comfreyloom-"
 	headerKey         = "Idempotency-Key"
--- a/internal/caller/latency.go
+++ b/internal/caller/latency.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// minUnresponsiveTime is the shortest silence on a connection that lets it be
-	// suspected or abandoned.
+	// minUnresponsiveTime is the shortest inactivity after which a connection is
+	// suspected or an attempt on it is aborted.
 	minUnresponsiveTime = 250 * time.Millisecond
 	// suspectQuantile and suspectFactor derive the threshold for suspecting a
 	// connection from recent response times.
 	suspectQuantile = 0.99
 	suspectFactor   = 4
-	// abandonFactor times the slowest recent response is how long a used
+	// abortFactor times the slowest recent response is how long a used
 	// connection may be unresponsive before it is considered dead. A multiple of
 	// the quantile is not enough: rare slow but healthy requests would each run
 	// twice.
-	abandonFactor = 2
+	abortFactor = 2
 	// sampleSize and sampleDecay configure the sample of response times.
 	sampleSize  = 256
 	sampleDecay = 0.015
@@ -36,9 +36,9 @@
 type latencyEstimator struct {
 	responses atomic.Int64
 	slowest   atomic.Int64
-	// suspectAfter and abandonAfter are computed from the sample, in ns.
+	// suspectAfter and abortAfter are computed from the sample, in ns.
 	suspectAfter atomic.Int64
-	abandonAfter atomic.Int64
+	abortAfter   atomic.Int64
 
 	mu     sync.Mutex
 	sample metrics.Sample
@@ -73,7 +73,7 @@
 	suspect := suspectFactor * int64(l.sample.Percentile(suspectQuantile))
 	l.suspectAfter.Store(max(int64(minUnresponsiveTime), suspect))
 	if l.added >= samplesPerUpdate {
-		l.abandonAfter.Store(max(int64(minUnresponsiveTime), abandonFactor*slowest))
+		l.abortAfter.Store(max(int64(minUnresponsiveTime), abortFactor*slowest))
 	}
 }
 
@@ -81,10 +81,10 @@
 // connections to its address are no longer trusted.
 func (l *latencyEstimator) suspectTime() time.Duration { return time.Duration(l.suspectAfter.Load()) }
 
-// abandonTime is how long a used connection may be unresponsive before it
+// abortTime is how long a used connection may be unresponsive before it
 // is considered dead: at most limit, and limit while there are too few samples.
-func (l *latencyEstimator) abandonTime(limit time.Duration) time.Duration {
-	known := time.Duration(l.abandonAfter.Load())
+func (l *latencyEstimator) abortTime(limit time.Duration) time.Duration {
+	known := time.Duration(l.abortAfter.Load())
 	if known == 0 {
 		return limit
 	}
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// onConnState clears the mark between two requests.
+// onConnState clears the mark of markHandlerStarted between two requests.
 func onConnState(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
 		cc.handlerStarted.Store(false)
--- a/internal/caller/path_test.go
+++ b/internal/caller/path_test.go
@@ -158,8 +158,8 @@
 // recordingBroker records the deadline of the last request for a slot.
 type recordingBroker struct{ deadline model.Instant }
 
-func (b *recordingBroker) Acquire(_ context.Context, ask slots.SlotRequest) (*slots.Grant, error) {
-	b.deadline = ask.Deadline
+func (b *recordingBroker) Acquire(_ context.Context, request slots.SlotRequest) (*slots.Grant, error) {
+	b.deadline = request.Deadline
 	return nil, &slots.Rejection{Reason: "none", RetryAfter: 7 * time.Second}
 }
 
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots"
 )
 
-// attemptHistory is the result of a request's attempts so far.
+// attemptHistory records the attempts of a request so far.
 type attemptHistory struct {
 	attempts int
 	// lastInstance is the instance of the last attempt; empty before the first.
@@ -112,7 +112,7 @@
 		return overloaded(rejection.Reason, rejection.RetryAfter)
 	case errors.Is(err, context.Canceled):
 		f := overloaded("the caller went away", 0)
-		f.callerGone = true
+		f.callerDisconnected = true
 		return f
 	default:
 		return overloaded("no slot became free in time", time.Second)
@@ -124,7 +124,7 @@
 // waits. It charges the retry to the budget.
 func (s *Server) shouldRetryFailure(ctx context.Context, q *request, f *failure, t *attemptHistory) bool {
 	harmless := q.idempotent || t.verdict == model.NotRun
-	if f.final || f.callerGone || !harmless || !q.body.resendable() {
+	if f.final || f.callerDisconnected || !harmless || !q.body.resendable() {
 		return false
 	}
 	return s.reserveRetry(ctx, q, t)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -41,8 +41,8 @@
 	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
 	// BrokerNow is the clock on which Broker reads deadlines; nil means
-	// slots.Clock. It is not the wall clock: if that one were set back or
-	// forward, all deadlines would look expired, or none.
+	// slots.Clock. With the wall clock every deadline would look expired after
+	// the clock was set back, and none after it was set forward.
 	BrokerNow func() model.Instant
 	// Metrics registers the counters; nil means the default registry.
 	Metrics metrics.Registry
--- a/internal/caller/settle.go
+++ b/internal/caller/settle.go
@@ -48,7 +48,8 @@
 	claim   *state.Command
 	state   model.ClaimState
 	verdict model.Verdict
-	stored  *model.KeptAnswer
+	// stored is the response to store under the key; nil if there is none.
+	stored *model.KeptAnswer
 }
 
 // outcome returns the outcome of a claimed request.
