--- a/internal/slots/allocate.go
+++ b/internal/slots/allocate.go
@@ -93,18 +93,18 @@
 	if d.Class != classOf(model.Urgent) && k.set.TotalFreeSlots(now) <= k.reservedSlots() {
 		return false
 	}
-	best, most := model.InstanceID(""), 0
+	best, mostFree := model.InstanceID(""), 0
 	for _, i := range k.set.Listed() {
 		id := i.Upstream.Instance
 		free := k.set.FreeSlots(i, now)
 		if k.config.lending.Rules.LendSlotsInUse {
 			free = max(free, 1)
 		}
-		if free > most && k.ownSlots(id) > 0 && !k.lender.AvoidsInstance(d.Node, id) {
-			best, most = id, free
+		if free > mostFree && k.ownSlots(id) > 0 && !k.lender.AvoidsInstance(d.Node, id) {
+			best, mostFree = id, free
 		}
 	}
-	if most == 0 {
+	if mostFree == 0 {
 		return false
 	}
 	k.lender.Lend(d, best)
--- a/internal/slots/borrow.go
+++ b/internal/slots/borrow.go
@@ -91,8 +91,8 @@
 }
 
 // avoidedInstances returns the instances of which no slot is wanted: ejected or
-// busy ones, and those where the own and borrowed slots already take all
-// connections that this entry VM may open.
+// busy ones, and those where this entry VM's own and borrowed slots already take
+// all connections that it may open.
 func (k *core) avoidedInstances(now model.Instant) []model.InstanceID {
 	var out []model.InstanceID
 	for _, i := range k.set.Listed() {
@@ -104,8 +104,8 @@
 	return out
 }
 
-// demand computes what is needed from other entry VMs. A short wait for an own
-// slot isn't worth a message.
+// demand computes what is needed from other entry VMs. A short wait for one of
+// this entry VM's own slots isn't worth a message.
 func (k *core) demand(now model.Instant) demand {
 	var n demand
 	if k.queue.Len() == 0 {
--- a/internal/slots/chaos_test.go
+++ b/internal/slots/chaos_test.go
@@ -22,7 +22,9 @@
 	faultRunLength = 4500 * time.Millisecond
 )
 
-// fault is one injected fault.
+// fault is one injected fault. Kind "isolate" loses the messages from and to the
+// entry VM, "deaf" only those to it; "leave" removes an instance from the
+// announced ones.
 type fault struct {
 	at, length time.Duration
 	kind       string
@@ -124,12 +126,12 @@
 	}
 }
 
-// finish checks that each accepted request got exactly one answer.
+// finish checks that each accepted request got exactly one result.
 func (c *faultRun) finish() {
 	c.check()
 	for _, r := range c.all {
-		if r.answers > 1 || (r.answers == 0 && !r.cutOff) {
-			c.recordViolation("a request got %d answers", r.answers)
+		if r.results > 1 || (r.results == 0 && !r.cutOff) {
+			c.recordViolation("a request got %d results", r.results)
 		}
 	}
 }
@@ -218,7 +220,7 @@
 }
 
 // faultKinds lists the kinds of faults; the last two are only injected where no
-// share is reclaimed.
+// share of a lost entry VM is taken over.
 var faultKinds = []string{"crash", "stop", "leave", "isolate", "deaf"}
 
 func faultKindsFor(reclaim bool) []string {
@@ -248,7 +250,7 @@
 
 // TestLendingUnderFaults guards against a loan that both sides consider theirs:
 // an instance would get more requests than it has slots. It also checks that
-// each request gets exactly one answer. Entry VMs crash, restart and are cut off
+// each request gets exactly one result. Entry VMs crash, restart and are cut off
 // in one or both directions, and messages are lost, duplicated and delayed while
 // slots are lent.
 func TestLendingUnderFaults(t *testing.T) {
--- a/internal/slots/check.go
+++ b/internal/slots/check.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// checkInvariants returns the broken invariants, or none.
+// checkInvariants returns the broken invariants, or none. Overruns are reported
+// only when there are more of them than at the last check.
 func (k *core) checkInvariants() []string {
 	broken := append(k.set.Check(), k.queue.Check()...)
 	overruns := 0
--- a/internal/slots/clock_test.go
+++ b/internal/slots/clock_test.go
@@ -10,11 +10,11 @@
 	"github.com/comfreyloom/comfreyloom/internal/registry"
 )
 
-// TestClockIsReadUnderTheLock guards against a hang of all requests of a service
-// under load, where the stop of the entry VM did not end either. A request read
-// the clock before it took the lock. Another one read a later time, took the
-// lock first and queued. The first one then computed a negative age of the
-// waiting request, a shift by it panicked, and the lock was never released.
+// TestClockIsReadUnderTheLock guards against a deadlock of all requests of a
+// service, which also kept the entry VM from stopping. A request read the clock
+// before it took the lock. Another one read a later time, took the lock first
+// and queued. The first one then computed a negative age of the waiting request,
+// a shift by it panicked, and the lock was never released.
 func TestClockIsReadUnderTheLock(t *testing.T) {
 	is := is.New(t)
 	var k *serviceState
@@ -36,8 +36,8 @@
 	is.Equal(outside, 0)
 }
 
-// TestPanicReleasesTheLock guards against the second part of that failure: the
-// lock was held forever after the panic.
+// TestPanicReleasesTheLock guards against a lock that is held forever after a
+// panic, as in the failure of TestClockIsReadUnderTheLock.
 func TestPanicReleasesTheLock(t *testing.T) {
 	is := is.New(t)
 	d, _, _ := newSingleDispatcher(t, 8, 10)
--- a/internal/slots/config.go
+++ b/internal/slots/config.go
@@ -28,7 +28,7 @@
 	// Nodes lists all entry VMs of the settings, live or not. Static shares are
 	// computed over this list, so every entry VM computes the same shares.
 	Nodes []model.NodeID
-	// Members returns the entry VMs that are live as far as this one can tell.
+	// Members returns the entry VMs that this one considers live.
 	Members func() []model.NodeID
 	// Confirmed reports whether a quorum recently confirmed this entry VM's view
 	// of the members. A partitioned entry VM keeps an outdated list of members;
@@ -42,8 +42,8 @@
 	Peer Peer
 	// Incarnation grows with each process of this entry VM; 0 takes the clock.
 	Incarnation uint64
-	// ReclaimAfter is how long an entry VM must be lost before others use its
-	// share; 0 takes DefaultReclaimAfter, a negative value means never.
+	// ReclaimAfter is how long an entry VM must be lost before others take over
+	// its share; 0 takes DefaultReclaimAfter, a negative value means never.
 	ReclaimAfter time.Duration
 	Lending      lending.Options
 	// Now is a clock that never steps; nil takes a monotonic one that starts
--- a/internal/slots/core.go
+++ b/internal/slots/core.go
@@ -44,7 +44,8 @@
 	lastRecoveryRequest model.Instant
 	// recentTimeouts holds how long recent requests had until their deadlines.
 	recentTimeouts recentMax
-	// rotation is the index in the configured nodes at which lenders starts.
+	// rotation is the index in the configured nodes of the first node that the
+	// method lenders considers.
 	rotation   int
 	lastDemand demand
 	idleLoans  idleWindow
@@ -52,8 +53,8 @@
 	needsTick      bool
 	pendingEffects effects
 	// overruns is the number of instances at which the last check found more
-	// slots in use than allowed; handedOver is true once the own share was handed
-	// over to others.
+	// slots in use than allowed; handedOver is true once this entry VM's share was
+	// handed over to others.
 	overruns   int
 	handedOver bool
 }
@@ -131,7 +132,8 @@
 	return max(0, k.shares[i]-k.lender.Lent(i))
 }
 
-// excess returns how many slots of an instance are in use beyond the own ones.
+// excess returns how many slots of an instance are in use beyond this entry VM's
+// own.
 func (k *core) excess(i model.InstanceID) int {
 	instance := k.set.Get(i)
 	if instance == nil {
--- a/internal/slots/dispatcher.go
+++ b/internal/slots/dispatcher.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// stop returns the borrowed slots, hands the own share over to the others, waits
-// up to stopGrace for these calls and ends all calls.
+// stop returns the borrowed slots, hands this entry VM's share over to the
+// others, waits up to stopGrace for these calls and ends all calls.
 func (d *Dispatcher) stop() {
 	d.mu.RLock()
 	for _, k := range d.states {
--- a/internal/slots/lend_test.go
+++ b/internal/slots/lend_test.go
@@ -45,7 +45,7 @@
 	}
 	var all []*Dispatcher
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
+	var running sync.WaitGroup
 	for _, name := range names {
 		r := registry.New(registry.Options{})
 		for i := range 2 {
@@ -62,11 +62,11 @@
 		l.all[name] = d
 		l.mu.Unlock()
 		all = append(all, d)
-		duties.Go(func() { _ = d.Run(ctx) })
+		running.Go(func() { _ = d.Run(ctx) })
 	}
 	tb.Cleanup(func() {
 		cancel()
-		duties.Wait()
+		running.Wait()
 	})
 	return all, l
 }
--- a/internal/slots/lending/book.go
+++ b/internal/slots/lending/book.go
@@ -71,13 +71,13 @@
 // PromisedRun returns the shortest run time that was promised to the lenders of
 // usable loans. A request that may run longer must not start on a loan.
 func (b *Borrower) PromisedRun() time.Duration {
-	least := maxDuration
+	shortest := maxDuration
 	for _, rec := range b.sorted {
 		if len(rec.usable) > 0 {
-			least = min(least, rec.promisedRun)
+			shortest = min(shortest, rec.promisedRun)
 		}
 	}
-	return least
+	return shortest
 }
 
 // LenderRestarted returns what is held of a lender whose process restarted.
--- a/internal/slots/lending/ledger.go
+++ b/internal/slots/lending/ledger.go
@@ -194,7 +194,7 @@
 	Reply       Reply
 }
 
-// DueReplies returns the replies that are due: those with news for the borrower
+// DueReplies returns the replies that are due: those that grant or recall slots
 // and those that must not be held any longer.
 func (l *Lender) DueReplies(now model.Instant) []DueReply {
 	var due []DueReply
--- a/internal/slots/service.go
+++ b/internal/slots/service.go
@@ -151,7 +151,7 @@
 	return k.core.tryGrant(request, config.Now())
 }
 
-// abandon removes a request whose caller went away from the queue. A slot that
+// abandon removes a request whose context has ended from the queue. A slot that
 // was granted at the same moment is released.
 func (k *serviceState) abandon(t *ticket, results <-chan acquireResult, cause error) error {
 	k.dispatcher.counters.abandoned.Inc(1)
--- a/internal/slots/sharing_test.go
+++ b/internal/slots/sharing_test.go
@@ -96,16 +96,16 @@
 
 func (s *sim) newRequest() *simRequest {
 	r := &simRequest{priority: model.Normal, work: scaled(time.Duration(s.random.ExpFloat64() * float64(benchWork)))}
-	patience := 2 * time.Second
+	timeout := 2 * time.Second
 	switch n := s.random.IntN(10); {
 	case n == 0:
 		r.priority = model.Urgent
 	case n < 4:
 		r.priority = model.Batch
-		patience = 8 * time.Second
+		timeout = 8 * time.Second
 	}
 	r.arrived = s.now
-	r.deadline = s.now.Add(scaled(patience))
+	r.deadline = s.now.Add(scaled(timeout))
 	return r
 }
 
@@ -196,7 +196,9 @@
 const loanEndDelay = lending.DefaultLease + 8*time.Second
 
 // BenchmarkSlotSharing compares methods of sharing the slots of instances
-// between entry VMs, all with the same traffic.
+// between entry VMs, all with the same traffic: static shares, each entry VM
+// using all slots without regard to the others (blind), one owner of all slots,
+// the same with the owner lost, and static shares that are lent.
 func BenchmarkSlotSharing(b *testing.B) {
 	everyone := func(s *sim, _ int) []model.NodeID { return s.nodes }
 	alone := func(s *sim, n int) []model.NodeID { return s.nodes[n : n+1] }
--- a/internal/slots/sim_requests_test.go
+++ b/internal/slots/sim_requests_test.go
@@ -14,24 +14,24 @@
 	w := &waiter{request: SlotRequest{Service: "drafts", Priority: r.priority, Deadline: r.deadline}}
 	w.respond = func(u balance.Use, refusal *admission.Refusal) {
 		delete(vm.queued, r)
-		s.answer(vm, r, u, refusal)
+		s.respond(vm, r, u, refusal)
 	}
 	s.step(vm, func() {
 		use, t, refusal := vm.core.acquire(w, s.now)
 		if t == nil {
-			s.answer(vm, r, use, refusal)
+			s.respond(vm, r, use, refusal)
 			return
 		}
-		if r.answers == 0 {
+		if r.results == 0 {
 			vm.queued[r] = t
 		}
 	})
 }
 
-// answer gives a request its only final answer: a slot or a refusal.
-func (s *sim) answer(vm *simVM, r *simRequest, u balance.Use, refusal *admission.Refusal) {
-	r.answers++
-	s.answered++
+// respond gives a request its only result: a slot or a refusal.
+func (s *sim) respond(vm *simVM, r *simRequest, u balance.Use, refusal *admission.Refusal) {
+	r.results++
+	s.results++
 	if refusal != nil {
 		return
 	}
--- a/internal/slots/sim_test.go
+++ b/internal/slots/sim_test.go
@@ -44,7 +44,7 @@
 	bytes       int
 	countBytes  bool
 	overruns    int
-	answered    int
+	results     int
 	arrivals    int
 	onStart     func(r *simRequest)
 	// alive marks the entry VMs that accept requests; coreDelay returns how long a
@@ -85,12 +85,12 @@
 	deadline model.Instant
 	work     time.Duration
 	use      balance.Use
-	answers  int
+	results  int
 	started  bool
 	// resume starts a request that an instance has queued.
 	resume func()
 	// abort ends a request whose connection was closed; cutOff is true if its
-	// entry VM was lost before it could answer.
+	// entry VM was lost before it could grant or refuse a slot.
 	abort  func()
 	cutOff bool
 }
--- a/internal/slots/takeover.go
+++ b/internal/slots/takeover.go
@@ -123,8 +123,8 @@
 	return out
 }
 
-// handOverShare hands the own share over to other entry VMs when this one stops,
-// without the slots that are lent or in use.
+// handOverShare hands this entry VM's share over to others when it stops, except
+// for the slots that are lent or in use.
 func (k *core) handOverShare() {
 	var successors []model.NodeID
 	for _, n := range k.config.nodes {
--- a/internal/slots/types.go
+++ b/internal/slots/types.go
@@ -64,8 +64,8 @@
 
 // Broker grants slots. Acquire returns a slot or a rejection at once if it can;
 // otherwise it waits in the service's queue. A request whose deadline can't be
-// met is rejected at once. The error is a *Rejection, or ctx's error when the
-// caller has gone away.
+// met is rejected at once. The error is a *Rejection, or ctx's error when ctx
+// ends first.
 type Broker interface {
 	Acquire(ctx context.Context, request SlotRequest) (*Grant, error)
 }
