--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -12,8 +12,8 @@
 type Options struct {
 	// AgeingAfter is how long a batch request must wait to count as aged.
 	AgeingAfter time.Duration
-	// AgeingEvery is the number of requests that are not urgent of which one is
-	// batch while an aged batch request waits.
+	// AgeingEvery is the length of a series of non-urgent requests taken of which
+	// one is a batch request, while an aged batch request waits.
 	AgeingEvery int
 	// Rules disables rules; for tests only.
 	Rules Rules
@@ -45,9 +45,9 @@
 	MaxRetryAfter = time.Minute
 )
 
-// estimateTolerance is how many times the time left before its deadline the
-// expected wait of a queued request must exceed before the request is dropped.
-// The tolerance is needed because the estimate is a mean.
+// estimateTolerance bounds the expected wait of a queued request, as a multiple
+// of the time left before its deadline; beyond that the request is dropped. It
+// exceeds 1 because the estimate is a mean.
 const estimateTolerance = 1.5
 
 // Ticket is one request in the queue.
@@ -118,8 +118,8 @@
 
 // Offer adds a request to the queue. Slots is how many requests run at once;
 // capacity bounds the queue. It returns a refusal if the request was not added,
-// and the ticket that was shed for it, if any, which must get its final answer
-// at once.
+// and the ticket that was shed for it, if any, whose request must be refused at
+// once.
 func (q *Queue[T]) Offer(t *Ticket[T], slots, capacity int, now model.Instant) (*Refusal, *Dropped[T]) {
 	t.Entered = now
 	if now >= t.Deadline {
@@ -259,7 +259,7 @@
 }
 
 // Sweep drops the requests whose deadline has passed and those that are no
-// longer expected to start before it. Each must get its final answer at once.
+// longer expected to start before it. Each of them must be refused at once.
 func (q *Queue[T]) Sweep(slots int, now model.Instant) []Dropped[T] {
 	var dropped []Dropped[T]
 	position := 0
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestRandomQueue checks for random sequences that each request gets exactly one
-// answer, that the order is by priority, that expired requests are never taken,
+// result, that the order is by priority, that expired requests are never taken,
 // and that a full queue sheds the newest request of the lowest priority.
 func TestRandomQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -61,7 +61,7 @@
 	q := NewQueue[*int](o)
 	now := model.Instant(0)
 	var waiting []*Ticket[*int]
-	answer := func(d *Dropped[*int]) {
+	countRefusal := func(d *Dropped[*int]) {
 		*d.Ticket.Value++
 		if d.Refusal.RetryAfter < MinRetryAfter {
 			broken = "the refusal has no retry delay"
@@ -80,10 +80,10 @@
 	for range rapid.IntRange(20, 100).Draw(t, "steps") {
 		switch rapid.SampledFrom([]int{0, 0, 0, 2, 3, 4}).Draw(t, "step") {
 		case 0:
-			answers := 0
-			all = append(all, &answers)
+			results := 0
+			all = append(all, &results)
 			ticket := &Ticket[*int]{
-				Value:    &answers,
+				Value:    &results,
 				Priority: model.Priority(rapid.IntRange(-1, 1).Draw(t, "priority")),
 				Deadline: now.Add(time.Duration(rapid.SampledFrom([]int{0, 200, 1000, 60000}).Draw(t, "patience")) * time.Millisecond),
 			}
@@ -93,13 +93,13 @@
 			}
 			refusal, shed := q.Offer(ticket, 2, 5, now)
 			if refusal != nil {
-				answers++
+				results++
 				if q.Len() >= 5 && lower > 0 && ticket.Deadline > now && q.Rate().ExpectedWait(q.ahead(ticket.Priority), 2) <= ticket.Deadline.Sub(now) {
 					broken = "a request was refused while requests of lower priority waited"
 				}
 			}
 			if shed != nil {
-				answer(shed)
+				countRefusal(shed)
 				if shed.Ticket.Priority >= ticket.Priority {
 					broken = "a request was shed for one that has no higher priority"
 				}
@@ -125,7 +125,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 		case 4:
 			for _, dropped := range q.Sweep(2, now) {
-				answer(&dropped)
+				countRefusal(&dropped)
 			}
 			for _, ticket := range waiting {
 				if *ticket.Value == 0 && now >= ticket.Deadline && ticket.element != nil {
@@ -138,11 +138,11 @@
 		}
 	}
 	for _, dropped := range q.Sweep(2, now+1_000_000) {
-		answer(&dropped)
+		countRefusal(&dropped)
 	}
-	for _, answers := range all {
-		if *answers != 1 {
-			return "a request did not get exactly one answer"
+	for _, results := range all {
+		if *results != 1 {
+			return "a request did not get exactly one result"
 		}
 	}
 	return broken
