--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// conn is a connection to an upstream. It writes only what its exchange allows
-// and passes on bytes only while a response is expected.
+// conn is a connection to an upstream. It writes only bytes of an exchange that
+// it has claimed, and refuses bytes that arrive before the exchange was written.
 type conn struct {
 	net.Conn
 	pool *pool
@@ -29,14 +29,14 @@
 }
 
 func newConn(c net.Conn, p *pool) *conn {
-	g := &conn{Conn: c, pool: p, lastActiveAt: p.now()}
-	g.readerReady.L = &g.mu
-	p.recordActivity(g.lastActiveAt)
-	return g
+	opened := &conn{Conn: c, pool: p, lastActiveAt: p.now()}
+	opened.readerReady.L = &opened.mu
+	p.recordActivity(opened.lastActiveAt)
+	return opened
 }
 
 // bind assigns the connection to an exchange. It marks the exchange as stale
-// when the connection is reused and may be dead.
+// when the connection is reused but must not be, since it may be dead.
 func (c *conn) bind(x *exchange, reused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,8 @@
 	x.release(c)
 }
 
-// Read returns bytes only while a response is expected.
+// Read refuses bytes that arrive before a byte of the current exchange was
+// written: they belong to no response to it.
 func (c *conn) Read(p []byte) (int, error) {
 	c.enterRead()
 	n, err := c.Conn.Read(p)
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -25,9 +25,10 @@
 	return &exchange{cancel: cancel}
 }
 
-// A caller was told not-run, but its request ran: the request had ended before
-// its first byte, and its writer woke up later, on the same connection or on
-// another one. Only the connection itself can ensure that no byte follows.
+// Guards against a request that is reported as not sent and runs nevertheless: it
+// ends before its first byte is written, and its writer wakes up later, on the
+// same connection or on another one. Only the connection itself can ensure that
+// no byte follows.
 func TestEndedExchangeIsNeverWritten(t *testing.T) {
 	is := is.New(t)
 	c, _ := newPipe(t)
@@ -46,9 +47,9 @@
 	is.True(errors.Is(sent.claim(other), errSecondSend)) // one connection only
 }
 
-// A request got bytes of an earlier response, which arrived after the
-// connection was selected and before the request was written. On a connection,
-// only the order relates a response to its request.
+// Guards against a request that gets bytes of an earlier response, which arrive
+// after the connection was selected and before the request is written. On a
+// connection, only the order relates a response to its request.
 func TestBytesBeforeTheRequestAreRefused(t *testing.T) {
 	is := is.New(t)
 	c, far := newPipe(t)
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -86,13 +86,13 @@
 func (t *Transport) try(ctx context.Context, p *pool, u model.Upstream, r *Request) (*http.Response, SentState, error) {
 	x := &exchange{}
 	ctx, x.cancel = context.WithCancelCause(ctx)
-	w := startStallDetector(p, x, r)
+	detector := startStallDetector(p, x, r)
 	resp, err := p.http.RoundTrip(r.build(withTrace(ctx, x), u.Address))
 	if err == nil {
 		err = checkResponse(x, r, resp)
 	}
 	if err != nil {
-		w.stop()
+		detector.stop()
 		sent := x.end()
 		err = t.classifyError(ctx, p, x, sent, err)
 		x.cancel(err)
@@ -101,7 +101,7 @@
 		}
 		return nil, sent, err
 	}
-	resp.Body = &responseBody{ReadCloser: resp.Body, pool: p, exchange: x, detector: w, ctx: ctx}
+	resp.Body = &responseBody{ReadCloser: resp.Body, pool: p, exchange: x, detector: detector, ctx: ctx}
 	return resp, MaybeSent, nil
 }
 
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -67,10 +67,10 @@
 	return string(text), sent, err
 }
 
-// One request of a planner drafted a stowage plan twice. The request was sent on
-// a reused connection; the upstream ran it and ended the connection without a
-// response. net/http considers a request with an Idempotency-Key safe to repeat
-// and resent it by itself. The first half of the test shows that it does.
+// Guards against a request that runs twice. It is sent on a reused connection;
+// the upstream runs it and ends the connection without a response. net/http
+// considers a request with an Idempotency-Key safe to repeat and resends it by
+// itself, which the first half of the test shows.
 func TestResendByNetHTTPIsRefused(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{})
@@ -105,10 +105,10 @@
 	is.Equal(after-before, 1)
 }
 
-// A caller was told not-run, but the plan was drafted. The caller had gone away
-// while its request had a connection and no byte was written yet; the transport
-// returned an error, and its writer woke up afterwards. The error of net/http
-// doesn't mean that the writer has stopped.
+// Guards against a request that is reported as not sent and runs nevertheless.
+// It is cancelled when it has a connection and no byte was written yet; the
+// transport returns an error, and its writer wakes up afterwards. The error of
+// net/http doesn't mean that the writer has stopped.
 func TestCancelledRequestIsNeverWritten(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{Slots: 1000})
@@ -136,10 +136,10 @@
 	t.Logf("%d of 1000 requests were cancelled before they were sent", len(unsent))
 }
 
-// A household got another household's visit slots. An upstream had written one
-// response twice; the connection was reused at once, and the second copy was
-// read as the response to the next request. On a connection, only the order
-// relates a response to its request.
+// Guards against a response that reaches the wrong caller. An upstream writes one
+// response twice, the connection is reused at once, and the second copy is read
+// as the response to the next request. On a connection, only the order relates
+// a response to its request.
 func TestDuplicateResponseIsNotReadForTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	address := serveRaw(t, func(c net.Conn) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// A caller got the response to an earlier request. That request had passed its
-// deadline, and its response came while the next request to the same upstream
-// was in flight: a connection with an outstanding response had been reused.
+// Guards against the reuse of a connection with an outstanding response: an
+// earlier request has passed its deadline, and its response arrives while the
+// next request to the same upstream is in flight.
 func TestLateResponseIsNotReadForTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{Latency: 20 * time.Millisecond})
@@ -212,9 +212,9 @@
 	return l.Addr().String()
 }
 
-// Half of a loading plan was passed on as the whole plan. The upstream had ended
-// the connection in the middle of a response. The end of the connection is the
-// end of a response only if the length or the chunks confirm it.
+// Guards against a truncated response that is taken for a whole one. The end of
+// the connection is the end of a response only if the length or the chunks
+// confirm it.
 func TestFaultyResponsesAreErrors(t *testing.T) {
 	u := newStandin(t, standin.Options{})
 	transport := newTransport(t, upstream.Options{})
@@ -296,12 +296,13 @@
 	}
 }
 
-// Bookings failed for minutes after a firewall was restarted. Idle connections
-// no longer passed bytes, in one direction or both, while new ones worked. One
-// request after another was sent on such a connection, as nothing closed it.
+// Guards against requests that fail for minutes after a firewall was restarted.
+// Idle connections no longer pass bytes, in one direction or both, while new
+// ones work. Nothing closes such a connection, so one request after another
+// would be sent on it.
 func TestUnresponsiveConnectionsAreAbandoned(t *testing.T) {
 	const idle = 6
-	for name, side := range map[string][2]bool{"requests": {true, false}, "answers": {false, true}, "both": {true, true}} {
+	for name, frozen := range map[string][2]bool{"requests": {true, false}, "answers": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			u := newStandin(t, standin.Options{Latency: 5 * time.Millisecond})
@@ -313,7 +314,7 @@
 				warm.Go(func() { _, _, _ = send(context.Background(), transport, address, request("GET", "/warm", "w")) })
 			}
 			warm.Wait()
-			r.freeze(side[0], side[1])
+			r.freeze(frozen[0], frozen[1])
 
 			stalled := request("GET", "/slots", "silent")
 			stalled.SuspectAfter, stalled.AbortReusedAfter, stalled.AbortAfter = 20*time.Millisecond, 40*time.Millisecond, time.Minute
@@ -334,9 +335,9 @@
 	}
 }
 
-// A booking was lost on a connection that had been idle for a while and had
-// stopped passing bytes meanwhile. Only connections that were active lately may
-// be reused.
+// Guards against a request that is lost on a connection that has been idle for a
+// while and has stopped passing bytes meanwhile. Only connections that were
+// active lately may be reused.
 func TestLongIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	u := newStandin(t, standin.Options{})
