--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -45,16 +45,16 @@
 	// now is the clock used for announcements.
 	now func() time.Time
 
-	machine    *state.Machine
-	leader     *node.LeaderHint
-	client     *node.Client
-	nodeServer *node.Server
-	heartbeats *node.Heartbeats
-	spreader   *node.RegistrySync
-	log        *node.Log
-	follower   *node.Follower
-	replica    *replica.Replica
-	trail      *audit.Trail
+	machine      *state.Machine
+	leader       *node.LeaderHint
+	client       *node.Client
+	nodeServer   *node.Server
+	heartbeats   *node.Heartbeats
+	registrySync *node.RegistrySync
+	log          *node.Log
+	follower     *node.Follower
+	replica      *replica.Replica
+	trail        *audit.Trail
 
 	registry   *registry.Registry
 	dispatcher *slots.Dispatcher
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -39,7 +39,7 @@
 	all := []backgroundTask{
 		a.client.Run,
 		a.heartbeats.Run,
-		a.spreader.Run,
+		a.registrySync.Run,
 		a.dispatcher.Run,
 		withoutError(a.callers.Run),
 		a.serveCallers,
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -20,7 +20,8 @@
 	peerReadTimeout   = 30 * time.Second
 	peerIdleTimeout   = 60 * time.Second
 	peerStopTimeout   = 5 * time.Second
-	peerConnections   = 4096
+	// peerConnections bounds the open connections of one listener.
+	peerConnections = 4096
 )
 
 // Listeners are the listening sockets of one process, one for each kind of peer.
--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -19,7 +19,7 @@
 }
 
 // auditReader returns a reader of this VM's audit files. Without a data folder it
-// reads the latest entries, which are part of the state.
+// reads the newest records, which are part of the state.
 func (a *Agent) auditReader() operator.AuditReader {
 	if a.trail == nil {
 		return audit.StateReader{Source: a.log}
@@ -78,9 +78,9 @@
 	for _, p := range a.settings.Nodes {
 		status := operator.NodeStatus{Node: p.Name, Role: roleOf(voters[p.Name]), Alive: live[p.Name], Ready: live[p.Name]}
 		if p.Name == a.settings.Node.Name {
-			standing := a.heartbeats.Status()
-			status.Zone, status.Alive, status.Ready = a.settings.Node.Zone, true, standing.Ready
-			status.Index, status.Reason = a.machine.Applied(), standing.Reason
+			own := a.heartbeats.Status()
+			status.Zone, status.Alive, status.Ready = a.settings.Node.Zone, true, own.Ready
+			status.Index, status.Reason = a.machine.Applied(), own.Reason
 		}
 		nodes = append(nodes, status)
 	}
--- a/internal/agent/retention_test.go
+++ b/internal/agent/retention_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// After some days all keyed requests and jobs were refused: the tables of claims
-// and jobs were full, as nothing dropped those that had ended long ago.
+// Guards against tables of claims and jobs that are full after some days, because
+// nothing drops those that ended long ago: all further keyed requests and jobs
+// are then refused.
 func TestRetentionKeepsTablesBounded(t *testing.T) {
 	now := model.Instant(0).Add(100 * retention)
 	claims := func(n int, age time.Duration) []*model.Claim {
--- a/internal/agent/serving.go
+++ b/internal/agent/serving.go
@@ -24,7 +24,7 @@
 // of changes to the other entry VMs. Renewals are sent later, in batches.
 type announcer struct {
 	*registry.Registry
-	spreader *node.RegistrySync
+	registrySync *node.RegistrySync
 }
 
 // Announce registers or renews an instance.
@@ -41,7 +41,7 @@
 
 func (a announcer) notifyIfChanged(changed uint64) {
 	if a.ChangeVersion() != changed {
-		a.spreader.Notify()
+		a.registrySync.Notify()
 	}
 }
 
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -34,7 +34,7 @@
 
 func (a *Agent) wireNodes() {
 	a.registry = registry.New(a.registryOptions())
-	a.spreader = node.NewRegistrySync(node.RegistrySyncConfig{
+	a.registrySync = node.NewRegistrySync(node.RegistrySyncConfig{
 		Self: a.settings.Node.Name, Registry: a.registry, Client: a.client, Metrics: a.metrics,
 		Clock: func() model.Instant { return model.InstantOf(a.now()) },
 	})
@@ -44,7 +44,7 @@
 	})
 	a.heartbeats = node.NewHeartbeats(node.HeartbeatsConfig{
 		Self: a.settings.Node.Name, Members: a.members(), Voters: a.settings.Voters,
-		Machine: a.machine, Client: a.client, Leader: a.leader, RegistrySync: a.spreader,
+		Machine: a.machine, Client: a.client, Leader: a.leader, RegistrySync: a.registrySync,
 		OnUnconfirmed: a.follower.Rotate, Metrics: a.metrics, Logger: a.logger,
 	})
 	voter := a.voter()
@@ -62,7 +62,7 @@
 func (a *Agent) wireNodeServer() {
 	a.nodeServer = node.NewServer(node.ServerConfig{
 		Self: a.settings.Node.Name, Site: a.settings.Node.Site, Authorizer: a.tokens.nodes,
-		Identity: a.identity, Client: a.client, Heartbeats: a.heartbeats, RegistrySync: a.spreader,
+		Identity: a.identity, Client: a.client, Heartbeats: a.heartbeats, RegistrySync: a.registrySync,
 		Lender: a.dispatcher, Metrics: a.metrics,
 	})
 	if voter := a.voter(); voter != nil {
@@ -120,13 +120,14 @@
 }
 
 // checkQuorum is the readiness condition that this VM's view of the control log
-// is recent. Requests that arrive when it isn't are served on the last state.
+// is recent. Requests that arrive when it isn't are served with the state last
+// applied here.
 func (a *Agent) checkQuorum() error {
-	standing := a.heartbeats.Status()
-	if standing.Ready {
+	status := a.heartbeats.Status()
+	if status.Ready {
 		return nil
 	}
-	return errors.New(standing.Reason)
+	return errors.New(status.Reason)
 }
 
 // liveNodes returns the entry VMs that are live in the current membership view.
@@ -164,7 +165,7 @@
 
 func (a *Agent) upstreamHandler() http.Handler {
 	return upstream.NewHandler(upstream.HandlerConfig{
-		Announcer: announcer{a.registry, a.spreader}, Authorizer: a.tokens.upstreams, Metrics: a.metrics,
+		Announcer: announcer{a.registry, a.registrySync}, Authorizer: a.tokens.upstreams, Metrics: a.metrics,
 		Now: a.now,
 	})
 }
