--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -20,8 +20,8 @@
 	return len(p), nil
 }
 
-// Requests stalled when the reader of standard output stopped: the pipe was full,
-// and every goroutine that logged blocked in the write.
+// Guards against requests that stall when the reader of standard output stops: the
+// pipe is full, and every goroutine that logs would block in the write.
 func TestStuckReaderBlocksNobody(t *testing.T) {
 	is := is.New(t)
 	registry := NewRegistry()
--- a/internal/telemetry/standard.go
+++ b/internal/telemetry/standard.go
@@ -25,7 +25,7 @@
 }
 
 // NewStandardWriter returns a writer for log.SetOutput of the standard library.
-// Lines are counted as "log.stray_lines".
+// It counts the lines as "log.stray_lines".
 func NewStandardWriter(logger log.Interface, registry metrics.Registry) *libraryLogWriter {
 	return &libraryLogWriter{logger: logger, lines: metrics.GetOrRegisterCounter("log.stray_lines", registry), now: time.Now}
 }
--- a/internal/telemetry/standard_test.go
+++ b/internal/telemetry/standard_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// The log filled the disk: an upstream sent unsolicited responses, and net/http
-// wrote a log line for each of them.
+// Guards against a log that fills the disk: an upstream sends unsolicited
+// responses, and net/http writes a log line for each of them.
 func TestLibraryLinesAreCountedAndLimited(t *testing.T) {
 	is := is.New(t)
 	handler := memory.New()
