--- a/internal/member/log.go
+++ b/internal/member/log.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// controlLog implements control.Log by the local replica.
+// controlLog implements control.Log with the local replica.
 type controlLog struct {
 	replica *replica.Replica
 	wallMS  func() int64
@@ -20,7 +20,7 @@
 
 var _ control.Log = controlLog{}
 
-// Standing returns the leader and whether this VM leads. This VM is confirmed only
+// Status returns the leader and whether this VM leads. This VM is confirmed only
 // after it has committed an entry of its own term: before, it may not have applied
 // what earlier leaders committed.
 func (l controlLog) Status() control.LogStatus {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -25,20 +25,21 @@
 )
 
 const (
-	// siteName separates processes of other product versions and sites; sites
-	// whose VMs discover each other from seeds have no name of their own.
+	// siteName stands in for the name of the site, which a site whose VMs discover
+	// each other from seeds doesn't have. It keeps out processes of sites with a
+	// name and of other product versions.
 	siteName = "seeded"
 	// tick is the time unit of the control log. A leader that is unresponsive for
 	// 8 to 16 ticks (0.5 to 1 s) is replaced; during that time nothing is decided.
-	// On days with five killed leaders this value was measured against 75 and
-	// 100 ms; 45 ms gave no further improvement. A sync of 270 ms, thirty times
-	// that of a healthy disk, must not cost a leader its term.
+	// It was compared with 75 and 100 ms on days with five killed leaders; 45 ms
+	// gave no further improvement. A sync that takes 270 ms, thirty times as long
+	// as on a healthy disk, must not end a leader's term.
 	tick = 60 * time.Millisecond
 	// reviewTicks is the time between two reviews of the set of voters, in ticks.
 	// A VM that replaced another should become a voter before one more is lost.
 	reviewTicks = 10
-	// leaseShare is the requested share of the longest lease. The rest covers the
-	// error in the estimate of the worker's clock.
+	// leaseShare is the share of the longest allowed lease that is requested. The
+	// rest covers the error in the estimate of the worker's clock.
 	leaseShare = 0.85
 )
 
--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -20,7 +20,7 @@
 	// it became unready: the balancer checks readiness once a second and acts on
 	// the second failed check.
 	balancerDelay = 2500 * time.Millisecond
-	// stopReserve is the part of the time to stop that remains when requests in
+	// stopReserve is how long before the end of the stop timeout requests in
 	// progress are given up.
 	stopReserve = 700 * time.Millisecond
 	// transferTimeout bounds the transfer of leadership.
@@ -70,8 +70,8 @@
 	}
 }
 
-// ignoreAfterCancel returns nil if ctx has ended, and otherwise err. Background
-// tasks return an error also when they end only because of ctx.
+// ignoreAfterCancel returns nil if ctx has ended, and otherwise err: background
+// tasks that end because of ctx return an error, too.
 func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
