--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -22,7 +22,8 @@
 
 	mu    sync.Mutex
 	seeds []model.NodeID
-	// lastContact holds when each core VM was last in contact or first named.
+	// lastContact holds when each core VM was last in contact, or when it was first
+	// named if it never was.
 	lastContact map[model.NodeID]time.Duration
 	// unresponsiveUntil holds until when a core VM that did not reply is skipped.
 	unresponsiveUntil map[model.NodeID]time.Duration
