--- a/internal/operator/build.go
+++ b/internal/operator/build.go
@@ -17,7 +17,8 @@
 	sources Sources
 	now     model.Instant
 	site    *model.Site
-	// vmTasks is the number of tasks and quarantines the reason, by VM.
+	// vmTasks holds the number of tasks, quarantines the reason of the quarantine,
+	// by VM.
 	vmTasks     map[model.VMID]int
 	quarantines map[model.VMID]string
 }
