--- a/internal/audit/file.go
+++ b/internal/audit/file.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	err = os.Truncate(path, int64(end))
-	return oops.In("audit").With("file", path).Wrapf(err, "cut torn line")
+	return oops.In("audit").With("file", path).Wrapf(err, "truncate torn line")
 }
 
 // syncFolder makes the creation and removal of files in a folder durable.
