--- a/internal/slots/chaos_test.go
+++ b/internal/slots/chaos_test.go
@@ -31,7 +31,7 @@
 	vm         int
 }
 
-// faultRun simulates lending with injected faults and records the first broken
+// faultRun simulates lending with injected faults and records the first violated
 // invariant.
 type faultRun struct {
 	*sim
@@ -56,7 +56,7 @@
 	return c
 }
 
-// recordViolation records a broken invariant if it is the first one.
+// recordViolation records a violated invariant if it is the first one.
 func (c *faultRun) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf("at %s: ", c.now.Sub(scaledInstant(time.Minute))*tickLength/time.Millisecond) + fmt.Sprintf(format, args...)
@@ -120,8 +120,8 @@
 		if !vm.alive {
 			continue
 		}
-		for _, broken := range vm.core.checkInvariants() {
-			c.recordViolation("%s: %s", c.nodes[vm.index], broken)
+		for _, violation := range vm.core.checkInvariants() {
+			c.recordViolation("%s: %s", c.nodes[vm.index], violation)
 		}
 	}
 }
@@ -259,8 +259,8 @@
 		reclaim := rapid.Bool().Draw(t, "reclaim")
 		lossPercent := rapid.SampledFrom([]int{0, 3, 20}).Draw(t, "lossy")
 		c := newFaultRun(rapid.Uint64().Draw(t, "seed"), lossPercent, reclaim, lending.Rules{}, admission.Rules{})
-		if broken := c.run(faultGenerator(reclaim).Draw(t, "faults")); broken != "" {
-			t.Fatal(broken)
+		if violation := c.run(faultGenerator(reclaim).Draw(t, "faults")); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -272,8 +272,8 @@
 	for seed := uint64(1); done < steps; seed++ {
 		reclaim := seed%4 == 0
 		c := newFaultRun(seed, int(seed%3)*10, reclaim, lending.Rules{}, admission.Rules{})
-		if broken := c.run(faultGenerator(reclaim).Example(int(seed))); broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+		if violation := c.run(faultGenerator(reclaim).Example(int(seed))); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 		done += c.eventCount
 	}
--- a/internal/slots/check.go
+++ b/internal/slots/check.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// checkInvariants returns the broken invariants, or none. Overruns are reported
+// checkInvariants returns the violated invariants, or none. Overruns are reported
 // only when there are more of them than at the last check.
 func (k *core) checkInvariants() []string {
-	broken := append(k.set.Check(), k.queue.Check()...)
+	violations := append(k.set.Check(), k.queue.Check()...)
 	overruns := 0
 	for i, share := range k.shares {
 		instance := k.set.Get(i)
@@ -18,8 +18,8 @@
 		}
 	}
 	if overruns > k.overruns {
-		broken = append(broken, fmt.Sprintf("more slots in use than allowed at %d instances", overruns))
+		violations = append(violations, fmt.Sprintf("more slots in use than allowed at %d instances", overruns))
 	}
 	k.overruns = overruns
-	return broken
+	return violations
 }
--- a/internal/slots/counters.go
+++ b/internal/slots/counters.go
@@ -17,27 +17,27 @@
 	borrowCalls  metrics.Counter
 	borrowFailed metrics.Counter
 	lendCalls    metrics.Counter
-	// releasedTwice counts second releases of a grant, invariantsBroken the
-	// invariants that a check found broken.
-	releasedTwice    metrics.Counter
-	invariantsBroken metrics.Counter
+	// releasedTwice counts second releases of a grant, violations the violated
+	// invariants that a check found.
+	releasedTwice metrics.Counter
+	violations    metrics.Counter
 }
 
 func newCounters(r metrics.Registry) *counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("slots."+name, r) }
 	return &counters{
-		granted:          counter("granted"),
-		queued:           counter("queued"),
-		refused:          counter("refused"),
-		dropped:          counter("dropped"),
-		abandoned:        counter("abandoned"),
-		busy:             counter("busy"),
-		failed:           counter("failed"),
-		borrowCalls:      counter("borrow_calls"),
-		borrowFailed:     counter("borrow_failed"),
-		lendCalls:        counter("lend_calls"),
-		releasedTwice:    counter("released_twice"),
-		invariantsBroken: counter("invariants_broken"),
+		granted:       counter("granted"),
+		queued:        counter("queued"),
+		refused:       counter("refused"),
+		dropped:       counter("dropped"),
+		abandoned:     counter("abandoned"),
+		busy:          counter("busy"),
+		failed:        counter("failed"),
+		borrowCalls:   counter("borrow_calls"),
+		borrowFailed:  counter("borrow_failed"),
+		lendCalls:     counter("lend_calls"),
+		releasedTwice: counter("released_twice"),
+		violations:    counter("invariants_broken"),
 	}
 }
 
--- a/internal/slots/lend_test.go
+++ b/internal/slots/lend_test.go
@@ -111,7 +111,7 @@
 		g.Release(Answered)
 	}
 	for _, d := range site {
-		is.Equal(d.counters.invariantsBroken.Count(), int64(0))
+		is.Equal(d.counters.violations.Count(), int64(0))
 	}
 }
 
--- a/internal/slots/service.go
+++ b/internal/slots/service.go
@@ -208,18 +208,18 @@
 	})
 }
 
-// inspect counts and logs broken invariants, logs status changes and returns the
+// inspect counts and logs violated invariants, logs status changes and returns the
 // status.
 func (k *serviceState) inspect() status {
 	k.mu.Lock()
-	broken := k.core.checkInvariants()
+	violations := k.core.checkInvariants()
 	before := k.loggedStatus
 	k.loggedStatus = k.core.status()
 	after := k.loggedStatus
 	k.mu.Unlock()
 	log := k.dispatcher.config.Log.WithField("service", string(k.id))
-	for _, violation := range broken {
-		k.dispatcher.counters.invariantsBroken.Inc(1)
+	for _, violation := range violations {
+		k.dispatcher.counters.violations.Inc(1)
 		log.Error("invariant broken: " + violation)
 	}
 	logChanges(log, before, after)
