--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -292,7 +292,7 @@
 	return ""
 }
 
-// Check returns the broken invariants, or none.
+// Check returns the violated invariants, or none.
 func (q *Queue[T]) Check() []string {
 	sum := 0
 	for c := range q.classes {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -51,20 +51,20 @@
 // and that a full queue sheds the newest request of the lowest priority.
 func TestRandomQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if broken := randomQueue(t, Options{}); broken != "" {
-			t.Fatal(broken)
+		if violation := randomQueue(t, Options{}); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-func randomQueue(t *rapid.T, o Options) (broken string) {
+func randomQueue(t *rapid.T, o Options) (violation string) {
 	q := NewQueue[*int](o)
 	now := model.Instant(0)
 	var waiting []*Ticket[*int]
 	countRefusal := func(d *Dropped[*int]) {
 		*d.Ticket.Value++
 		if d.Refusal.RetryAfter < MinRetryAfter {
-			broken = "the refusal has no retry delay"
+			violation = "the refusal has no retry delay"
 		}
 	}
 	var all []*int
@@ -95,13 +95,13 @@
 			if refusal != nil {
 				results++
 				if q.Len() >= 5 && lower > 0 && ticket.Deadline > now && q.Rate().ExpectedWait(q.ahead(ticket.Priority), 2) <= ticket.Deadline.Sub(now) {
-					broken = "a request was refused while requests of lower priority waited"
+					violation = "a request was refused while requests of lower priority waited"
 				}
 			}
 			if shed != nil {
 				countRefusal(shed)
 				if shed.Ticket.Priority >= ticket.Priority {
-					broken = "a request was shed for one that has no higher priority"
+					violation = "a request was shed for one that has no higher priority"
 				}
 			}
 			waiting = append(waiting, ticket)
@@ -111,11 +111,11 @@
 				break
 			}
 			if now >= first.Deadline {
-				broken = "a request was taken after its deadline"
+				violation = "a request was taken after its deadline"
 			}
 			for p := first.Priority + 1; p <= model.Urgent; p++ {
 				if inQueue(p) > 0 && (p == model.Urgent || first.Priority == model.Normal) {
-					broken = "a request of lower priority was taken first"
+					violation = "a request of lower priority was taken first"
 				}
 			}
 			q.Take(first)
@@ -129,7 +129,7 @@
 			}
 			for _, ticket := range waiting {
 				if *ticket.Value == 0 && now >= ticket.Deadline && ticket.element != nil {
-					broken = "a request still waits after its deadline"
+					violation = "a request still waits after its deadline"
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 			return "a request did not get exactly one result"
 		}
 	}
-	return broken
+	return violation
 }
 
 func TestQuota(t *testing.T) {
