--- a/internal/slots/chaos_test.go
+++ b/internal/slots/chaos_test.go
@@ -39,16 +39,16 @@
 	violation string
 }
 
-// newFaultRun starts a run. With reclaim, other entry VMs use the shares of lost
+// newFaultRun starts a run. With takeOver, other entry VMs use the shares of lost
 // ones, which is only safe if no running entry VM is cut off.
-func newFaultRun(seed uint64, lossPercent int, reclaim bool, rules lending.Rules, queueRules admission.Rules) *faultRun {
+func newFaultRun(seed uint64, lossPercent int, takeOver bool, rules lending.Rules, queueRules admission.Rules) *faultRun {
 	c := &faultRun{sim: newSim(seed, faultVMs, faultInstances, faultSlots), cuts: map[[2]int]bool{}}
 	c.service.Timeout = scaled(time.Second)
 	c.options.Rules = rules
 	c.queueRules = queueRules
-	c.reclaim = -1
-	if reclaim {
-		c.reclaim = scaled(time.Second)
+	c.takeOverAfter = -1
+	if takeOver {
+		c.takeOverAfter = scaled(time.Second)
 	}
 	c.lossPercent = lossPercent
 	c.cut = func(a, b int) bool { return c.cuts[[2]int{a, b}] }
@@ -223,8 +223,8 @@
 // share of a lost entry VM is taken over.
 var faultKinds = []string{"crash", "stop", "leave", "isolate", "deaf"}
 
-func faultKindsFor(reclaim bool) []string {
-	if reclaim {
+func faultKindsFor(takeOver bool) []string {
+	if takeOver {
 		return faultKinds[:3]
 	}
 	return faultKinds
@@ -237,12 +237,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-func faultGenerator(reclaim bool) *rapid.Generator[[]fault] {
+func faultGenerator(takeOver bool) *rapid.Generator[[]fault] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
 			at:     drawMilliseconds(t, "at", 0, 300, 700, 1500, 2500, 3500),
 			length: drawMilliseconds(t, "length", 20, 200, 1000, 2500, 4000, 4500),
-			kind:   rapid.SampledFrom(faultKindsFor(reclaim)).Draw(t, "kind"),
+			kind:   rapid.SampledFrom(faultKindsFor(takeOver)).Draw(t, "kind"),
 			vm:     rapid.IntRange(0, faultVMs-1).Draw(t, "vm"),
 		}
 	}), 1, 6)
@@ -256,10 +256,10 @@
 func TestLendingUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		reclaim := rapid.Bool().Draw(t, "reclaim")
+		takeOver := rapid.Bool().Draw(t, "reclaim")
 		lossPercent := rapid.SampledFrom([]int{0, 3, 20}).Draw(t, "lossy")
-		c := newFaultRun(rapid.Uint64().Draw(t, "seed"), lossPercent, reclaim, lending.Rules{}, admission.Rules{})
-		if violation := c.run(faultGenerator(reclaim).Draw(t, "faults")); violation != "" {
+		c := newFaultRun(rapid.Uint64().Draw(t, "seed"), lossPercent, takeOver, lending.Rules{}, admission.Rules{})
+		if violation := c.run(faultGenerator(takeOver).Draw(t, "faults")); violation != "" {
 			t.Fatal(violation)
 		}
 	})
@@ -270,9 +270,9 @@
 	steps, _ := strconv.Atoi(os.Getenv("COMFREYLOOM_STEPS"))
 	done := 0
 	for seed := uint64(1); done < steps; seed++ {
-		reclaim := seed%4 == 0
-		c := newFaultRun(seed, int(seed%3)*10, reclaim, lending.Rules{}, admission.Rules{})
-		if violation := c.run(faultGenerator(reclaim).Example(int(seed))); violation != "" {
+		takeOver := seed%4 == 0
+		c := newFaultRun(seed, int(seed%3)*10, takeOver, lending.Rules{}, admission.Rules{})
+		if violation := c.run(faultGenerator(takeOver).Example(int(seed))); violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
 		}
 		done += c.eventCount
--- a/internal/slots/config.go
+++ b/internal/slots/config.go
@@ -42,10 +42,10 @@
 	Peer Peer
 	// Incarnation grows with each process of this entry VM; 0 takes the clock.
 	Incarnation uint64
-	// ReclaimAfter is how long an entry VM must be lost before others take over
-	// its share; 0 takes DefaultReclaimAfter, a negative value means never.
-	ReclaimAfter time.Duration
-	Lending      lending.Options
+	// TakeOverAfter is how long an entry VM must be lost before others take over
+	// its share; 0 takes DefaultTakeOverAfter, a negative value means never.
+	TakeOverAfter time.Duration
+	Lending       lending.Options
 	// Now is a clock that never steps; nil takes a monotonic one that starts
 	// at the wall-clock time.
 	Now func() model.Instant
@@ -73,8 +73,8 @@
 	if c.Incarnation == 0 {
 		c.Incarnation = uint64(c.Now())
 	}
-	if c.ReclaimAfter == 0 {
-		c.ReclaimAfter = DefaultReclaimAfter
+	if c.TakeOverAfter == 0 {
+		c.TakeOverAfter = DefaultTakeOverAfter
 	}
 	if c.Random == nil {
 		c.Random = rand.IntN
--- a/internal/slots/core.go
+++ b/internal/slots/core.go
@@ -71,9 +71,9 @@
 	random      func(n int) int
 	// lendingEnabled is true if there are peers to lend to and borrow from.
 	lendingEnabled bool
-	// reclaimAfter is how long an entry VM must be lost before others use its
+	// takeOverAfter is how long an entry VM must be lost before others use its
 	// share; negative means never.
-	reclaimAfter time.Duration
+	takeOverAfter time.Duration
 }
 
 // effects are the messages that the user of the core must send after a step.
--- a/internal/slots/service.go
+++ b/internal/slots/service.go
@@ -47,7 +47,7 @@
 	k.core = newCore(coreConfig{
 		self: c.Self, zone: c.Zone, nodes: c.Nodes, incarnation: c.Incarnation,
 		lending: c.Lending, admission: c.Admission, balance: c.Balance, random: c.Random,
-		lendingEnabled: c.Peer != nil && len(c.Nodes) > 1, reclaimAfter: c.ReclaimAfter,
+		lendingEnabled: c.Peer != nil && len(c.Nodes) > 1, takeOverAfter: c.TakeOverAfter,
 	}, service, now)
 	k.core.started = d.started
 	k.core.members(c.Members(), c.Confirmed(), now)
--- a/internal/slots/sim_test.go
+++ b/internal/slots/sim_test.go
@@ -23,17 +23,17 @@
 // sim runs the cores of all entry VMs in virtual time. Instances queue requests
 // in order of arrival once all their slots are in use.
 type sim struct {
-	random     *rand.Rand
-	now        model.Instant
-	events     eventHeap
-	eventCount int
-	nodes      []model.NodeID
-	vms        []*simVM
-	instances  map[model.InstanceID]*simInstance
-	upstreams  []model.Upstream
-	service    model.Service
-	reclaim    time.Duration
-	options    lending.Options
+	random        *rand.Rand
+	now           model.Instant
+	events        eventHeap
+	eventCount    int
+	nodes         []model.NodeID
+	vms           []*simVM
+	instances     map[model.InstanceID]*simInstance
+	upstreams     []model.Upstream
+	service       model.Service
+	takeOverAfter time.Duration
+	options       lending.Options
 	// cut reports whether messages from a to b are lost; lossPercent is the
 	// percentage of other messages that are lost.
 	cut         func(a, b int) bool
@@ -140,8 +140,8 @@
 		service: model.Service{
 			ID: "drafts", Slots: slots, Connections: 64, QueueLimit: 500, Timeout: scaled(4 * time.Second),
 		},
-		reclaim: scaled(DefaultReclaimAfter),
-		options: scaledOptions(),
+		takeOverAfter: scaled(DefaultTakeOverAfter),
+		options:       scaledOptions(),
 	}
 	s.delay = func() time.Duration {
 		return scaled(500*time.Microsecond) + time.Duration(s.random.IntN(3))*time.Millisecond
@@ -187,7 +187,7 @@
 	vm.core = newCore(coreConfig{
 		self: s.nodes[vm.index], nodes: nodes, incarnation: vm.starts, lending: s.options,
 		admission: admission.Options{AgeingAfter: scaled(time.Second), Rules: s.queueRules},
-		random:    s.random.IntN, lendingEnabled: lend, reclaimAfter: s.reclaim,
+		random:    s.random.IntN, lendingEnabled: lend, takeOverAfter: s.takeOverAfter,
 	}, s.service, s.now)
 	s.step(vm, func() { vm.core.update(s.service, s.upstreams, s.now) })
 	s.tickLater(vm, vm.starts)
--- a/internal/slots/takeover.go
+++ b/internal/slots/takeover.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyloom/comfreyloom/internal/slots/lending"
 )
 
-// DefaultReclaimAfter is how long an entry VM must be lost before others use its
+// DefaultTakeOverAfter is how long an entry VM must be lost before others use its
 // share.
-const DefaultReclaimAfter = 15 * time.Second
+const DefaultTakeOverAfter = 15 * time.Second
 
 // members sets which entry VMs are live and whether a quorum confirmed it.
 func (k *core) members(live []model.NodeID, confirmed bool, now model.Instant) {
@@ -92,7 +92,7 @@
 
 // successors returns the entry VMs that have not been lost for long.
 func (k *core) successors(now model.Instant) []model.NodeID {
-	after := k.config.reclaimAfter
+	after := k.config.takeOverAfter
 	if after < 0 || len(k.losses.lostAt) == 0 || !k.hasMajority() {
 		return k.config.nodes
 	}
@@ -200,7 +200,7 @@
 	uptime := now.Sub(k.started)
 	graceOver := uptime >= recoverGraceLeases*k.config.lending.Lease
 	if !k.hasMajority() {
-		graceOver = k.config.reclaimAfter > 0 && uptime >= max(k.config.reclaimAfter, k.loanEndTimeout())
+		graceOver = k.config.takeOverAfter > 0 && uptime >= max(k.config.takeOverAfter, k.loanEndTimeout())
 	}
 	for _, n := range k.config.nodes {
 		if !k.unrecovered[n] {
