--- a/cmd/comfreyloom/member.go
+++ b/cmd/comfreyloom/member.go
@@ -34,7 +34,7 @@
 	counters := telemetry.NewRegistry()
 	writer := telemetry.NewBoundedHandler(c.out, counters)
 	logger := &log.Logger{Handler: writer, Level: level}
-	stdlog.SetOutput(telemetry.NewStandardWriter(logger, counters))
+	stdlog.SetOutput(telemetry.NewLibraryLogWriter(logger, counters))
 	stdlog.SetFlags(0)
 	m, err := platform.NewMember(s, logger, counters)
 	if err != nil {
--- a/cmd/comfreyloom/serve.go
+++ b/cmd/comfreyloom/serve.go
@@ -42,7 +42,7 @@
 		return exitUsage
 	}
 	counters := telemetry.NewRegistry()
-	stdlog.SetOutput(telemetry.NewStandardWriter(logger, counters))
+	stdlog.SetOutput(telemetry.NewLibraryLogWriter(logger, counters))
 	stdlog.SetFlags(0)
 	a, err := agent.New(s, agent.Options{Logger: logger, Metrics: counters})
 	if err != nil {
--- a/internal/telemetry/standard.go
+++ b/internal/telemetry/standard.go
@@ -24,9 +24,9 @@
 	lastPassed time.Time
 }
 
-// NewStandardWriter returns a writer for log.SetOutput of the standard library.
+// NewLibraryLogWriter returns a writer for log.SetOutput of the standard library.
 // It counts the lines as "log.stray_lines".
-func NewStandardWriter(logger log.Interface, registry metrics.Registry) *libraryLogWriter {
+func NewLibraryLogWriter(logger log.Interface, registry metrics.Registry) *libraryLogWriter {
 	return &libraryLogWriter{logger: logger, lines: metrics.GetOrRegisterCounter("log.stray_lines", registry), now: time.Now}
 }
 
--- a/internal/telemetry/standard_test.go
+++ b/internal/telemetry/standard_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	handler := memory.New()
 	registry := NewRegistry()
-	w := NewStandardWriter(&log.Logger{Handler: handler, Level: log.InfoLevel}, registry)
+	w := NewLibraryLogWriter(&log.Logger{Handler: handler, Level: log.InfoLevel}, registry)
 	now := time.Unix(1000, 0)
 	w.now = func() time.Time { return now }
 	for range 1000 {
