--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -60,9 +60,9 @@
 	Settings *settings.Member
 	Logger   log.Interface
 	Metrics  metrics.Registry
-	// Client sends requests to the leader, Greeter tracks whether there is one.
-	Client  *control.Client
-	Greeter *control.HelloClient
+	// Client sends requests to the leader, HelloClient tracks whether there is one.
+	Client      *control.Client
+	HelloClient *control.HelloClient
 
 	directory    *control.Directory
 	nodes        *node.Client
@@ -91,7 +91,7 @@
 	}
 	if s.Node.Role != settings.RoleCore {
 		m.Client = control.NewClient(self, nil, m.nodes, m.directory, r)
-		m.Greeter = control.NewHelloClient(m.Client, false)
+		m.HelloClient = control.NewHelloClient(m.Client, false)
 		return m, nil
 	}
 	if err := m.openCore(self); err != nil {
@@ -135,7 +135,7 @@
 	server := control.NewServer(controlled, m.machine, m.directory, m.dispatcher)
 	m.nodeServer.Handle(controlpb.ControlPathPrefix, controlpb.NewControlServer(server))
 	m.Client = control.NewClient(self, server, m.nodes, m.directory, m.Metrics)
-	m.Greeter = control.NewHelloClient(m.Client, true)
+	m.HelloClient = control.NewHelloClient(m.Client, true)
 	return nil
 }
 
--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -61,7 +61,7 @@
 }
 
 func (m *Member) startBackgroundTasks(p *pool.ContextPool) {
-	tasks := []func(context.Context) error{m.nodes.Run, m.Greeter.Run}
+	tasks := []func(context.Context) error{m.nodes.Run, m.HelloClient.Run}
 	if m.replica != nil {
 		tasks = append(tasks, m.replica.Run, m.dispatcher.Run)
 	}
@@ -128,7 +128,7 @@
 
 // readiness handles the readiness check of the balancer.
 func (m *Member) readiness(w http.ResponseWriter, _ *http.Request) {
-	if m.stopping.Load() || !m.Greeter.Ready() {
+	if m.stopping.Load() || !m.HelloClient.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
