--- a/internal/estimate/charge.go
+++ b/internal/estimate/charge.go
@@ -23,9 +23,9 @@
 	ThrottledShare = 0.25
 )
 
-// Measurement is what a task was measured to use, and when. The zero value means
-// that nothing was measured.
-type Measurement struct {
+// Usage is what a task was measured to use, and when. The zero value means that
+// nothing was measured.
+type Usage struct {
 	Used model.Resources
 	At   model.Instant
 }
@@ -33,7 +33,7 @@
 // Charge returns the resources that a running task is assumed to need on its
 // worker: the larger of its placed size and its last measured use, until a fresh
 // measurement after the warm-up allows less.
-func Charge(t *model.Task, measured Measurement, now model.Instant) model.Resources {
+func Charge(t *model.Task, measured Usage, now model.Instant) model.Resources {
 	charge := t.Size.Max(measured.Used)
 	if fresh(t, measured, now) {
 		charge = reclaim(t.Size, measured.Used)
@@ -52,7 +52,7 @@
 
 func throttledCPU(size int64) int64 { return int64(float64(size) * ThrottledShare) }
 
-func fresh(t *model.Task, measured Measurement, now model.Instant) bool {
+func fresh(t *model.Task, measured Usage, now model.Instant) bool {
 	return measured.At >= t.Started.Add(Warmup) && now.Sub(measured.At) <= FreshFor
 }
 
--- a/internal/estimate/estimator.go
+++ b/internal/estimate/estimator.go
@@ -87,7 +87,7 @@
 
 // Observe learns from one measurement of a job's task. During the warm-up only
 // use above the declared size is taken into account.
-func (e *Estimator) Observe(spec *model.JobSpec, t *model.Task, measured Measurement) {
+func (e *Estimator) Observe(spec *model.JobSpec, t *model.Task, measured Usage) {
 	p := peak{
 		task:   t.ID,
 		cpu:    ratioOf(measured.Used.MilliCPU, spec.Declared.MilliCPU),
--- a/internal/estimate/estimator_test.go
+++ b/internal/estimate/estimator_test.go
@@ -18,7 +18,7 @@
 		spec := &model.JobSpec{ID: model.JobID(id), Team: "t", Kind: kind, Declared: declared}
 		task := &model.Task{ID: model.TaskID(id), Size: declared, Started: at.Add(-time.Hour)}
 		used := model.Resources{MilliCPU: int64(1000 * factor), MemoryMB: int64(4000 * factor)}
-		e.Observe(spec, task, Measurement{Used: used, At: at})
+		e.Observe(spec, task, Usage{Used: used, At: at})
 	}
 }
 
@@ -52,7 +52,7 @@
 	e := NewEstimator()
 	observe(e, "k", 40, 1, 1)
 	underdeclared := &model.JobSpec{ID: "liar", Team: "t", Kind: "k", Declared: declared}
-	e.Observe(underdeclared, &model.Task{ID: "x", Started: 1}, Measurement{Used: model.Resources{MemoryMB: 30_000}, At: 2})
+	e.Observe(underdeclared, &model.Task{ID: "x", Started: 1}, Usage{Used: model.Resources{MemoryMB: 30_000}, At: 2})
 	is.Equal(e.Size(underdeclared).MemoryMB, int64(30_000))
 	is.True(e.Size(&model.JobSpec{ID: "other", Team: "t", Kind: "k", Declared: declared}).MemoryMB < 6000)
 }
@@ -62,13 +62,13 @@
 	task := &model.Task{Size: declared, Started: 0}
 	low := model.Resources{MilliCPU: 100, MemoryMB: 400}
 	later := model.Instant(0).Add(time.Hour)
-	is.Equal(Charge(task, Measurement{}, later), declared)                                                                  // never measured
-	is.Equal(Charge(task, Measurement{low, later.Add(-10 * time.Minute)}, later), declared)                                 // measured too long ago
-	is.Equal(Charge(task, Measurement{low, 1000}, 1000), declared)                                                          // during the warm-up
-	is.Equal(Charge(task, Measurement{low, later}, later), model.Resources{MilliCPU: 500, MemoryMB: 2000, Accelerators: 1}) // reclaimFloor stays charged
-	is.Equal(Charge(task, Measurement{model.Resources{MemoryMB: 9000}, 1}, later).MemoryMB, int64(9000))                    // use above the declared size counts at once
+	is.Equal(Charge(task, Usage{}, later), declared)                                                                  // never measured
+	is.Equal(Charge(task, Usage{low, later.Add(-10 * time.Minute)}, later), declared)                                 // measured too long ago
+	is.Equal(Charge(task, Usage{low, 1000}, 1000), declared)                                                          // during the warm-up
+	is.Equal(Charge(task, Usage{low, later}, later), model.Resources{MilliCPU: 500, MemoryMB: 2000, Accelerators: 1}) // reclaimFloor stays charged
+	is.Equal(Charge(task, Usage{model.Resources{MemoryMB: 9000}, 1}, later).MemoryMB, int64(9000))                    // use above the declared size counts at once
 	task.Throttled = true
-	is.Equal(Charge(task, Measurement{}, later).MilliCPU, int64(250))
+	is.Equal(Charge(task, Usage{}, later).MilliCPU, int64(250))
 }
 
 // A caller may use a new kind for each job. Unless classes are dropped, the leader's
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -177,7 +177,7 @@
 // Charge returns the estimated resources that a task needs of its worker now.
 func (ix *Index) Charge(t *model.Task) model.Resources {
 	u := ix.Snap.Usage[t.ID]
-	return estimate.Charge(t, estimate.Measurement{Used: u.Used, At: u.At}, ix.Snap.Now)
+	return estimate.Charge(t, estimate.Usage{Used: u.Used, At: u.At}, ix.Snap.Now)
 }
 
 func (ix *Index) addSite() {
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -213,7 +213,7 @@
 		u := s.Usage[id]
 		task := s.View.Tasks[id]
 		if job := s.View.Jobs[sim.runs[id].task.Job]; job != nil && task != nil {
-			sim.sizes.Observe(&job.Spec, task, estimate.Measurement{Used: u.Used, At: u.At})
+			sim.sizes.Observe(&job.Spec, task, estimate.Usage{Used: u.Used, At: u.At})
 		}
 	}
 }
