--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -17,7 +17,7 @@
 	// adviceTimeout bounds one request. The advisor takes some time per worker
 	// named and answers this VM's requests one after another.
 	adviceTimeout = 3 * time.Second
-	// adviceRetryPause is the pause after a request without an answer.
+	// adviceRetryPause is the pause after a request without a reply.
 	adviceRetryPause = 200 * time.Millisecond
 	// maxAdviceQueue bounds the queued requests.
 	maxAdviceQueue = 512
@@ -30,7 +30,7 @@
 	Advise(ctx context.Context, step schedule.StepRef, workers []workload.WorkerID) (schedule.Advice, time.Duration, error)
 }
 
-// adviceCache holds the advisor's answers. A ticket is dropped shortly before
+// adviceCache holds the advisor's replies. A ticket is dropped shortly before
 // it becomes invalid, so that an order can still reach the worker with it.
 type adviceCache struct {
 	mu        sync.Mutex
@@ -108,7 +108,7 @@
 	}
 }
 
-// runAdvice sends requests to the advisor, one at a time.
+// runAdvice sends the queued requests to the advisor, one at a time.
 func (d *Dispatcher) runAdvice(ctx context.Context) {
 	d.advice.now = d.now
 	for ctx.Err() == nil {
@@ -120,11 +120,13 @@
 			}
 			continue
 		}
-		d.askAdvisor(ctx, step)
+		d.requestAdvice(ctx, step)
 	}
 }
 
-func (d *Dispatcher) askAdvisor(ctx context.Context, step schedule.StepRef) {
+// requestAdvice requests the advice for one step and caches it for 80 % of the
+// time for which it is valid.
+func (d *Dispatcher) requestAdvice(ctx context.Context, step schedule.StepRef) {
 	var workers []workload.WorkerID
 	d.config.Machine.Read(func(t *workload.Tables) {
 		job := t.Jobs[step.Job]
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -13,7 +13,8 @@
 // measureInterval is the time between two counts of jobs and workers.
 const measureInterval = time.Second
 
-// counters holds the metrics of the dispatcher.
+// counters holds the metrics of the dispatcher. stalls is published as
+// dispatch.standstills, unresponsiveWorkers as dispatch.workers.silent.
 type counters struct {
 	registry                             metrics.Registry
 	unknownOutcomes, callsFailed, stalls metrics.Counter
@@ -51,8 +52,8 @@
 	for refusal := workers.RefusedFence; refusal <= workers.RefusedIncarnation; refusal++ {
 		c.refusal(refusal).Inc(0)
 	}
-	for answer := FleetDone; answer <= FleetRateLimited; answer++ {
-		c.order(answer).Inc(0)
+	for reply := FleetDone; reply <= FleetRateLimited; reply++ {
+		c.order(reply).Inc(0)
 	}
 	return c
 }
@@ -79,8 +80,8 @@
 	}
 }
 
-// recordFirstStarts records how long the jobs waited that the plan starts for
-// the first time.
+// recordFirstStarts records how long jobs waited from their acceptance to the
+// first start of one of their tasks.
 func (c *counters) recordFirstStarts(t *workload.Tables, starts []workload.Start, nowMS int64) {
 	recorded := map[workload.JobID]bool{}
 	for i := range starts {
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// The count of a task's crashes must survive lost answers, late orders, workers
+// The count of a task's crashes must survive lost replies, late orders, workers
 // that are cut off and changes of leader, and each crash must be counted once.
 func TestCrashesAreCountedOnceDespiteFaults(t *testing.T) {
 	for seed := range uint64(seeds(t) / 2) {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -33,7 +33,8 @@
 	idleRoundInterval = 100 * time.Millisecond
 	// leadershipCheckInterval is how often a core VM checks whether it leads.
 	leadershipCheckInterval = 20 * time.Millisecond
-	// proposeTimeout bounds one commit. By then leadership is long lost.
+	// proposeTimeout bounds one commit. A leader that can't commit loses its
+	// leadership much sooner.
 	proposeTimeout = 5 * time.Second
 	// maxContactAge bounds the age of the last contact with a worker that gets new
 	// work. It allows for two lost reports in a row.
@@ -87,8 +88,8 @@
 	// term is the term in which this VM acts as the leader, 0 for none.
 	term  uint64
 	links map[workload.WorkerID]*link
-	// endedIncarnations holds incarnations that have ended, so that a late report
-	// does not add one again.
+	// endedIncarnations holds when incarnations were found to have ended, so that a
+	// late report does not add one again.
 	endedIncarnations map[workload.WorkerID]time.Duration
 	// stalled lists the long-running runs that were found stalled in this round.
 	stalled []stalledRun
@@ -100,10 +101,12 @@
 	lostContacts map[workload.WorkerID]lostContact
 	// prunedAt is when ended jobs were last pruned.
 	prunedAt time.Duration
-	leading  context.Context
-	group    *conc.WaitGroup
-	fleet    *fleetState
-	advice   *adviceCache
+	// leading ends when this VM stops leading; group holds the goroutines of the
+	// term.
+	leading context.Context
+	group   *conc.WaitGroup
+	fleet   *fleetState
+	advice  *adviceCache
 	// skipBudget lets long-running tasks be stopped regardless of how many others
 	// of their step are unavailable. Tests use it to switch the rule off.
 	skipBudget bool
@@ -240,7 +243,7 @@
 	for run := range runs {
 		l.inherited[run] = true
 	}
-	l.wanted = len(runs) > 0
+	l.needsCalls = len(runs) > 0
 	// The previous leader may have granted a lease until just now.
 	l.lease.expiresAt = l.d.now() + time.Duration(float64(l.d.config.LeaseMax)/slowestClockRate) + expiryMargin
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -11,7 +11,7 @@
 // one stopped, and an order whose answer was lost is sent again.
 //
 // A run is removed from the state only when it is certain that it does not run:
-// its end was listed, or a list requested after the answer to its order lacks
+// its end was listed, or a list requested after the reply to its order lacks
 // it, or every lease that its worker can hold has expired, or another
 // incarnation answered in the worker's place.
 package dispatch
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -7,7 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// markClosing keeps new work off the workers whose VMs are about to leave.
+// markClosing marks the workers whose VMs are closing or have an order in
+// flight, so that they get no new work, and those whose VMs will be maintained.
 func (d *Dispatcher) markClosing() {
 	f := d.fleet
 	closed := map[workload.WorkerID]bool{}
@@ -23,7 +24,7 @@
 	}
 	for id, l := range d.links {
 		l.mu.Lock()
-		l.closing, l.maintenanceAhead = closed[id], maintenance[id]
+		l.closing, l.maintenanceSoon = closed[id], maintenance[id]
 		l.mu.Unlock()
 	}
 }
@@ -44,8 +45,8 @@
 	return awaiting
 }
 
-// evict stops the runs that keep a closing VM from its order, and long-running
-// tasks on draining workers.
+// evict stops the runs that delay the maintenance of a closing VM, and the
+// long-running tasks on draining workers.
 func (d *Dispatcher) evict(t *workload.Tables, now time.Duration) {
 	d.fleet.lackingWorker = map[string]bool{}
 	d.fleet.awaitingRestart = d.poolsAwaitingRestart(t, now)
@@ -63,6 +64,8 @@
 	}
 }
 
+// evictWorker evicts the long-running tasks of a worker as far as their budgets
+// allow, and its other tasks if shortTasks is set.
 func (d *Dispatcher) evictWorker(t *workload.Tables, id workload.WorkerID, shortTasks bool) {
 	l := d.links[id]
 	if l == nil {
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -66,7 +66,7 @@
 var _ workers.Client = fakeNet{}
 
 // deliver finds the incarnation that a call reaches. It returns an error if the
-// call gets no answer.
+// call gets no reply.
 func (n fakeNet) deliver(to workers.Target, deliverLate func(*standin.Worker)) (*standin.Worker, workers.Refusal, error) {
 	for _, f := range n.sim.workers {
 		if f.address != to.Address {
@@ -98,9 +98,9 @@
 	return nil, 0, &workers.CallError{Verdict: model.NotRun, Err: io.EOF}
 }
 
-// lostAnswer returns an error if the call was carried out and its answer is
+// lostReply returns an error if the call was carried out and its reply is
 // lost.
-func (n fakeNet) lostAnswer() error {
+func (n fakeNet) lostReply() error {
 	if n.sim.chance(n.sim.faultPercent / 3) {
 		return &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 	}
@@ -121,11 +121,11 @@
 	if err != nil || refusal != workers.Accepted {
 		return workers.Reply{Refusal: refusal}, err
 	}
-	answer := start(worker)
+	reply := start(worker)
 	if worker.Terminated && n.sim.chance(50) {
 		return workers.Reply{}, &workers.CallError{Verdict: model.MayHaveRun, Err: io.EOF}
 	}
-	return answer, n.lostAnswer()
+	return reply, n.lostReply()
 }
 
 func (n fakeNet) Stop(_ context.Context, to workers.Target, run workload.RunRef, fence uint64) (workers.Reply, error) {
@@ -136,7 +136,7 @@
 	if n.sim.onStop != nil && slices.Contains(worker.Running(), run) {
 		n.sim.onStop(worker, run)
 	}
-	return worker.Stop(run, fence, n.sim.now), n.lostAnswer()
+	return worker.Stop(run, fence, n.sim.now), n.lostReply()
 }
 
 func (n fakeNet) Hold(_ context.Context, to workers.Target, o workers.HoldOrder) (workers.List, error) {
@@ -148,7 +148,7 @@
 	if n.sim.unreadablePercent > 0 && n.sim.chance(n.sim.unreadablePercent) {
 		n.sim.corruptRow(&list)
 	}
-	return list, n.lostAnswer()
+	return list, n.lostReply()
 }
 
 // corruptRow makes one row of a list unreadable, in the form in which the
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -13,8 +13,8 @@
 	// fleetInterval is the time between two decisions about VMs.
 	fleetInterval = 60 * time.Millisecond
 	// listInterval is the time between two lists of VMs while no order is in
-	// flight, fastListInterval while one is. Reads are priced, and limited for the
-	// whole site.
+	// flight, fastListInterval while one is. The platform charges for reads and
+	// limits their rate for the whole site.
 	listInterval     = 3 * time.Second
 	fastListInterval = 350 * time.Millisecond
 	// fleetTimeout bounds one call to the platform.
@@ -124,14 +124,13 @@
 	d.markClosing()
 }
 
-// recentOrderAge is the age below which an order of the previous leader must
-// not be followed by one of this leader at once. Clocks differ between VMs by
-// seconds.
+// recentOrderAge is the age below which an order of the previous leader delays
+// the first order of this leader for the same VM. It allows for clocks that differ
+// by seconds between VMs.
 const recentOrderAge = 10 * time.Second
 
-// blockRecentlyOrdered blocks orders, for a while after this leader took over,
-// for the VMs to which the previous leader may just have sent one. Orders of
-// two holders must not alternate.
+// blockRecentlyOrdered delays orders for the VMs for which the previous leader
+// may just have sent one, as orders of two leaders for one VM must not alternate.
 func (d *Dispatcher) blockRecentlyOrdered(now time.Duration) {
 	f := d.fleet
 	if f.lastLeaderChecked {
@@ -152,9 +151,10 @@
 	d.config.Logger.WithField("vms", len(f.blockedUntil)).Info("VMs left alone that the last leader may just have ordered")
 }
 
-// latestOrderTime bounds when the previous leader's order for a VM was sent:
-// before the next leader began, and within fleetTimeout of its intent, which
-// was committed before this process learnt of it. With the first bound alone
+// latestOrderTime returns the latest time at which the previous leader can have
+// sent its order for a VM: before the term of this leader began, and within
+// fleetTimeout of the order's intent, which was committed before this process
+// applied it. With the first bound alone
 // all VMs of a busy site would be blocked for a whole lease at each change of
 // leader, as each of them was ordered in the last seconds.
 func latestOrderTime(t *workload.Tables, machine workload.MachineID, began time.Duration) time.Duration {
@@ -194,8 +194,8 @@
 	return plan
 }
 
-// hasListedRuns reports whether a worker lists a run, or may have one that the
-// state does not hold.
+// hasListedRuns reports whether the worker's last list holds any run, including
+// one that the state does not hold.
 func (d *Dispatcher) hasListedRuns(id workload.WorkerID) bool {
 	l := d.links[id]
 	if l == nil {
@@ -220,7 +220,7 @@
 	return now - l.idleSince
 }
 
-// listVMsWhenDue reads the list of VMs in the background.
+// listVMsWhenDue requests the list of VMs in the background if it is due.
 func (d *Dispatcher) listVMsWhenDue(ctx context.Context) {
 	f, now := d.fleet, d.now()
 	interval := listInterval
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -17,13 +17,13 @@
 	Maintain(ctx context.Context, vm workload.MachineID, wave int64, holder string, fence uint64) (FleetAnswer, error)
 }
 
-// FleetAnswer is the platform's answer to an order.
+// FleetAnswer is the platform's reply to an order.
 type FleetAnswer uint8
 
-// The answers of the platform.
+// The replies of the platform.
 const (
 	FleetDone FleetAnswer = iota
-	// FleetFenced: a later leader has given orders for the VM.
+	// FleetFenced: a later leader has sent orders for the VM.
 	FleetFenced
 	// FleetBusy: the VM is not up, or is leaving.
 	FleetBusy
@@ -35,7 +35,7 @@
 	FleetRateLimited
 )
 
-// String names the answer for log lines.
+// String names the reply for log lines.
 func (a FleetAnswer) String() string {
 	return [...]string{"done", "fence", "busy", "wave", "unknown", "limited"}[a]
 }
@@ -45,7 +45,7 @@
 type flight struct {
 	capacity.InFlightOrder
 	calling, done bool
-	// retryAt is when an order without an answer is sent again.
+	// retryAt is when an order without a reply is sent again.
 	retryAt time.Duration
 }
 
@@ -99,28 +99,28 @@
 	return true
 }
 
-// sendFlight sends an order in the background. Nothing may run on the worker:
-// it was marked as closing under the lock before, so no new start is decided,
-// and a start that was decided earlier is committed and seen.
+// sendFlight sends an order in the background. Nothing may run on the worker. The
+// caller holds the lock until markClosing has marked the worker, so no new start
+// is decided; carryOutOrder checks for starts that were decided earlier.
 func (d *Dispatcher) sendFlight(ctx context.Context, term uint64, fl *flight) {
 	fl.calling = true
 	d.group.Go(func() {
 		limited, cancel := context.WithTimeout(ctx, fleetTimeout)
 		defer cancel()
-		answer, err := d.carryOutOrder(limited, term, fl)
+		reply, err := d.carryOutOrder(limited, term, fl)
 		d.mu.Lock()
 		fl.calling = false
-		d.handleFleetAnswer(fl, answer, err)
+		d.handleFleetReply(fl, reply, err)
 		d.mu.Unlock()
 		if err == nil {
-			d.commitFleetAnswer(ctx, term, fl, answer)
+			d.commitFleetReply(ctx, term, fl, reply)
 		}
 	})
 }
 
-// carryOutOrder closes the worker by a commit, checks again that it is empty
-// and calls the platform. A start that was decided earlier is either committed
-// before that, and then seen, or refused.
+// carryOutOrder commits that the worker is closed, checks again that it has no
+// runs and calls the platform. A start that was decided earlier is either
+// committed before the worker is closed, and then found by the check, or refused.
 func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
 	o := fl.Order
 	intent := &workload.Command{Term: term, Ordered: []workload.MachineID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
@@ -143,18 +143,18 @@
 	return empty
 }
 
-// handleFleetAnswer updates a flight after its call.
-func (d *Dispatcher) handleFleetAnswer(fl *flight, answer FleetAnswer, err error) {
+// handleFleetReply updates a flight after its call.
+func (d *Dispatcher) handleFleetReply(fl *flight, reply FleetAnswer, err error) {
 	f, now := d.fleet, d.now()
 	if err != nil {
-		// The order may have been carried out, or may still be. Only an answer to a
+		// The order may have been carried out, or may still be. Only a reply to a
 		// retry shows which.
 		fl.retryAt = now + fleetRetryPause
 		d.logFleetError("an order to the platform was not answered", err)
 		return
 	}
-	d.logFleetAnswer(fl.Order, answer)
-	if answer == FleetDone {
+	d.logFleetReply(fl.Order, reply)
+	if reply == FleetDone {
 		fl.done, fl.Sent = true, now
 		return
 	}
@@ -162,15 +162,15 @@
 	f.blockedUntil[fl.Order.Machine] = now + fleetRetryPause
 }
 
-// commitFleetAnswer commits the consequences of an answered order.
-func (d *Dispatcher) commitFleetAnswer(ctx context.Context, term uint64, fl *flight, answer FleetAnswer) {
+// commitFleetReply commits the consequences of the reply to an order.
+func (d *Dispatcher) commitFleetReply(ctx context.Context, term uint64, fl *flight, reply FleetAnswer) {
 	c := &workload.Command{Term: term}
-	if fl.Order.Kind == capacity.Maintain && (answer == FleetDone || answer == FleetUnknown || answer == FleetWrongWave) {
+	if fl.Order.Kind == capacity.Maintain && (reply == FleetDone || reply == FleetUnknown || reply == FleetWrongWave) {
 		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, Machine: fl.Order.Machine})
 	}
 	switch {
 	case fl.Worker == "":
-	case answer == FleetDone:
+	case reply == FleetDone:
 		c.EndedWorkers = append(c.EndedWorkers, fl.Worker)
 	default:
 		c.Open = append(c.Open, fl.Worker)
@@ -189,7 +189,7 @@
 
 // reopenWorkers opens the workers that are closed without an order for their VM
 // in flight, because the commit that should have opened them failed. This
-// commit may arrive after a new order for the same VM. The link's closing mark
+// commit may be applied after a new order for the same VM has begun. link.closing
 // then still prevents starts.
 func (d *Dispatcher) reopenWorkers(ctx context.Context, term uint64) {
 	if d.fleet.reopening || len(d.closedWithoutOrder()) == 0 {
--- a/internal/dispatch/freed_test.go
+++ b/internal/dispatch/freed_test.go
@@ -34,8 +34,8 @@
 }
 
 // A core must not stay idle for the time of a commit between two tasks at peak
-// load. This happened when a task ended on a full worker while another waited,
-// and the capacity was reused only after the commit that recorded the end.
+// load. This happened on a full worker with waiting tasks while the capacity of
+// an ended task was reused only after the commit that recorded its end.
 func TestCapacityIsReusedInTheCommitOfTheEnd(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(3)
--- a/internal/dispatch/giveup_test.go
+++ b/internal/dispatch/giveup_test.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// A job must not stay running forever on a healthy, idle worker. A start goes
-// to a worker that is cut off. Its leases expire and the run is abandoned, but
-// the log accepts no command. Then the worker is reachable again, and later the
-// log. The run was not sent again, as it was abandoned, and its end was not
-// certain any more, as the worker's lease was renewed.
+// A job must not stay in the running state forever without a run. A start gets no
+// reply because the worker is cut off. Its leases expire and the run is abandoned,
+// but the release can't be committed. Then the worker is reachable again, and
+// later the log. The fault was that the run was neither sent again, as it was
+// abandoned, nor released, as the renewed lease had not expired.
 func TestAbandonedRunIsReleasedLater(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(3)
@@ -42,7 +42,7 @@
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{{Count: 1, Need: workload.Resources{CPU: 100}}}}}}})
 	f.partitioned = true
 	for range 40 {
-		sim.stepLink(l, 100*time.Millisecond) // the start gets no answer
+		sim.stepLink(l, 100*time.Millisecond) // the start gets no reply
 	}
 	sim.refuseProposals = true
 	for range 60 {
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -14,14 +14,14 @@
 	// bounds the age of the known progress of its tasks, and must leave several
 	// tries within a lease.
 	holdWait = 1000 * time.Millisecond
-	// shortHoldWait is the wait after a call without an answer. Each lost call
+	// shortHoldWait is the wait after a call without a reply. Each lost call
 	// delays the ends of the worker's tasks by its wait.
 	shortHoldWait = 250 * time.Millisecond
-	// shortHoldPeriod is how long waits stay short after that.
+	// shortHoldPeriod is how long waits stay short after a call without a reply.
 	shortHoldPeriod = 5 * time.Second
 	// holdSlack is the time allowed for the call in addition to the wait.
 	holdSlack = 300 * time.Millisecond
-	// holdRetryPause is the pause after a call without an answer.
+	// holdRetryPause is the pause after a call without a reply.
 	holdRetryPause    = 150 * time.Millisecond
 	maxHoldRetryPause = 900 * time.Millisecond
 	// commitWait is how long the next call waits for the listed ends to be
@@ -53,9 +53,9 @@
 	}
 }
 
-// maxHoldsPerSecond is the target limit for all list requests of a leader
-// together. Beside the starts of a peak more of them would take most of its
-// processor and delay every answer.
+// maxHoldsPerSecond is the intended maximum rate of all list requests of a
+// leader. At a peak, when it also sends many starts, more of them would take most
+// of its processor and delay every reply.
 const maxHoldsPerSecond = 600
 
 // unpacedWorkers is how many workers are called without a pause. A site of that
@@ -63,8 +63,8 @@
 // task of a full worker.
 const unpacedWorkers = 60
 
-// holdPause is the pause between two calls to one worker that keeps all calls
-// within that rate.
+// holdPause returns the pause between two calls to one worker that keeps all
+// calls within maxHoldsPerSecond.
 func (d *Dispatcher) holdPause() time.Duration {
 	return time.Duration(max(d.heldWorkers.Load()-unpacedWorkers, 0)) * time.Second / maxHoldsPerSecond
 }
@@ -73,17 +73,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	unconfirmed := l.failures > 0 && l.d.now()-l.lastReport < maxContactAge
-	return !l.replaced && !l.fenced && (l.wanted || l.checkIncarnation || len(l.running) > 0 || unconfirmed)
+	return !l.replaced && !l.fenced && (l.needsCalls || l.checkIncarnation || len(l.running) > 0 || unconfirmed)
 }
 
-// retryPause grows with the number of consecutive calls without an answer.
+// retryPause grows with the number of consecutive calls without a reply.
 func (l *link) retryPause() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return min(time.Duration(max(l.failures, 1))*holdRetryPause, maxHoldRetryPause)
 }
 
-// hold makes one call. It returns false if it got no answer.
+// hold makes one call. It returns false if it got no reply.
 func (l *link) hold(ctx context.Context) bool {
 	sentAt := l.d.now()
 	o := l.holdOrder(sentAt)
@@ -99,8 +99,8 @@
 		l.lastHoldFailure = l.d.now()
 		return false
 	}
-	// The worker read its clock when it wrote the answer, after its wait.
-	l.recordAnswer(list.Reply, l.d.now()-time.Millisecond)
+	// The worker read its clock when it wrote the reply, after its wait.
+	l.recordReply(list.Reply, l.d.now()-time.Millisecond)
 	if list.Refusal != workers.Accepted {
 		return true
 	}
@@ -140,7 +140,7 @@
 	return false
 }
 
-// recordList takes over both lists of an answer.
+// recordList takes over both lists of a reply.
 //
 // A list with an unreadable row shows what runs, but not what does not run: a
 // run that it lacks may be the one in that row. If the run were taken for
--- a/internal/dispatch/leadership_test.go
+++ b/internal/dispatch/leadership_test.go
@@ -25,7 +25,7 @@
 		Spec: workload.JobSpec{Steps: []workload.StepSpec{{Count: 1}}}}}})
 	sim.apply(&workload.Command{Starts: []workload.Start{{Worker: l.target.ID, Run: run}}})
 	l.enqueue(call{kind: callStart, run: run})
-	l.wanted = true
+	l.needsCalls = true
 	granted := l.lease.grantedMS
 	sim.term++ // another leader was elected
 	l.sendOrders(context.Background())
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -14,7 +14,7 @@
 // lease is what the leader knows of a worker's clock and leases. The worker
 // measures leases on its own steady clock, which the leader can only estimate:
 // the worker read it at some instant between the sending of the call and the
-// answer.
+// reply.
 type lease struct {
 	clockKnown bool
 	// clockMS is the worker's clock as read between sentAt and receivedAt.
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -18,7 +18,7 @@
 	fence  uint64
 	cancel context.CancelFunc
 	// orderReady holds one token when there may be an order to send, listDue one
-	// when the worker should be asked for its list.
+	// when the worker's list should be requested.
 	orderReady, listDue chan struct{}
 
 	mu     sync.Mutex
@@ -31,22 +31,25 @@
 	// lastContact is when the worker last answered or reported, listedAt when the
 	// call that returned the lists was sent; 0 before the first.
 	lastContact, listedAt time.Duration
-	// lastAnswer is when it last answered a call, failures the number of calls
-	// since then that got no answer.
-	lastAnswer time.Duration
-	failures   int
+	// lastReply is when it last answered a call, failures the number of calls
+	// since then that got no reply.
+	lastReply time.Duration
+	failures  int
 	// firstFailure is when the first of them failed, 0 while none has.
 	firstFailure time.Duration
-	// lastHoldFailure is when a call for the lists last got no answer, 0 for
+	// lastHoldFailure is when a call for the lists last got no reply, 0 for
 	// never.
 	lastHoldFailure time.Duration
 	running         map[workload.RunRef]*observedRun
 	ends            []workload.End
 	// unreadableRows counts the rows of the last list that could not be read.
 	unreadableRows int
-	// wanted is true while runs are committed on the worker, or it has recorded
-	// losses and reported recently, so that it must be called.
-	wanted        bool
+	// needsCalls is true while runs are committed on the worker, or it has recorded
+	// losses and reported recently: the leader must renew its leases or learn what
+	// runs there.
+	needsCalls bool
+	// acked is the number of the last committed end, scored that of the last end
+	// that was counted for or against the worker.
 	acked, scored uint64
 	// checkIncarnation is set when another incarnation reports from the address
 	// and the worker must confirm that it still runs.
@@ -68,19 +71,19 @@
 	// evicted holds runs that are stopped although their job continues.
 	evicted map[workload.RunRef]bool
 	// dirty is set when anything about the worker changed since the last
-	// reconciliation. reconciledChanges is the change count of its runs as of
-	// then.
+	// reconciliation. reconciledChanges is Tables.Changes of the worker at that
+	// time.
 	dirty             bool
 	reconciledChanges uint64
 	reconciledAt      time.Duration
-	// listsUnplanned: at that reconciliation the worker listed a run that is not
-	// committed there.
+	// listsUnplanned: at the last reconciliation the worker listed a run that is
+	// not committed there.
 	listsUnplanned bool
 	// idleSince is since when nothing is committed or listed here, 0 while
 	// something is.
 	idleSince time.Duration
-	// maintenanceAhead: the VM is in a wave and its maintenance has not begun.
-	maintenanceAhead bool
+	// maintenanceSoon: the VM is in a wave and its maintenance has not begun.
+	maintenanceSoon bool
 }
 
 // observedRun is a run that the worker listed.
@@ -102,10 +105,10 @@
 // order records what was requested from a worker for a run.
 type order struct {
 	start, stop callState
-	// refusal is the answer to the start.
+	// refusal is that of the reply to the start.
 	refusal workers.Refusal
 	// uncertain is set when a start was sent and not answered. The worker may
-	// carry it out seconds later, whatever it answers to the next one.
+	// carry it out seconds later, whatever it replies to the next one.
 	uncertain bool
 	// tries counts the calls about the run.
 	tries int
@@ -124,7 +127,7 @@
 // callState is the state of one call.
 type callState struct {
 	queued, calling, sent, answered bool
-	// answeredAt is when the answer arrived.
+	// answeredAt is when the reply arrived.
 	answeredAt time.Duration
 	// sentAt is when the call was first sent.
 	sentAt   time.Duration
@@ -174,10 +177,10 @@
 }
 
 const (
-	// After unresponsiveFailures calls without an answer a worker counts as
+	// After unresponsiveFailures calls without a reply a worker counts as
 	// unresponsive if it has answered none for unresponsiveAfterFailures. After a
 	// single such call it does if it has answered none for unresponsiveAfter. A
-	// single lost answer proves little, as others arrive over the next connection.
+	// single lost reply proves little, as others arrive over the next connection.
 	unresponsiveFailures      = 3
 	unresponsiveAfterFailures = 400 * time.Millisecond
 	unresponsiveAfter         = holdWait + 300*time.Millisecond
@@ -185,7 +188,7 @@
 
 // unresponsive reports whether the worker does not answer.
 func (l *link) unresponsive(now time.Duration) bool {
-	since := now - l.lastAnswer
+	since := now - l.lastReply
 	return l.failures >= unresponsiveFailures && since > unresponsiveAfterFailures || l.failures > 0 && since > unresponsiveAfter
 }
 
@@ -196,8 +199,8 @@
 		(len(l.inherited) == 0 || l.listedAt > 0)
 }
 
-// recordAnswer records an answer of the worker.
-func (l *link) recordAnswer(a workers.Reply, sentAt time.Duration) {
+// recordReply records a reply of the worker.
+func (l *link) recordReply(a workers.Reply, sentAt time.Duration) {
 	now := l.d.now()
 	l.dirty = true
 	if a.Refusal == workers.RefusedIncarnation {
@@ -205,7 +208,7 @@
 		return // another incarnation answered
 	}
 	l.lease.recordClock(a.ClockMS, sentAt, now)
-	l.lastContact, l.lastAnswer, l.failures, l.firstFailure = now, now, 0, 0
+	l.lastContact, l.lastReply, l.failures, l.firstFailure = now, now, 0, 0
 	l.checkIncarnation = false
 	switch a.Refusal {
 	case workers.RefusedFence:
--- a/internal/dispatch/loss.go
+++ b/internal/dispatch/loss.go
@@ -20,7 +20,7 @@
 }
 
 // lostRuns lists what may have been running on a worker that was lost, the
-// youngest run first. A start that was refused for good never ran.
+// youngest run first. It leaves out runs that certainly never started.
 func (l *link) lostRuns(runs map[workload.RunRef]bool) []lostRun {
 	var all []lostRun
 	for run := range runs {
@@ -54,7 +54,7 @@
 }
 
 // minAge returns for how long a run was known to be on its worker at the
-// worker's last answer; negative when nothing shows that it started.
+// worker's last reply; negative when nothing shows that it started.
 func (l *link) minAge(run workload.RunRef) time.Duration {
 	startedAt := time.Duration(-1)
 	if o := l.orders[run]; o != nil && o.start.answeredAt > 0 && !o.certainlyRefused() {
@@ -66,11 +66,11 @@
 	if startedAt < 0 {
 		return -1
 	}
-	return max(l.lastAnswer-startedAt, 0)
+	return max(l.lastReply-startedAt, 0)
 }
 
 // maxAge returns for how long a run can have been on its worker when the worker
-// was lost, which is until the first call that got no answer. It is negative
+// was lost, which is until the first call that got no reply. It is negative
 // for a run that an earlier leader ordered, and when no call was in flight.
 func (l *link) maxAge(run workload.RunRef) time.Duration {
 	o := l.orders[run]
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -15,7 +15,7 @@
 	// maxOrderTimeout, so that a slow worker is not flooded.
 	orderTimeout    = 300 * time.Millisecond
 	maxOrderTimeout = 1200 * time.Millisecond
-	// orderRetryPause is the pause after a call without an answer.
+	// orderRetryPause is the pause after a call without a reply.
 	orderRetryPause = 30 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 	return c, true
 }
 
-// perform makes one call. It returns false if it got no answer.
+// perform makes one call. It returns false if it got no reply.
 func (l *link) perform(ctx context.Context, c call) bool {
 	ctx, cancel := context.WithTimeout(ctx, l.callTimeout(c.run))
 	defer cancel()
@@ -95,7 +95,7 @@
 	}
 	record.start.sent, record.start.calling = true, true
 	l.mu.Unlock()
-	answer, err := l.d.config.Workers.Start(ctx, l.target, o)
+	reply, err := l.d.config.Workers.Start(ctx, l.target, o)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	record.start.calling = false
@@ -110,10 +110,10 @@
 		l.d.wakeUp()
 		return false
 	}
-	l.recordAnswer(answer, sentAt)
-	record.start.answered, record.start.answeredAt, record.refusal = true, l.d.now(), answer.Refusal
-	if answer.Refusal != workers.Accepted {
-		l.d.logRefusal(l.target, run, answer)
+	l.recordReply(reply, sentAt)
+	record.start.answered, record.start.answeredAt, record.refusal = true, l.d.now(), reply.Refusal
+	if reply.Refusal != workers.Accepted {
+		l.d.logRefusal(l.target, run, reply)
 		notify(l.listDue)
 		l.d.wakeUp()
 	}
@@ -139,7 +139,7 @@
 	record := l.orderOf(run)
 	record.stop.queued, record.stop.calling = false, true
 	l.mu.Unlock()
-	answer, err := l.d.config.Workers.Stop(ctx, l.target, run, l.fence)
+	reply, err := l.d.config.Workers.Stop(ctx, l.target, run, l.fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	record.stop.calling = false
@@ -148,7 +148,7 @@
 		l.d.wakeUp()
 		return false
 	}
-	l.recordAnswer(answer, sentAt)
+	l.recordReply(reply, sentAt)
 	record.stop.answered, record.stop.answeredAt = true, l.d.now()
 	notify(l.listDue)
 	return true
@@ -156,7 +156,7 @@
 
 func (l *link) performPace(ctx context.Context, c call) bool {
 	sentAt := l.d.now()
-	answer, err := l.d.config.Workers.Pace(ctx, l.target, c.run, c.percent, l.fence)
+	reply, err := l.d.config.Workers.Pace(ctx, l.target, c.run, c.percent, l.fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
@@ -164,11 +164,11 @@
 		l.recordFailure(err)
 		return false
 	}
-	l.recordAnswer(answer, sentAt)
+	l.recordReply(reply, sentAt)
 	return true
 }
 
-// recordFailure records a call without an answer. A call that was never sent
+// recordFailure records a call without a reply. A call that was never sent
 // shows nothing about the worker's leases, only that it does not take work now.
 func (l *link) recordFailure(err error) {
 	if context.Cause(l.d.leading) != nil {
--- a/internal/dispatch/pace_test.go
+++ b/internal/dispatch/pace_test.go
@@ -9,9 +9,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/workload"
 )
 
-// Users of a long-running task must not wait too long for seconds on end
-// because a best-effort task started beside it disturbs it and keeps its full
-// pace.
+// A best-effort task must be slowed beside a task near its latency target. At
+// full pace it would keep that task above its target for seconds.
 func TestBestEffortTaskIsSlowedBesideATaskNearItsTarget(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(1)
@@ -28,7 +27,7 @@
 	ref := func(id workload.JobID) workload.RunRef {
 		return workload.RunRef{Task: workload.TaskRef{Job: id}, Attempt: 1}
 	}
-	steer := func(load int64) (percent int, changed bool) {
+	adjust := func(load int64) (percent int, changed bool) {
 		l.queue = nil
 		sim.now += 2 * paceInterval
 		l.running = map[workload.RunRef]*observedRun{
@@ -41,13 +40,13 @@
 		}
 		return l.queue[0].percent, true
 	}
-	_, changed := steer(40)
+	_, changed := adjust(40)
 	is.True(!changed)
-	percent, changed := steer(90)
+	percent, changed := adjust(90)
 	is.True(changed)
 	is.Equal(percent, 0)
-	_, changed = steer(65)
+	_, changed = adjust(65)
 	is.True(!changed) // unchanged between the bounds
-	percent, _ = steer(30)
+	percent, _ = adjust(30)
 	is.Equal(percent, paceStep)
 }
--- a/internal/dispatch/reconcile_run.go
+++ b/internal/dispatch/reconcile_run.go
@@ -27,8 +27,8 @@
 	_, listed := l.running[run]
 	if listed {
 		delete(l.inherited, run)
-		// Whichever leader ordered the run, it was ordered. A run that was once
-		// listed must never count as one that was not sent.
+		// A listed run was ordered by this leader or an earlier one. From now on it
+		// must never count as one that was not sent.
 		o.start.sent, o.start.answered, o.refusal = true, true, workers.Accepted
 		if stopping {
 			l.orderStop(run, o, now)
@@ -78,7 +78,7 @@
 }
 
 // unlistedSince returns releasedUnlisted if a list was requested after the
-// answer to a call. The caller has checked that the list lacks the run.
+// reply to a call. The caller has checked that the list lacks the run.
 func (l *link) unlistedSince(p callState) string {
 	if p.answered && l.listedAt > p.answeredAt {
 		return releasedUnlisted
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -75,7 +75,7 @@
 }
 
 // checkPredecessors requests a list from a worker at whose address another
-// incarnation reports. If the worker has ended, the answer shows it at once.
+// incarnation reports. If the worker has ended, the reply shows it at once.
 func (d *Dispatcher) checkPredecessors(r control.Report) {
 	for id, l := range d.links {
 		if id == r.Worker.ID || l.target.Address != r.Worker.Address {
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -29,15 +29,16 @@
 	f.worker.Capacity = capacity
 }
 
-// largest returns the most processor time that a worker reported recently.
+// largest returns the largest processor capacity that a worker reported
+// recently, in thousandths of a core.
 func (r *capacityHistory) largest(worker *standin.Worker, now time.Duration) int64 {
-	most := worker.Capacity.CPU
+	largest := worker.Capacity.CPU
 	for i := range r.previous {
 		if now-r.at[i] <= capacityDelay {
-			most = max(most, r.previous[i].CPU)
+			largest = max(largest, r.previous[i].CPU)
 		}
 	}
-	return most
+	return largest
 }
 
 // checkCapacity checks that the runs of a worker were not started over its
--- a/internal/dispatch/round.go
+++ b/internal/dispatch/round.go
@@ -56,8 +56,8 @@
 	pruneInterval = 30 * time.Second
 )
 
-// prune drops jobs and incarnations that ended so long ago that nobody asks for
-// them. Otherwise the state would grow with every job ever submitted.
+// prune drops jobs and incarnations that ended longer than endedJobRetention ago.
+// Otherwise the state would grow with every job ever submitted.
 func (d *Dispatcher) prune(c *workload.Command) {
 	now := d.now()
 	if now-d.prunedAt < pruneInterval {
@@ -149,7 +149,7 @@
 		c.Lost = append(c.Lost, l.expiredLosses(t, runs, why)...)
 	}
 	hasLosses := len(t.Losses[worker.ID]) > 0
-	if hasLosses && l.failures == 0 && l.lastAnswer > 0 {
+	if hasLosses && l.failures == 0 && l.lastReply > 0 {
 		c.Returned = append(c.Returned, worker.ID)
 	}
 	l.clearSuspects(t, c)
@@ -157,7 +157,7 @@
 	l.forgetOrders(runs)
 	l.detectStalls(t, now)
 	l.adjustPace(t, now)
-	l.setWanted(len(runs) > 0 || hasLosses && now-l.lastReport < maxContactAge)
+	l.setNeedsCalls(len(runs) > 0 || hasLosses && now-l.lastReport < maxContactAge)
 	l.updateIdle(len(runs) == 0 && len(l.running) == 0, now)
 	if len(runs) == 0 && now-l.lastContact > forgetWorkerAfter && l.lastContact > 0 {
 		c.EndedWorkers = append(c.EndedWorkers, worker.ID)
@@ -165,12 +165,12 @@
 	}
 }
 
-// reconcileInterval is how often a worker without changes is reconciled, for
-// what depends on time alone.
+// reconcileInterval is how often a worker without changes is reconciled, because
+// some decisions depend on time alone.
 const reconcileInterval = 150 * time.Millisecond
 
-// isDue reports whether a worker must be reconciled in this round. Most rounds
-// concern few of hundreds of workers.
+// isDue reports whether a worker must be reconciled in this round. In most rounds
+// only a few of hundreds of workers must.
 func (l *link) isDue(changes uint64, now time.Duration) bool {
 	if !l.dirty && changes == l.reconciledChanges && now-l.reconciledAt < reconcileInterval {
 		return false
@@ -194,11 +194,11 @@
 	}
 }
 
-func (l *link) setWanted(wanted bool) {
-	if wanted && !l.wanted {
+func (l *link) setNeedsCalls(wanted bool) {
+	if wanted && !l.needsCalls {
 		notify(l.listDue)
 	}
-	l.wanted = wanted
+	l.needsCalls = wanted
 }
 
 func (l *link) updateIdle(idle bool, now time.Duration) {
@@ -238,7 +238,7 @@
 		w := schedule.Worker{
 			Usable:          l.usable(now) && !l.listsUnplanned,
 			Closing:         l.closing,
-			MaintenanceSoon: l.maintenanceAhead,
+			MaintenanceSoon: l.maintenanceSoon,
 			RecentFailures:  l.suspicion.level(now),
 			RecentSuspects:  suspects[id].count,
 			Isolating:       suspects[id].isolated,
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// massLossWindow is the time within which many workers are lost that have a
-	// common cause.
+	// massLossWindow is the time within which contact with many workers must be
+	// lost to assume a common cause.
 	massLossWindow = 2 * time.Second
 	// A mass loss takes at least massLossShare of a pool and massLossMin workers.
 	massLossShare = 0.5
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -60,7 +60,7 @@
 // maxSuspectWait is how long a suspect waits for a worker of its own.
 const maxSuspectWait = 2 * time.Second
 
-// overdueSuspects lists the suspects that have waited for that long.
+// overdueSuspects lists the suspects that have waited for maxSuspectWait.
 func (d *Dispatcher) overdueSuspects(now time.Duration) map[workload.TaskRef]bool {
 	all := map[workload.TaskRef]bool{}
 	for ref, since := range d.waitingSuspects {
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -12,7 +12,7 @@
 	suspicionDuration = 6 * time.Second
 )
 
-// suspicion rates a worker by how runs end there, not by what it reports. A
+// suspicion rates a worker by how its runs end, not by what it reports. A
 // worker can fail everything it starts and still report that it is healthy.
 type suspicion struct {
 	consecutiveFailures int
@@ -26,7 +26,8 @@
 
 func (s *suspicion) recordSuccess() { s.consecutiveFailures = 0 }
 
-// level is 0 for a worker without suspicion.
+// level returns the number of consecutive failures while the worker is the last
+// choice, 0 otherwise.
 func (s *suspicion) level(now time.Duration) int {
 	if s.consecutiveFailures < suspicionThreshold || now-s.lastFailure > suspicionDuration {
 		return 0
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-// VMs must not be blocked for three seconds after each change of leader while a
-// pool at its peak lacks a third of the capacity that it needs. When the leader
-// was killed and each VM had been ordered within the last seconds, the next
-// leader blocked every VM from its own beginning on, however long ago its last
-// order can have been sent.
+// A change of leader must not block VMs whose last order was certainly sent
+// before the take-over delay. The fault was that a new leader counted the delay
+// from the start of its term for every VM ordered in the last seconds. On a busy
+// site that was all of them: for three seconds none moved, and a pool at its peak
+// lacked a third of the capacity that it needed.
 func TestVMsOrderedLongBeforeTakeOverMoveAtOnce(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(1)
@@ -55,18 +55,18 @@
 	d.config.TakeOverDelay = 3 * time.Second
 	d.fleet = newFleetState(sim.now, &capacity.Demand{})
 	d.blockRecentlyOrdered(sim.now)
-	_, waits := d.fleet.blockedUntil["old"]
-	is.True(!waits)
+	_, blocked := d.fleet.blockedUntil["old"]
+	is.True(!blocked)
 	is.Equal(d.fleet.blockedUntil["late"], sim.now-1600*time.Millisecond+fleetTimeout+3*time.Second)
 	is.Equal(d.fleet.blockedUntil["just"], sim.now+3*time.Second)
 
 	// A process that received the orders in a snapshot knows no earlier time than
 	// that of the snapshot.
-	image, err := sim.machine.Snapshot()
+	snapshot, err := sim.machine.Snapshot()
 	is.NoErr(err)
 	other := workload.NewMachine()
 	other.SetClock(func() time.Duration { return sim.now })
-	is.NoErr(other.Restore(image))
+	is.NoErr(other.Restore(snapshot))
 	other.Read(func(t *workload.Tables) { is.Equal(t.OrderAppliedAt["old"], sim.now) })
 }
 
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -2,10 +2,10 @@
 
 import "github.com/comfreyloom/comfreyloom/internal/workload"
 
-// budgetBlocker decides whether a long-running run may be stopped by an order.
-// The availability budget bounds how many tasks of its step may be unavailable
-// at once, whatever the cause. It returns nil if the run may be stopped, and
-// otherwise one of the tasks that must be available first. Every order that
+// budgetBlocker returns nil if the availability budget of a long-running step
+// allows a run to be stopped, and otherwise one of the tasks that must be available
+// first. The budget bounds how many tasks of the step may be unavailable at once,
+// whatever the cause. Every order that
 // stops a long-running task must check it.
 func (d *Dispatcher) budgetBlocker(run workload.RunRef, spec *workload.StepSpec, step *workload.Step) *workload.TaskRef {
 	return d.findBudgetBlocker(run, spec, step, func(ref workload.TaskRef, task *workload.Task) bool { return d.isAvailable(ref, task) })
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -31,7 +31,7 @@
 	return all
 }
 
-// While a worker's answers don't arrive, nothing is known of the progress of
+// While a worker's replies don't arrive, nothing is known of the progress of
 // its tasks. They must not be stopped as stalled when the worker answers again.
 func TestUnresponsivePeriodIsNotAStall(t *testing.T) {
 	is := is.New(t)
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -25,7 +25,7 @@
 
 var discardLogger = &log.Logger{Handler: text.New(io.Discard), Level: log.FatalLevel}
 
-// simulation is a site in one goroutine: a control log that loses answers,
+// simulation is a site in one goroutine: a control log that loses replies,
 // workers that follow the protocol, and a sequence of leaders. Every step
 // checks the invariants as the workers see them.
 type simulation struct {
