--- a/internal/workload/command.go
+++ b/internal/workload/command.go
@@ -7,7 +7,7 @@
 )
 
 // Command is one entry of the control log. Its parts are applied in a fixed order,
-// see apply.
+// see Tables.apply.
 type Command struct {
 	// AtMS is the leader's time of day when it proposed, in Unix milliseconds.
 	AtMS int64 `cbor:"1,keyasint"`
@@ -27,7 +27,8 @@
 	Due          []DueOccurrence `cbor:"11,keyasint,omitempty"`
 	Starts       []Start         `cbor:"12,keyasint,omitempty"`
 	Wave         *Wave           `cbor:"13,keyasint,omitempty"`
-	Begun        []WaveBegun     `cbor:"14,keyasint,omitempty"`
+	// Begun lists the VMs of waves whose maintenance has begun.
+	Begun []WaveBegun `cbor:"14,keyasint,omitempty"`
 	// Ordered lists the VMs for which the leader is about to send an order to the
 	// platform.
 	Ordered []MachineID `cbor:"16,keyasint,omitempty"`
@@ -46,7 +47,7 @@
 	Sequences []uint64 `cbor:"23,keyasint,omitempty"`
 	// NeverStarted lists the runs in Releases that certainly never began.
 	NeverStarted []RunRef `cbor:"24,keyasint,omitempty"`
-	// Cleared lists the suspects that have run for long enough to be no suspects.
+	// Cleared lists the suspects whose runs have lasted for at least ClearAfterMS.
 	Cleared []TaskRef `cbor:"22,keyasint,omitempty"`
 	// ForgetBeforeMS removes the jobs that ended before this time, in Unix
 	// milliseconds; 0 removes none.
@@ -70,7 +71,7 @@
 	EndDone EndKind = iota + 1
 	// EndFailed means that the task or its worker failed; it counts as an attempt.
 	EndFailed
-	// EndStopped means that the run was stopped on our request.
+	// EndStopped means that the run was stopped by an order of the leader.
 	EndStopped
 	// EndLapsed means that the lease of the run expired.
 	EndLapsed
--- a/internal/workload/crash.go
+++ b/internal/workload/crash.go
@@ -33,8 +33,8 @@
 }
 
 const (
-	// isolatedCrashesToConfirm is the number of crashes with the task alone that
-	// confirm it as the cause. One also happens to healthy tasks.
+	// isolatedCrashesToConfirm is the number of isolated crashes that confirm a task
+	// as their cause. A single one also happens to healthy tasks.
 	isolatedCrashesToConfirm = 2
 	// After lossThreshold workers were lost under a task, it gets maxRetries more
 	// starts. The limit applies once at least minCrashes workers are known to have
@@ -81,9 +81,9 @@
 	for ref, s := range t.Suspects {
 		f(ref, s.Crashes+t.unconfirmedLosses[ref])
 	}
-	for ref, m := range t.unconfirmedLosses {
+	for ref, lost := range t.unconfirmedLosses {
 		if t.Suspects[ref] == nil {
-			f(ref, m)
+			f(ref, lost)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 	t.unconfirmedLosses[loss.Run.Task]++
 }
 
-// dropLosses removes and returns the losses recorded for a worker. On its own it
-// counts no crash: the worker is back or was ended on purpose.
+// dropLosses removes and returns the losses recorded for a worker. It counts no
+// crash: unless the caller counts them, the worker is back or was ended on purpose.
 func (t *Tables) dropLosses(id WorkerID) []Loss {
 	losses := t.Losses[id]
 	delete(t.Losses, id)
--- a/internal/workload/crash_test.go
+++ b/internal/workload/crash_test.go
@@ -23,13 +23,13 @@
 	l.do(&Command{AtMS: 1000, Starts: []Start{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}}}})
 }
 
-func lossOn(id WorkerID, attempt int, ageMS int64, alone bool) []Loss {
-	return []Loss{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}, AgeMS: ageMS, Isolated: alone}}
+func lossOn(id WorkerID, attempt int, ageMS int64, isolated bool) []Loss {
+	return []Loss{{Worker: id, Run: RunRef{Task: suspectTask, Attempt: attempt}, AgeMS: ageMS, Isolated: isolated}}
 }
 
 // crash commits that a worker crashed under its run.
-func (l *log) crash(id WorkerID, attempt int, ageMS int64, alone bool) {
-	l.do(&Command{AtMS: 2000, Lost: lossOn(id, attempt, ageMS, alone), Crashed: []WorkerID{id}, EndedWorkers: []WorkerID{id}})
+func (l *log) crash(id WorkerID, attempt int, ageMS int64, isolated bool) {
+	l.do(&Command{AtMS: 2000, Lost: lossOn(id, attempt, ageMS, isolated), Crashed: []WorkerID{id}, EndedWorkers: []WorkerID{id}})
 }
 
 func (l *log) lostWorkers() (lost int) {
@@ -79,13 +79,14 @@
 	is.Equal(l.lostWorkers(), 0)
 }
 
-// A job fails after two crashes soon after its task was started alone.
+// A job fails after two crashes of workers soon after its task was started in
+// isolation.
 func TestJobFailsAfterTwoIsolatedCrashes(t *testing.T) {
-	for name, alone := range map[string][]bool{"at once": {true, true}, "beside other runs first": {false, false, true, true}} {
+	for name, isolated := range map[string][]bool{"at once": {true, true}, "beside other runs first": {false, false, true, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := crashLog()
-			for i, a := range alone {
+			for i, a := range isolated {
 				is.Equal(l.job("j").State != JobFailed, true)
 				id := WorkerID(rune('a' + i))
 				l.startOn(id, i+1)
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -78,7 +78,7 @@
 	MaxPerWorker int
 	// TargetMS is the latency that a long-running task must stay below; 0 for none.
 	TargetMS int64
-	// MaxUnavailable limits how many tasks of a long-running step we may make
+	// MaxUnavailable limits how many tasks of a long-running step the leader may make
 	// unavailable at once; 0 when the caller states no limit.
 	MaxUnavailable int
 	// Checkpoints is set when a task saves its progress and can resume from it.
--- a/internal/workload/machine.go
+++ b/internal/workload/machine.go
@@ -33,8 +33,8 @@
 	return &Machine{tables: newTables(), applied: make(chan struct{})}
 }
 
-// SetClock makes the machine record when it applies orders to the platform. It must
-// be called before anything is applied.
+// SetClock makes the machine record in OrderAppliedAt when it applies commands that
+// announce orders to the platform. It must be called before anything is applied.
 func (m *Machine) SetClock(steady func() time.Duration) { m.clock = steady }
 
 // Apply applies the command at an index of the log. A command that cannot be
--- a/internal/workload/machine_test.go
+++ b/internal/workload/machine_test.go
@@ -244,6 +244,7 @@
 	l.Read(func(tables *Tables) { is.True(!tables.Workers["w"].Closed) })
 }
 
+// Only jobs that ended before ForgetBeforeMS are removed.
 func TestOnlyEndedJobsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
--- a/internal/workload/tables.go
+++ b/internal/workload/tables.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Tables is the state. Readers access it under the lock of the Machine and must not
-// modify it.
+// Tables holds the replicated state and the fields derived from it. Readers access
+// it under the lock of the Machine and must not modify it.
 type Tables struct {
 	Term   uint64
 	Config *Config
@@ -18,10 +18,10 @@
 	Jobs    map[JobID]*Job
 	Workers map[WorkerID]*Worker
 	Waves   map[int64]*Wave
-	// Ordered holds when an order for a VM was last given to the platform, by the
-	// leader's time of day in Unix milliseconds.
+	// Ordered holds when an order for a VM was last announced in a command, before it
+	// was sent to the platform, by the leader's time of day in Unix milliseconds.
 	Ordered map[MachineID]int64
-	// OrderAppliedAt holds when this process applied the last of these orders, by
+	// OrderAppliedAt holds when this process applied the last of these commands, by
 	// its own monotonic clock. It isn't replicated, and is empty without a clock.
 	OrderAppliedAt map[MachineID]time.Duration
 
