--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -23,12 +23,12 @@
 	config := &workload.Config{Version: 1, Pools: []workload.Pool{{Name: "p"}}, Queues: []workload.Queue{
 		{ID: queueID("/q/"), Pool: "p", MaxAttempts: 3, TargetFactor: 2, TargetLatencyMS: 600, TimeoutMS: 1},
 	}}
-	soft := map[workload.WorkerID]Worker{}
+	states := map[workload.WorkerID]Worker{}
 	var all []workload.Worker
 	for i := range 350 {
 		id := workload.WorkerID(fmt.Sprintf("w%d", i))
 		all = append(all, workload.Worker{ID: id, Pool: "p", Capacity: workload.Resources{CPU: 32_000, MemoryMB: 131_072}})
-		soft[id] = Worker{Usable: true}
+		states[id] = Worker{Usable: true}
 	}
 	apply(&workload.Command{Config: config, Workers: all})
 	for i := range 2800 {
@@ -41,7 +41,7 @@
 	for {
 		var plan Plan
 		m.Read(func(t *workload.Tables) {
-			plan = Make(Input{Tables: t, Workers: soft, NowMS: 1500, MaxStarts: 10_000, Advice: advice})
+			plan = Make(Input{Tables: t, Workers: states, NowMS: 1500, MaxStarts: 10_000, Advice: advice})
 		})
 		if len(plan.Starts) == 0 {
 			break
@@ -51,7 +51,7 @@
 	b.ResetTimer()
 	for b.Loop() {
 		m.Read(func(t *workload.Tables) {
-			Make(Input{Tables: t, Workers: soft, NowMS: 1500, MaxStarts: 256, Advice: advice})
+			Make(Input{Tables: t, Workers: states, NowMS: 1500, MaxStarts: 256, Advice: advice})
 		})
 	}
 }
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -93,11 +93,11 @@
 	if rack := rackOf(p.Tables, w); rack != "" && len(racks[rack]) > 0 {
 		return racks[rack]
 	}
-	best, most := fit, 0
+	best, bestCount := fit, 0
 	for _, rack := range sortedKeys(racks) {
 		n := countFits(racks[rack], w.spec())
-		if n >= w.spec().Count && n > most {
-			best, most = racks[rack], n
+		if n >= w.spec().Count && n > bestCount {
+			best, bestCount = racks[rack], n
 		}
 	}
 	return best
--- a/internal/schedule/place_test.go
+++ b/internal/schedule/place_test.go
@@ -183,7 +183,7 @@
 	is.Equal(s.plan().Starts[0].Run.Task.Job, workload.JobID("timely"))
 }
 
-func TestAdvisorIsAskedFirst(t *testing.T) {
+func TestAdviceIsRequestedFirst(t *testing.T) {
 	is := is.New(t)
 	s := newSite()
 	s.apply(&workload.Command{Config: &workload.Config{Version: 2, Pools: []workload.Pool{{Name: "p"}}, Queues: []workload.Queue{
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -31,7 +31,7 @@
 	Isolating bool
 }
 
-// Advice is the answer of a queue's advisor for one step.
+// Advice is the reply of a queue's advisor for one step.
 type Advice struct {
 	// Tickets holds the workers that may run the step, with their tickets.
 	Tickets map[workload.WorkerID]string
@@ -54,7 +54,7 @@
 	// Overdue holds the suspects that have waited long enough for isolation; they
 	// are started like any other task.
 	Overdue map[workload.TaskRef]bool
-	// Advice returns the advisor's answer, nil if the advisor must be asked first.
+	// Advice returns the advisor's reply, nil if it must be requested first.
 	Advice func(StepRef) *Advice
 	// NowMS is the time of day in Unix milliseconds.
 	NowMS int64
@@ -66,7 +66,7 @@
 type Plan struct {
 	Starts []workload.Start
 	Due    []workload.DueOccurrence
-	// AdviceNeeded lists the steps for which the advisor must be asked.
+	// AdviceNeeded lists the steps for which advice must be requested.
 	AdviceNeeded []StepRef
 }
 
--- a/internal/schedule/suspects.go
+++ b/internal/schedule/suspects.go
@@ -52,8 +52,8 @@
 }
 
 // placeSuspects starts the suspects that fit on a worker without recent runs. For
-// the others, and for those in gangs, it reserves the workers that will be
-// available first.
+// the others, and for those in gangs, it reserves the workers with the fewest
+// recent runs.
 func (p *planner) placeSuspects(waiting []waitingStep) {
 	p.reserved = map[string]int{}
 	for _, w := range waiting {
@@ -102,18 +102,18 @@
 	if p.isBusy(pool) {
 		share = reservedShare
 	}
-	most := max(int(share*float64(len(p.pools[pool]))), 1)
-	var able []*candidate
+	limit := max(int(share*float64(len(p.pools[pool]))), 1)
+	var eligible []*candidate
 	for _, c := range fit {
 		if !c.reserved && w.spec().Charge().Fits(c.worker.Capacity) {
-			able = append(able, c)
+			eligible = append(eligible, c)
 		}
 	}
-	slices.SortFunc(able, func(a, b *candidate) int {
+	slices.SortFunc(eligible, func(a, b *candidate) int {
 		return cmp.Or(cmp.Compare(a.recentRuns, b.recentRuns), cmp.Compare(a.runs, b.runs), cmp.Compare(a.worker.ID, b.worker.ID))
 	})
-	for _, c := range able {
-		if count == 0 || p.reserved[pool] >= most {
+	for _, c := range eligible {
+		if count == 0 || p.reserved[pool] >= limit {
 			return
 		}
 		c.reserved = true
