--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -155,9 +155,9 @@
 	is.Equal(orders[0].Pool, "spare")
 }
 
-// A pool whose tasks ask for a kind of worker must get VMs of that kind even if
+// A pool whose tasks require a kind of worker must get VMs of that kind even if
 // it has enough capacity in total; the tasks would otherwise wait for ever.
-func TestVMsOfTheKindAskedForMove(t *testing.T) {
+func TestVMsOfTheRequiredKindMove(t *testing.T) {
 	is := is.New(t)
 	s := newTestSite(map[string]int{"a": 2, "b": 3})
 	s.in.Need = map[string]int64{"a": cores32, "b": 0}
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -26,30 +26,32 @@
 	// exactly.
 	headroom = 1.15
 	// lateWeight is the weight of jobs that can't finish in time any more:
-	// they are still done, but earn hardly anything.
+	// they are still run, but have hardly any value.
 	lateWeight = 0.25
 )
 
-// arrival is work that came at one time, in core-milliseconds times 1000.
+// arrival is work that arrived at one time, in thousandths of a core times
+// milliseconds.
 type arrival struct {
 	at   time.Duration
 	work int64
 }
 
-// Demand tracks the processor time that each pool needs.
+// Demand tracks the processor capacity that each pool needs.
 type Demand struct {
 	// Rules is the zero value in every real process.
 	Rules Rules
 	pools map[string]*poolDemand
-	// lastOrder is the order of the latest job that was counted.
-	lastOrder uint64
-	// firstAt is when the first job came, 0 before.
+	// lastJobOrder is Job.Order of the latest job that was counted.
+	lastJobOrder uint64
+	// firstAt is when the first job arrived, 0 before.
 	firstAt time.Duration
 	peaks   peakTracker
 	// waitingSince is when a long-running task of a pool was first seen without
 	// a run.
 	waitingSince map[string]time.Duration
-	// cpuPerMB is the processor time that comes with a MiB of memory.
+	// cpuPerMB is the processor capacity per MiB of memory of the VMs, in
+	// thousandths of a core.
 	cpuPerMB float64
 }
 
@@ -66,8 +68,8 @@
 
 // isSurge reports whether clearly more jobs arrive than before.
 func (b *burst) isSurge() bool {
-	longer := int((rateWindow - burstWindow) / burstWindow)
-	return b.jobs >= minBurstJobs && b.jobs*longer >= surgeFactor*b.before
+	priorWindows := int((rateWindow - burstWindow) / burstWindow)
+	return b.jobs >= minBurstJobs && b.jobs*priorWindows >= surgeFactor*b.before
 }
 
 func (p *poolDemand) burst(now time.Duration) (b burst) {
@@ -110,7 +112,7 @@
 // Observe counts the jobs accepted since the last call.
 func (d *Demand) Observe(t *workload.Tables, now time.Duration) {
 	d.learnCPUPerMB(t)
-	before := d.lastOrder
+	before := d.lastJobOrder
 	for _, jobs := range t.Live {
 		for i := len(jobs) - 1; i >= 0 && jobs[i].Order > before; i-- {
 			d.addArrival(t, jobs[i], now)
@@ -120,7 +122,7 @@
 }
 
 func (d *Demand) addArrival(t *workload.Tables, job *workload.Job, at time.Duration) {
-	d.lastOrder = max(d.lastOrder, job.Order)
+	d.lastJobOrder = max(d.lastJobOrder, job.Order)
 	queue := t.Queues[job.Queue]
 	if queue == nil || job.Work() == 0 {
 		return
@@ -194,20 +196,20 @@
 // one instead of all at once.
 func (d *Demand) arrivalRate(pool string, now time.Duration) int64 {
 	p := d.pool(pool)
-	present, since := d.peaks.currentPeriod()
-	if d.Rules.SkipShortWindow || !d.peaks.hasDistinctPeaks() || pool != present || now-since >= rateWindow {
+	current, since := d.peaks.currentPeriod()
+	if d.Rules.SkipShortWindow || !d.peaks.hasDistinctPeaks() || pool != current || now-since >= rateWindow {
 		return p.rate()
 	}
 	return max(p.rate(), p.rateSince(since, max(now-since, shortestWindow)))
 }
 
-// cpuShare is what a task takes of a VM, in thousandths of a core. Memory
-// counts as the processor time that it makes unusable for others.
+// cpuShare returns what a task takes of a VM, in thousandths of a core. Memory
+// counts as the processor capacity that it makes unusable for other tasks.
 func (d *Demand) cpuShare(r workload.Resources) int64 {
 	return max(r.CPU, int64(float64(r.MemoryMB)*d.cpuPerMB))
 }
 
-// learnCPUPerMB updates the ratio of processor time to memory of the VMs.
+// learnCPUPerMB updates the ratio of processor capacity to memory of the VMs.
 func (d *Demand) learnCPUPerMB(t *workload.Tables) {
 	var all workload.Resources
 	for _, w := range t.Workers {
@@ -218,9 +220,9 @@
 	}
 }
 
-// Need returns the processor time that each pool should have: what long-running
-// tasks take, plus the largest of the rate of arriving work, the work that runs
-// and waits, and the expected peak.
+// Need returns the processor capacity that each pool should have, in thousandths
+// of a core: what long-running tasks take, plus the largest of the rate of
+// arriving work, the work that runs and waits, and the expected peak.
 func (d *Demand) Need(t *workload.Tables, now time.Duration, nowMS int64) map[string]int64 {
 	longRunning, pending := map[string]int64{}, map[string]int64{}
 	for queue, jobs := range t.Live {
@@ -236,8 +238,8 @@
 	}
 	need, expected := map[string]int64{}, d.peaks.expectedDemand(pools, now)
 	for _, pool := range pools {
-		most := max(d.arrivalRate(pool, now), pending[pool], expected[pool])
-		need[pool] = longRunning[pool] + int64(headroom*float64(most))
+		largest := max(d.arrivalRate(pool, now), pending[pool], expected[pool])
+		need[pool] = longRunning[pool] + int64(headroom*float64(largest))
 	}
 	return need
 }
@@ -268,7 +270,7 @@
 }
 
 // NeedByLabel returns what each pool should have of VMs with one label: what
-// the unfinished tasks of ready steps that ask for the label take. A rack that
+// the unfinished tasks of ready steps that require the label take. A rack that
 // holds a step's data counts like a label.
 func (d *Demand) NeedByLabel(t *workload.Tables) map[string]map[string]int64 {
 	all := map[string]map[string]int64{}
@@ -301,8 +303,8 @@
 	}
 }
 
-// unplaceableAfter is how long a long-running task waits before its pool asks
-// for one more VM; a task that fits somewhere is placed within a few rounds.
+// unplaceableAfter is how long a long-running task waits before its pool requests
+// one more VM; a task that fits somewhere is placed within a few rounds.
 const unplaceableAfter = 300 * time.Millisecond
 
 // Unplaceable returns the pools that have had a long-running task without a run
--- a/internal/capacity/moves.go
+++ b/internal/capacity/moves.go
@@ -25,8 +25,8 @@
 type poolState struct {
 	name    string
 	standby bool
-	// have is the processor time of the VMs that serve the pool or are moving
-	// to it.
+	// have is the processor capacity of the VMs that serve the pool or are moving
+	// to it, need what the pool should have, in thousandths of a core.
 	have, need int64
 	// haveByLabel and needByLabel are the same for the VMs with one label,
 	// which is their kind or their rack.
@@ -93,7 +93,7 @@
 	p.park(pools, standby)
 }
 
-// planLabels moves VMs of a kind or rack to the pools whose tasks ask for it. A
+// planLabels moves VMs of a kind or rack to the pools whose tasks require it. A
 // pool with enough capacity in total may have no VM that these tasks can run
 // on.
 func (p *planner) planLabels(pools []*poolState, standby *poolState) {
@@ -159,10 +159,9 @@
 	return pools, standby
 }
 
-// requestExtraVM lets a pool ask for one more VM if its long-running tasks fit
-// on none of its VMs although these are enough in total: the remaining VM may
-// be full in memory, or run as many tasks of the step as it may. One VM at a
-// time.
+// requestExtraVM requests one more VM for a pool whose long-running tasks fit on
+// none of its VMs although these are enough in total: a VM may have no memory
+// left, or run as many tasks of the step as it may. It requests one VM at a time.
 func (p *planner) requestExtraVM(s *poolState) {
 	if s == nil || s.standby || s.missing() > 0 {
 		return
@@ -243,7 +242,8 @@
 }
 
 // isAnnounced reports whether a VM's worker is announced in the pool where the
-// platform lists the VM. Before that, a start may be in flight to it.
+// platform lists the VM, and not draining. Before it is announced, a start may be
+// in flight to it.
 func (p *planner) isAnnounced(vm *VM) bool {
 	w := p.Tables.Workers[vm.Worker]
 	return w != nil && w.Pool == vm.Pool && !w.Draining
--- a/internal/capacity/rules.go
+++ b/internal/capacity/rules.go
@@ -1,7 +1,7 @@
 package capacity
 
 // Rules switches single mechanisms off, so that a simulation of the load can
-// show what each of them is worth. It is the zero value in every real process.
+// measure the effect of each. It is the zero value in every real process.
 type Rules struct {
 	// SkipPeaks expects no peak periods.
 	SkipPeaks bool
--- a/internal/capacity/turns.go
+++ b/internal/capacity/turns.go
@@ -43,7 +43,7 @@
 	minDistinctShare = 0.75
 	shareWindow      = 5 * time.Second
 	// minPaybackPeriod is the shortest peak period for which VMs are moved
-	// before its own rate asks for them: a move takes two seconds, and as much
+	// before its own rate requires them: a move takes two seconds, and as much
 	// time must remain for work.
 	minPaybackPeriod = 4 * time.Second
 	// accuracyWeight is the weight of the last prediction in the accuracy of
@@ -65,7 +65,7 @@
 	candidate      string
 	candidateSince time.Duration
 	// detected is a pool whose peak period seems to have begun at detectedAt,
-	// judged only by the jobs of the last burstWindow; empty for none.
+	// going only by the jobs of the last burstWindow; empty for none.
 	detected   string
 	detectedAt time.Duration
 	// successor maps a pool to the one that followed it, length to the duration
@@ -84,8 +84,9 @@
 	// pool got.
 	leaderShare   float64
 	leaderShareAt time.Duration
-	// predicted holds the pools expected after the current peak period,
-	// accuracy the recent rate of correct predictions, between 0 and 1.
+	// predicted holds the pools expected after the current peak period with the
+	// demand expected for each, accuracy the recent rate of correct predictions,
+	// between 0 and 1.
 	predicted map[string]int64
 	accuracy  float64
 	rules     Rules
@@ -152,14 +153,14 @@
 // updateLeaderShare averages the share of all arriving work that the leading
 // pool gets.
 func (t *peakTracker) updateLeaderShare(rates map[string]int64, now time.Duration) {
-	var total, most int64
+	var total, largest int64
 	for _, r := range rates {
 		total += r
-		most = max(most, r)
+		largest = max(largest, r)
 	}
 	passed := min(now-t.leaderShareAt, shareWindow)
 	if total > 0 && t.leaderShareAt > 0 {
-		t.leaderShare += float64(passed) / float64(shareWindow) * (float64(most)/float64(total) - t.leaderShare)
+		t.leaderShare += float64(passed) / float64(shareWindow) * (float64(largest)/float64(total) - t.leaderShare)
 	}
 	t.leaderShareAt = now
 }
@@ -177,7 +178,7 @@
 }
 
 // hasDistinctPeaks reports whether the load has peak periods that stand out and
-// are long enough to move VMs before the arriving work asks for them.
+// are long enough to move VMs before the arriving work requires them.
 func (t *peakTracker) hasDistinctPeaks() bool {
 	length := t.medianLength()
 	return !t.rules.SkipPeaks && (t.rules.SkipDistinctCheck || t.leaderShare >= minDistinctShare && (length == 0 || length >= minPaybackPeriod))
@@ -216,15 +217,15 @@
 // leadingPool returns the pool that gets most of the arriving work, empty when
 // none gets leadingShare of it.
 func leadingPool(rates map[string]int64) string {
-	var total, most int64
+	var total, largest int64
 	pool := ""
 	for name, rate := range rates {
 		total += rate
-		if rate > most || rate == most && name < pool {
-			pool, most = name, rate
+		if rate > largest || rate == largest && name < pool {
+			pool, largest = name, rate
 		}
 	}
-	if total == 0 || float64(most) < leadingShare*float64(total) {
+	if total == 0 || float64(largest) < leadingShare*float64(total) {
 		return ""
 	}
 	return pool
@@ -237,8 +238,8 @@
 		return nil
 	}
 	next := t.predictNext(pools, now)
-	if present, since := t.currentPeriod(); !t.rules.SkipMean && present != "" && now-since < assumedMeanFor && len(t.mean) > 0 && t.hasDistinctPeaks() {
-		return map[string]int64{present: t.meanOf(present)}
+	if current, since := t.currentPeriod(); !t.rules.SkipMean && current != "" && now-since < assumedMeanFor && len(t.mean) > 0 && t.hasDistinctPeaks() {
+		return map[string]int64{current: t.meanOf(current)}
 	}
 	if t.accuracy < minAccuracy && !t.rules.SkipAccuracyCheck {
 		return nil
--- a/internal/capacity/turns_test.go
+++ b/internal/capacity/turns_test.go
@@ -76,8 +76,8 @@
 			}
 		}
 		is.True(len(d.peaks.mean) > 0)
-		for pool, level := range d.peaks.mean {
-			is.True(level > 0 && level <= d.peaks.peak[pool])
+		for pool, mean := range d.peaks.mean {
+			is.True(mean > 0 && mean <= d.peaks.peak[pool])
 		}
 	})
 }
--- a/internal/capacity/vm.go
+++ b/internal/capacity/vm.go
@@ -57,7 +57,8 @@
 	Why string
 }
 
-// Closing is a worker that is being drained for an order.
+// Closing is a VM whose worker takes no new work, so that it becomes empty for an
+// order.
 type Closing struct {
 	Machine workload.MachineID
 	Order   Order
@@ -78,13 +79,14 @@
 	NowMS  int64
 	Tables *workload.Tables
 	VMs    []VM
-	// InFlight and Closing are by machine.
+	// InFlight and Closing are by VM.
 	InFlight map[workload.MachineID]InFlightOrder
 	Closing  map[workload.MachineID]Closing
-	// Need is the processor time that each pool should have, in thousandths of
+	// Need is the processor capacity that each pool should have, in thousandths of
 	// a core.
 	Need map[string]int64
-	// NeedByLabel is what each pool should have of VMs with one label.
+	// NeedByLabel is what each pool should have of VMs with one label, in
+	// thousandths of a core.
 	NeedByLabel map[string]map[string]int64
 	// Unplaceable holds the pools that have had a long-running task without a
 	// run for a while.
@@ -92,8 +94,8 @@
 	// MayPark is set once demand has been observed for long enough to put idle
 	// VMs on standby.
 	MayPark bool
-	// Listed reports whether a worker listed anything beyond what is committed
-	// on it.
+	// Listed reports whether the last list of a worker holds any run, even one that
+	// is not committed on it.
 	Listed func(workload.WorkerID) bool
 	// Idle returns for how long nothing has run on a worker.
 	Idle func(workload.WorkerID) time.Duration
@@ -102,11 +104,11 @@
 // Plan is what to do next.
 type Plan struct {
 	Orders []Order
-	// Close and Open list workers that take no new work from now on, or take
-	// work again.
+	// Close lists the VMs whose workers take no new work from now on, Open those
+	// whose workers take work again.
 	Close []Closing
 	Open  []workload.MachineID
-	// ObsoleteWaves lists machines of waves that no longer exist.
+	// ObsoleteWaves lists VMs of waves that no longer exist. Nothing sets it.
 	ObsoleteWaves []workload.WaveBegun
 	// Pools is what each pool has and needs, for the log.
 	Pools []Balance
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -12,8 +12,8 @@
 	Input
 	plan Plan
 	vms  map[workload.MachineID]*VM
-	// taken holds the machines that an order of this plan, an in-flight order
-	// or a closing worker already uses.
+	// taken holds the VMs that have an order in this plan or in flight, or that are
+	// closing.
 	taken map[workload.MachineID]bool
 }
 
@@ -100,8 +100,8 @@
 	longRunning int
 }
 
-// planWave begins the maintenance of empty VMs, and closes as many others as
-// may be under maintenance at once, the least used first.
+// planWave orders the maintenance of empty VMs and closes others, the least used
+// first, up to the number of VMs that may be unavailable for the wave at once.
 func (p *planner) planWave(w *workload.Wave) {
 	remaining := w.MaxUnavailable - p.underMaintenance(w)
 	var all []candidate
