--- a/internal/estimate/charge.go
+++ b/internal/estimate/charge.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// Warmup is how long a task must run before its measured use is a sign of what
-	// it will need.
+	// Warmup is how long a task must run before its measured use shows what it will
+	// need.
 	Warmup = 2 * time.Minute
 	// FreshFor is how long a measurement is considered fresh.
 	FreshFor = 90 * time.Second
@@ -61,8 +61,8 @@
 // Accelerators are whole devices and stay as placed.
 func reclaim(size, used model.Resources) model.Resources {
 	charge := used.Scale(1 + usageMargin).Max(size.Scale(reclaimFloor))
-	most := size.Max(used)
-	charge.MilliCPU, charge.MemoryMB = min(charge.MilliCPU, most.MilliCPU), min(charge.MemoryMB, most.MemoryMB)
+	limit := size.Max(used)
+	charge.MilliCPU, charge.MemoryMB = min(charge.MilliCPU, limit.MilliCPU), min(charge.MemoryMB, limit.MemoryMB)
 	charge.Accelerators = size.Accelerators
 	return charge
 }
