--- a/internal/workers/standin/worker.go
+++ b/internal/workers/standin/worker.go
@@ -106,47 +106,47 @@
 	w.highestAttempt[r.Task] = max(w.highestAttempt[r.Task], r.Attempt)
 }
 
-// UnackedEnds returns the ends that are not acknowledged yet.
+// UnackedEnds returns the listed ends that are not acknowledged yet.
 func (w *Worker) UnackedEnds() []workload.End { return w.ends }
 
 // Start carries out a start order.
 func (w *Worker) Start(o workers.StartOrder, now time.Duration) workers.Reply {
 	w.Expire(now)
-	answer := workers.Reply{ClockMS: w.ClockMS(now)}
+	reply := workers.Reply{ClockMS: w.ClockMS(now)}
 	switch {
 	case o.Fence < w.fence:
-		answer.Refusal = workers.RefusedFence
-		return answer
+		reply.Refusal = workers.RefusedFence
+		return reply
 	case w.runs[o.Run] != nil:
 		w.fence = o.Fence
-		return answer
-	case o.LeaseUntilMS <= answer.ClockMS:
-		answer.Refusal = workers.RefusedLate
+		return reply
+	case o.LeaseUntilMS <= reply.ClockMS:
+		reply.Refusal = workers.RefusedLate
 	case o.Run.Attempt <= w.highestAttempt[o.Run.Task]:
-		answer.Refusal = workers.RefusedStale
+		reply.Refusal = workers.RefusedStale
 	}
 	w.fence = o.Fence
 	w.leaseUntilMS = max(w.leaseUntilMS, o.LeaseUntilMS)
-	if answer.Refusal == workers.Accepted {
+	if reply.Refusal == workers.Accepted {
 		w.runs[o.Run] = &run{started: now}
 	}
-	return answer
+	return reply
 }
 
 // Stop carries out a stop order.
 func (w *Worker) Stop(r workload.RunRef, fence uint64, now time.Duration) workers.Reply {
 	w.Expire(now)
-	answer := workers.Reply{ClockMS: w.ClockMS(now)}
+	reply := workers.Reply{ClockMS: w.ClockMS(now)}
 	if fence < w.fence {
-		answer.Refusal = workers.RefusedFence
-		return answer
+		reply.Refusal = workers.RefusedFence
+		return reply
 	}
 	w.fence = fence
 	w.highestAttempt[r.Task] = max(w.highestAttempt[r.Task], r.Attempt)
 	if w.runs[r] != nil {
 		w.End(r, workload.EndStopped)
 	}
-	return answer
+	return reply
 }
 
 // Hold carries out a hold order.
