--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -105,8 +105,8 @@
 	f.completeFlights(now)
 	d.reopenWorkers(ctx, term)
 	plan := d.decideFleet(now)
-	for _, machine := range plan.Open {
-		delete(f.closing, machine)
+	for _, id := range plan.Open {
+		delete(f.closing, id)
 	}
 	for _, c := range plan.Close {
 		f.closing[c.Machine] = c
@@ -138,13 +138,13 @@
 	}
 	f.lastLeaderChecked = true
 	d.config.Machine.Read(func(t *workload.Tables) {
-		for machine, atMS := range t.Ordered {
+		for id, atMS := range t.Ordered {
 			if age := d.config.WallMS() - atMS; max(age, -age) >= recentOrderAge.Milliseconds() {
 				continue
 			}
-			until := latestOrderTime(t, machine, f.startedAt) + d.config.TakeOverDelay
+			until := latestOrderTime(t, id, f.startedAt) + d.config.TakeOverDelay
 			if now < until {
-				f.blockedUntil[machine] = until
+				f.blockedUntil[id] = until
 			}
 		}
 	})
@@ -157,8 +157,8 @@
 // applied it. With the first bound alone
 // all VMs of a busy site would be blocked for a whole lease at each change of
 // leader, as each of them was ordered in the last seconds.
-func latestOrderTime(t *workload.Tables, machine workload.MachineID, began time.Duration) time.Duration {
-	learnt, known := t.OrderAppliedAt[machine]
+func latestOrderTime(t *workload.Tables, id workload.MachineID, began time.Duration) time.Duration {
+	learnt, known := t.OrderAppliedAt[id]
 	if !known {
 		return began
 	}
@@ -169,14 +169,14 @@
 func (d *Dispatcher) decideFleet(now time.Duration) (plan capacity.Plan) {
 	f := d.fleet
 	flights := make(map[workload.MachineID]capacity.InFlightOrder, len(f.flights))
-	for machine, fl := range f.flights {
-		flights[machine] = fl.InFlightOrder
+	for id, fl := range f.flights {
+		flights[id] = fl.InFlightOrder
 	}
-	for machine, until := range f.blockedUntil {
+	for id, until := range f.blockedUntil {
 		if now >= until {
-			delete(f.blockedUntil, machine)
-		} else if _, inFlight := flights[machine]; !inFlight {
-			flights[machine] = capacity.InFlightOrder{}
+			delete(f.blockedUntil, id)
+		} else if _, inFlight := flights[id]; !inFlight {
+			flights[id] = capacity.InFlightOrder{}
 		}
 	}
 	d.config.Machine.Read(func(t *workload.Tables) {
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -63,9 +63,9 @@
 			delete(f.flights, vm.Machine)
 		}
 	}
-	for machine, fl := range f.flights {
+	for id, fl := range f.flights {
 		if fl.done && now-fl.Sent > flightTimeout {
-			delete(f.flights, machine)
+			delete(f.flights, id)
 		}
 	}
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -42,8 +42,8 @@
 	is := is.New(t)
 	sim := newSimulation(1)
 	sim.machine.SetClock(func() time.Duration { return sim.now })
-	order := func(machine workload.MachineID) {
-		sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Ordered: []workload.MachineID{machine}})
+	order := func(id workload.MachineID) {
+		sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Ordered: []workload.MachineID{id}})
 	}
 	order("old")
 	sim.now += 5 * time.Second
