--- a/internal/workload/apply.go
+++ b/internal/workload/apply.go
@@ -25,8 +25,8 @@
 	}
 	t.startAll(c.Starts)
 	t.applyWaves(c)
-	for _, machine := range c.Ordered {
-		t.Ordered[machine] = c.AtMS
+	for _, id := range c.Ordered {
+		t.Ordered[id] = c.AtMS
 	}
 	if c.ForgetBeforeMS != 0 {
 		t.dropEndedJobs(c.ForgetBeforeMS)
--- a/internal/workload/machine.go
+++ b/internal/workload/machine.go
@@ -63,8 +63,8 @@
 		return
 	}
 	now := m.clock()
-	for _, machine := range ordered {
-		m.tables.OrderAppliedAt[machine] = now
+	for _, id := range ordered {
+		m.tables.OrderAppliedAt[id] = now
 	}
 }
 
@@ -194,12 +194,12 @@
 	}
 	previous := m.tables
 	m.index, m.tables = snap.Index, restored
-	for machine, atMS := range restored.Ordered {
-		if appliedAt, known := previous.OrderAppliedAt[machine]; known && previous.Ordered[machine] == atMS {
-			restored.OrderAppliedAt[machine] = appliedAt
+	for id, atMS := range restored.Ordered {
+		if appliedAt, known := previous.OrderAppliedAt[id]; known && previous.Ordered[id] == atMS {
+			restored.OrderAppliedAt[id] = appliedAt
 			continue
 		}
-		m.recordOrderTimes([]MachineID{machine})
+		m.recordOrderTimes([]MachineID{id})
 	}
 	m.notifyChanged()
 	return nil
