--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -24,8 +24,8 @@
 	for i := range in.VMs {
 		p.vms[in.VMs[i].Machine] = &in.VMs[i]
 	}
-	for machine := range in.InFlight {
-		p.taken[machine] = true
+	for id := range in.InFlight {
+		p.taken[id] = true
 	}
 	p.orderEmptied()
 	p.planWaves()
@@ -47,18 +47,18 @@
 
 // orderEmptied issues the orders for which closing workers have become empty.
 func (p *planner) orderEmptied() {
-	for _, machine := range sortedMachines(p.Closing) {
-		c := p.Closing[machine]
-		p.taken[machine] = true
-		vm := p.vms[machine]
+	for _, id := range sortedVMs(p.Closing) {
+		c := p.Closing[id]
+		p.taken[id] = true
+		vm := p.vms[id]
 		switch {
 		case vm == nil || vm.State != Up:
-			p.plan.Open = append(p.plan.Open, machine)
+			p.plan.Open = append(p.plan.Open, id)
 		case p.isEmpty(vm):
 			p.plan.Orders = append(p.plan.Orders, c.Order)
-			p.plan.Open = append(p.plan.Open, machine)
+			p.plan.Open = append(p.plan.Open, id)
 		case c.Order.Kind == Move && p.Now-c.Since > moveTimeout:
-			p.plan.Open = append(p.plan.Open, machine)
+			p.plan.Open = append(p.plan.Open, id)
 		}
 	}
 }
@@ -69,10 +69,10 @@
 	return vm.Worker != "" && len(p.Tables.Runs[vm.Worker]) == 0 && !p.Listed(vm.Worker)
 }
 
-func sortedMachines[V any](m map[workload.MachineID]V) []workload.MachineID {
+func sortedVMs[V any](m map[workload.MachineID]V) []workload.MachineID {
 	all := make([]workload.MachineID, 0, len(m))
-	for machine := range m {
-		all = append(all, machine)
+	for id := range m {
+		all = append(all, id)
 	}
 	slices.Sort(all)
 	return all
@@ -138,10 +138,10 @@
 func (p *planner) underMaintenance(w *workload.Wave) int {
 	n := 0
 	for i := range w.Machines {
-		machine := w.Machines[i].Machine
-		flight, inFlight := p.InFlight[machine]
-		closing, closed := p.Closing[machine]
-		vm := p.vms[machine]
+		id := w.Machines[i].Machine
+		flight, inFlight := p.InFlight[id]
+		closing, closed := p.Closing[id]
+		vm := p.vms[id]
 		switch {
 		case inFlight && flight.Order.Kind == Maintain,
 			closed && closing.Order.Kind == Maintain,
