--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -24,7 +24,7 @@
 
 func newTestSite(vms map[string]int) *testSite {
 	s := &testSite{machine: workload.NewMachine(), in: Input{
-		Now: time.Hour, InFlight: map[workload.MachineID]InFlightOrder{}, Closing: map[workload.MachineID]Closing{},
+		Now: time.Hour, InFlight: map[workload.VMID]InFlightOrder{}, Closing: map[workload.VMID]Closing{},
 		Need: map[string]int64{}, Listed: func(workload.WorkerID) bool { return false },
 		Idle: func(workload.WorkerID) time.Duration { return time.Second },
 	}}
@@ -36,7 +36,7 @@
 		config.Queues = append(config.Queues, workload.Queue{ID: workload.QueueID{Host: "h", Prefix: "/" + pool + "/"}, Pool: pool, TimeoutMS: 1})
 		for i := range vms[pool] {
 			name := fmt.Sprintf("%s-%d", pool, i)
-			vm := VM{Machine: workload.MachineID(name), Pool: pool, State: Up, Capacity: capacity, Worker: workload.WorkerID("i-" + name)}
+			vm := VM{Machine: workload.VMID(name), Pool: pool, State: Up, Capacity: capacity, Worker: workload.WorkerID("i-" + name)}
 			if pool == "spare" {
 				vm.State, vm.Worker = Down, ""
 			} else {
@@ -97,7 +97,7 @@
 	plan := s.decide()
 	is.Equal(len(plan.Orders), 0)
 	is.Equal(len(plan.Close), 1)
-	is.Equal(plan.Close[0].Machine, workload.MachineID("b-0"))
+	is.Equal(plan.Close[0].Machine, workload.VMID("b-0"))
 
 	s.in.Closing[plan.Close[0].Machine] = plan.Close[0]
 	is.Equal(len(s.decide().Orders), 0) // the task still runs
@@ -129,7 +129,7 @@
 	s.in.Need = map[string]int64{"a": 4 * cores32}
 	wave := &workload.Wave{ID: 7, MaxUnavailable: 2, WindowMS: 60_000}
 	for i := range 4 {
-		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: workload.MachineID(fmt.Sprintf("a-%d", i))})
+		wave.VMs = append(wave.VMs, workload.WaveVM{ID: workload.VMID(fmt.Sprintf("a-%d", i))})
 	}
 	s.apply(&workload.Command{Wave: wave})
 	plan := s.decide()
@@ -140,7 +140,7 @@
 	}
 	is.Equal(len(s.decide().Orders), 0) // both are under maintenance
 	delete(s.in.InFlight, plan.Orders[0].Machine)
-	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, Machine: plan.Orders[0].Machine}}})
+	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, VM: plan.Orders[0].Machine}}})
 	is.Equal(len(s.decide().Orders), 1)
 }
 
--- a/internal/capacity/moves.go
+++ b/internal/capacity/moves.go
@@ -301,10 +301,10 @@
 
 // awaitsMaintenance reports whether a VM belongs to a wave and its maintenance
 // has not begun.
-func (p *planner) awaitsMaintenance(id workload.MachineID) bool {
+func (p *planner) awaitsMaintenance(id workload.VMID) bool {
 	for _, w := range p.Tables.Waves {
-		for i := range w.Machines {
-			if w.Machines[i].Machine == id && !w.Machines[i].Begun {
+		for i := range w.VMs {
+			if w.VMs[i].ID == id && !w.VMs[i].Begun {
 				return true
 			}
 		}
--- a/internal/capacity/vm.go
+++ b/internal/capacity/vm.go
@@ -26,7 +26,7 @@
 
 // VM is a VM as the platform lists it.
 type VM struct {
-	Machine  workload.MachineID
+	Machine  workload.VMID
 	Pool     string
 	State    State
 	Zone     string
@@ -49,7 +49,7 @@
 // Order is one call to the platform.
 type Order struct {
 	Kind    OrderKind
-	Machine workload.MachineID
+	Machine workload.VMID
 	// Pool is the target of a move, Wave the wave of a maintenance.
 	Pool string
 	Wave int64
@@ -60,7 +60,7 @@
 // Closing is a VM whose worker takes no new work, so that it becomes empty for an
 // order.
 type Closing struct {
-	Machine workload.MachineID
+	Machine workload.VMID
 	Order   Order
 	Since   time.Duration
 }
@@ -80,8 +80,8 @@
 	Tables *workload.Tables
 	VMs    []VM
 	// InFlight and Closing are by VM.
-	InFlight map[workload.MachineID]InFlightOrder
-	Closing  map[workload.MachineID]Closing
+	InFlight map[workload.VMID]InFlightOrder
+	Closing  map[workload.VMID]Closing
 	// Need is the processor capacity that each pool should have, in thousandths of
 	// a core.
 	Need map[string]int64
@@ -107,7 +107,7 @@
 	// Close lists the VMs whose workers take no new work from now on, Open those
 	// whose workers take work again.
 	Close []Closing
-	Open  []workload.MachineID
+	Open  []workload.VMID
 	// ObsoleteWaves lists VMs of waves that no longer exist. Nothing sets it.
 	ObsoleteWaves []workload.WaveBegun
 	// Pools is what each pool has and needs, for the log.
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -11,16 +11,16 @@
 type planner struct {
 	Input
 	plan Plan
-	vms  map[workload.MachineID]*VM
+	vms  map[workload.VMID]*VM
 	// taken holds the VMs that have an order in this plan or in flight, or that are
 	// closing.
-	taken map[workload.MachineID]bool
+	taken map[workload.VMID]bool
 }
 
 // Decide returns a plan.
 func Decide(in Input) Plan {
 	in.VMs = withReportedCapacity(in.VMs, in.Tables)
-	p := &planner{Input: in, vms: map[workload.MachineID]*VM{}, taken: map[workload.MachineID]bool{}}
+	p := &planner{Input: in, vms: map[workload.VMID]*VM{}, taken: map[workload.VMID]bool{}}
 	for i := range in.VMs {
 		p.vms[in.VMs[i].Machine] = &in.VMs[i]
 	}
@@ -69,8 +69,8 @@
 	return vm.Worker != "" && len(p.Tables.Runs[vm.Worker]) == 0 && !p.Listed(vm.Worker)
 }
 
-func sortedVMs[V any](m map[workload.MachineID]V) []workload.MachineID {
-	all := make([]workload.MachineID, 0, len(m))
+func sortedVMs[V any](m map[workload.VMID]V) []workload.VMID {
+	all := make([]workload.VMID, 0, len(m))
 	for id := range m {
 		all = append(all, id)
 	}
@@ -105,10 +105,10 @@
 func (p *planner) planWave(w *workload.Wave) {
 	remaining := w.MaxUnavailable - p.underMaintenance(w)
 	var all []candidate
-	for i := range w.Machines {
-		m := &w.Machines[i]
-		vm := p.vms[m.Machine]
-		if m.Begun || p.taken[m.Machine] || vm == nil || vm.State != Up && vm.State != Down {
+	for i := range w.VMs {
+		m := &w.VMs[i]
+		vm := p.vms[m.ID]
+		if m.Begun || p.taken[m.ID] || vm == nil || vm.State != Up && vm.State != Down {
 			continue
 		}
 		all = append(all, p.candidateOf(vm))
@@ -137,8 +137,8 @@
 // be soon.
 func (p *planner) underMaintenance(w *workload.Wave) int {
 	n := 0
-	for i := range w.Machines {
-		id := w.Machines[i].Machine
+	for i := range w.VMs {
+		id := w.VMs[i].ID
 		flight, inFlight := p.InFlight[id]
 		closing, closed := p.Closing[id]
 		vm := p.vms[id]
@@ -153,5 +153,5 @@
 }
 
 func (p *planner) candidateOf(vm *VM) candidate {
-	return candidate{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), longRunning: p.Tables.Kinds[vm.Worker].LongRunning}
+	return candidate{vm: vm, runs: len(p.Tables.Runs[vm.Worker]), longRunning: p.Tables.RunKinds[vm.Worker].LongRunning}
 }
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -31,13 +31,13 @@
 
 // vmsAwaitingMaintenance returns the VMs of a wave whose maintenance has not
 // begun.
-func (d *Dispatcher) vmsAwaitingMaintenance() map[workload.MachineID]bool {
-	awaiting := map[workload.MachineID]bool{}
+func (d *Dispatcher) vmsAwaitingMaintenance() map[workload.VMID]bool {
+	awaiting := map[workload.VMID]bool{}
 	d.config.Machine.Read(func(t *workload.Tables) {
 		for _, w := range t.Waves {
-			for i := range w.Machines {
-				if !w.Machines[i].Begun {
-					awaiting[w.Machines[i].Machine] = true
+			for i := range w.VMs {
+				if !w.VMs[i].Begun {
+					awaiting[w.VMs[i].ID] = true
 				}
 			}
 		}
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -43,10 +43,10 @@
 	vms       []capacity.VM
 	listedAt  time.Duration
 	listing   bool
-	flights   map[workload.MachineID]*flight
-	closing   map[workload.MachineID]capacity.Closing
+	flights   map[workload.VMID]*flight
+	closing   map[workload.VMID]capacity.Closing
 	// blockedUntil holds when a VM may be ordered again.
-	blockedUntil map[workload.MachineID]time.Duration
+	blockedUntil map[workload.VMID]time.Duration
 	demand       *capacity.Demand
 	// tokens is the number of orders that may be sent at once, as of tokensAt.
 	tokens   float64
@@ -68,8 +68,8 @@
 
 func newFleetState(now time.Duration, demand *capacity.Demand) *fleetState {
 	return &fleetState{
-		startedAt: now, flights: map[workload.MachineID]*flight{}, closing: map[workload.MachineID]capacity.Closing{},
-		blockedUntil: map[workload.MachineID]time.Duration{}, demand: demand,
+		startedAt: now, flights: map[workload.VMID]*flight{}, closing: map[workload.VMID]capacity.Closing{},
+		blockedUntil: map[workload.VMID]time.Duration{}, demand: demand,
 	}
 }
 
@@ -157,7 +157,7 @@
 // applied it. With the first bound alone
 // all VMs of a busy site would be blocked for a whole lease at each change of
 // leader, as each of them was ordered in the last seconds.
-func latestOrderTime(t *workload.Tables, id workload.MachineID, began time.Duration) time.Duration {
+func latestOrderTime(t *workload.Tables, id workload.VMID, began time.Duration) time.Duration {
 	learnt, known := t.OrderAppliedAt[id]
 	if !known {
 		return began
@@ -168,7 +168,7 @@
 // decideFleet has package capacity decide what to do.
 func (d *Dispatcher) decideFleet(now time.Duration) (plan capacity.Plan) {
 	f := d.fleet
-	flights := make(map[workload.MachineID]capacity.InFlightOrder, len(f.flights))
+	flights := make(map[workload.VMID]capacity.InFlightOrder, len(f.flights))
 	for id, fl := range f.flights {
 		flights[id] = fl.InFlightOrder
 	}
@@ -254,12 +254,12 @@
 // is left out. If a known VM were left out, it would count as lost, and other
 // VMs would be moved in its place.
 func (d *Dispatcher) mergeList(listed []capacity.VM) []capacity.VM {
-	known := make(map[workload.MachineID]*capacity.VM, len(d.fleet.vms))
+	known := make(map[workload.VMID]*capacity.VM, len(d.fleet.vms))
 	for i := range d.fleet.vms {
 		known[d.fleet.vms[i].Machine] = &d.fleet.vms[i]
 	}
 	vms := make([]capacity.VM, 0, len(listed))
-	seen := make(map[workload.MachineID]bool, len(listed))
+	seen := make(map[workload.VMID]bool, len(listed))
 	for i := range listed {
 		if listed[i].State != capacity.Unclear {
 			seen[listed[i].Machine] = true
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -13,8 +13,8 @@
 // Fleet makes the calls to the platform.
 type Fleet interface {
 	List(ctx context.Context) ([]capacity.VM, error)
-	Move(ctx context.Context, vm workload.MachineID, pool, holder string, fence uint64) (FleetAnswer, error)
-	Maintain(ctx context.Context, vm workload.MachineID, wave int64, holder string, fence uint64) (FleetAnswer, error)
+	Move(ctx context.Context, vm workload.VMID, pool, holder string, fence uint64) (FleetAnswer, error)
+	Maintain(ctx context.Context, vm workload.VMID, wave int64, holder string, fence uint64) (FleetAnswer, error)
 }
 
 // FleetAnswer is the platform's reply to an order.
@@ -123,7 +123,7 @@
 // committed before the worker is closed, and then found by the check, or refused.
 func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
 	o := fl.Order
-	intent := &workload.Command{Term: term, Ordered: []workload.MachineID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
+	intent := &workload.Command{Term: term, Ordered: []workload.VMID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
 	if err := d.propose(ctx, intent); err != nil {
 		return FleetRateLimited, nil // nothing was ordered; the next round decides again
 	}
@@ -166,7 +166,7 @@
 func (d *Dispatcher) commitFleetReply(ctx context.Context, term uint64, fl *flight, reply FleetAnswer) {
 	c := &workload.Command{Term: term}
 	if fl.Order.Kind == capacity.Maintain && (reply == FleetDone || reply == FleetUnknown || reply == FleetWrongWave) {
-		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, Machine: fl.Order.Machine})
+		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, VM: fl.Order.Machine})
 	}
 	switch {
 	case fl.Worker == "":
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -26,7 +26,7 @@
 // latency target. How much they disturb others differs by program and changes
 // within seconds, so placement alone can't prevent it.
 func (l *link) adjustPace(t *workload.Tables, now time.Duration) {
-	if t.Kinds[l.target.ID].BestEffort == 0 || now-l.paceChangedAt < paceInterval {
+	if t.RunKinds[l.target.ID].BestEffort == 0 || now-l.paceChangedAt < paceInterval {
 		return
 	}
 	pressure, bestEffort := l.pressure(t)
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -21,7 +21,7 @@
 func TestLatestOrderTimeIsNotBeforeTheOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
-	tables := &workload.Tables{OrderAppliedAt: map[workload.MachineID]time.Duration{}}
+	tables := &workload.Tables{OrderAppliedAt: map[workload.VMID]time.Duration{}}
 	for range 100_000 {
 		committed := time.Hour
 		began := committed + upTo(10*time.Second)
@@ -42,8 +42,8 @@
 	is := is.New(t)
 	sim := newSimulation(1)
 	sim.machine.SetClock(func() time.Duration { return sim.now })
-	order := func(id workload.MachineID) {
-		sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Ordered: []workload.MachineID{id}})
+	order := func(id workload.VMID) {
+		sim.apply(&workload.Command{AtMS: sim.now.Milliseconds(), Ordered: []workload.VMID{id}})
 	}
 	order("old")
 	sim.now += 5 * time.Second
@@ -77,7 +77,7 @@
 	timeLeft time.Duration
 }
 
-func (f *deadlineFleet) Move(ctx context.Context, _ workload.MachineID, _, _ string, _ uint64) (FleetAnswer, error) {
+func (f *deadlineFleet) Move(ctx context.Context, _ workload.VMID, _, _ string, _ uint64) (FleetAnswer, error) {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		f.timeLeft = time.Until(deadline)
 	}
--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -13,7 +13,7 @@
 func (sim *simulation) startWave() {
 	wave := &workload.Wave{ID: waveID, WindowMS: sim.pattern.WaveWindow.Milliseconds(), AcceptedMS: sim.nowMS(), MaxUnavailable: sim.pattern.WaveMaxParallel}
 	for _, vm := range sim.vms[:sim.pattern.WaveVMs] {
-		wave.Machines = append(wave.Machines, workload.WaveMachine{Machine: vm.Machine})
+		wave.VMs = append(wave.VMs, workload.WaveVM{ID: vm.Machine})
 	}
 	sim.apply(&workload.Command{Wave: wave})
 }
@@ -54,7 +54,7 @@
 
 func (sim *simulation) capacityInput(t *workload.Tables) capacity.Input {
 	in := capacity.Input{
-		Now: sim.now, NowMS: sim.nowMS(), Tables: t, Closing: sim.closing, InFlight: map[workload.MachineID]capacity.InFlightOrder{},
+		Now: sim.now, NowMS: sim.nowMS(), Tables: t, Closing: sim.closing, InFlight: map[workload.VMID]capacity.InFlightOrder{},
 		Need: sim.demand.Need(t, sim.now, sim.nowMS()), NeedByLabel: sim.demand.NeedByLabel(t),
 		Unplaceable: sim.demand.Unplaceable(t, sim.now), MayPark: sim.demand.MayPark(sim.now),
 		Listed: func(workload.WorkerID) bool { return false }, Idle: sim.idle,
@@ -101,7 +101,7 @@
 func (sim *simulation) takeDown(vm *vmState, o capacity.Order) {
 	if o.Kind == capacity.Maintain {
 		vm.State, vm.backAt = capacity.Maintained, sim.now+maintenanceTime
-		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, Machine: vm.Machine}}})
+		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, VM: vm.Machine}}})
 		sim.result.WaveTime = sim.now - startTime - sim.pattern.WaveStart + maintenanceTime
 		return
 	}
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -85,7 +85,7 @@
 	peakPools []int
 	vms       []*vmState
 	byWorker  map[workload.WorkerID]*vmState
-	closing   map[workload.MachineID]capacity.Closing
+	closing   map[workload.VMID]capacity.Closing
 	demand    *capacity.Demand
 	running   runEndHeap
 	jobs      map[workload.JobID]*submittedJob
@@ -132,7 +132,7 @@
 	random := rand.New(rand.NewPCG(seed, 17))
 	sim := &simulation{
 		pattern: p, random: random, now: startTime, machine: workload.NewMachine(),
-		byWorker: map[workload.WorkerID]*vmState{}, closing: map[workload.MachineID]capacity.Closing{},
+		byWorker: map[workload.WorkerID]*vmState{}, closing: map[workload.VMID]capacity.Closing{},
 		jobs: map[workload.JobID]*submittedJob{}, open: map[workload.JobID]bool{},
 	}
 	sim.peakPools = p.drawPeaks(random)
@@ -148,7 +148,7 @@
 	}
 	sim.apply(&workload.Command{Config: config})
 	for i := range p.VMs + p.Standby {
-		vm := &vmState{VM: capacity.VM{Machine: workload.MachineID("m-" + strconv.Itoa(i)), Pool: standbyPool, State: capacity.Down, Capacity: vmCapacity}}
+		vm := &vmState{VM: capacity.VM{Machine: workload.VMID("m-" + strconv.Itoa(i)), Pool: standbyPool, State: capacity.Down, Capacity: vmCapacity}}
 		sim.vms = append(sim.vms, vm)
 		if i < p.VMs {
 			vm.Pool = poolName(i % len(p.Kinds))
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -155,7 +155,7 @@
 }
 
 func (p *planner) setRunKinds(c *candidate) {
-	kinds := p.Tables.Kinds[c.worker.ID]
+	kinds := p.Tables.RunKinds[c.worker.ID]
 	c.hasLatencyTarget, c.hasBestEffort, c.hasLongRunning = kinds.LatencySensitive > 0, kinds.BestEffort > 0, kinds.LongRunning > 0
 }
 
--- a/internal/workload/apply.go
+++ b/internal/workload/apply.go
@@ -315,7 +315,7 @@
 	delete(t.Sequences, id)
 	delete(t.Runs, id)
 	delete(t.Used, id)
-	delete(t.Kinds, id)
+	delete(t.RunKinds, id)
 	delete(t.Changes, id)
 }
 
@@ -329,9 +329,9 @@
 		if w == nil {
 			continue
 		}
-		for i := range w.Machines {
-			if w.Machines[i].Machine == b.Machine {
-				w.Machines[i].Begun = true
+		for i := range w.VMs {
+			if w.VMs[i].ID == b.VM {
+				w.VMs[i].Begun = true
 			}
 		}
 	}
--- a/internal/workload/command.go
+++ b/internal/workload/command.go
@@ -31,7 +31,7 @@
 	Begun []WaveBegun `cbor:"14,keyasint,omitempty"`
 	// Ordered lists the VMs for which the leader is about to send an order to the
 	// platform.
-	Ordered []MachineID `cbor:"16,keyasint,omitempty"`
+	Ordered []VMID `cbor:"16,keyasint,omitempty"`
 	// Close lists the workers that accept no more starts, Open those that accept
 	// them again.
 	Close []WorkerID `cbor:"17,keyasint,omitempty"`
@@ -124,9 +124,9 @@
 
 // WaveBegun records that the maintenance of a VM in a wave has begun.
 type WaveBegun struct {
-	_       struct{} `cbor:",toarray"`
-	Wave    int64
-	Machine MachineID
+	_    struct{} `cbor:",toarray"`
+	Wave int64
+	VM   VMID
 }
 
 // Encode returns the bytes of a command for the control log.
--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -8,9 +8,9 @@
 // WorkerID identifies one incarnation of a worker.
 type WorkerID string
 
-// MachineID identifies a VM of the platform; it is the same for all incarnations of
+// VMID identifies a VM of the platform; it is the same for all incarnations of
 // the worker on the VM.
-type MachineID string
+type VMID string
 
 // Resources are the resources that a task needs or a worker offers.
 type Resources struct {
--- a/internal/workload/machine.go
+++ b/internal/workload/machine.go
@@ -58,7 +58,7 @@
 	return state.Result{Index: index, Refused: state.Refusal(refused)}
 }
 
-func (m *Machine) recordOrderTimes(ordered []MachineID) {
+func (m *Machine) recordOrderTimes(ordered []VMID) {
 	if m.clock == nil || len(ordered) == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 	Jobs     []*Job
 	Workers  []*Worker
 	Waves    []*Wave
-	Ordered  map[MachineID]int64
+	Ordered  map[VMID]int64
 	Losses   []Loss
 	Suspects []*Suspect
 	// Sequences is Tables.Sequences.
@@ -146,7 +146,7 @@
 	Jobs    []*Job
 	Workers []*Worker
 	Waves   []*Wave
-	Ordered map[MachineID]int64
+	Ordered map[VMID]int64
 }
 
 func (p *snapshotV1) upgrade() snapshot {
@@ -199,7 +199,7 @@
 			restored.OrderAppliedAt[id] = appliedAt
 			continue
 		}
-		m.recordOrderTimes([]MachineID{id})
+		m.recordOrderTimes([]VMID{id})
 	}
 	m.notifyChanged()
 	return nil
--- a/internal/workload/machine_test.go
+++ b/internal/workload/machine_test.go
@@ -172,7 +172,7 @@
 	l.start(TaskRef{Job: "done"}, 1)
 	l.end(1, TaskRef{Job: "done"}, 1, EndDone)
 	l.start(TaskRef{Job: "open"}, 1)
-	l.do(&Command{Wave: &Wave{ID: 1, MaxUnavailable: 1, Machines: []WaveMachine{{Machine: "m"}}}, Ordered: []MachineID{"m"}, AtMS: 5})
+	l.do(&Command{Wave: &Wave{ID: 1, MaxUnavailable: 1, VMs: []WaveVM{{ID: "m"}}}, Ordered: []VMID{"m"}, AtMS: 5})
 	data, err := l.Snapshot()
 	is.NoErr(err)
 	other := NewMachine()
--- a/internal/workload/tables.go
+++ b/internal/workload/tables.go
@@ -20,10 +20,10 @@
 	Waves   map[int64]*Wave
 	// Ordered holds when an order for a VM was last announced in a command, before it
 	// was sent to the platform, by the leader's time of day in Unix milliseconds.
-	Ordered map[MachineID]int64
+	Ordered map[VMID]int64
 	// OrderAppliedAt holds when this process applied the last of these commands, by
 	// its own monotonic clock. It isn't replicated, and is empty without a clock.
-	OrderAppliedAt map[MachineID]time.Duration
+	OrderAppliedAt map[VMID]time.Duration
 
 	// Sequences holds the number of the last report that updated each worker, 0 if
 	// unknown.
@@ -45,8 +45,8 @@
 	// that they are charged for.
 	Runs map[WorkerID]map[RunRef]bool
 	Used map[WorkerID]Resources
-	// Kinds counts the runs on each worker by how they affect other runs.
-	Kinds map[WorkerID]Kinds
+	// RunKinds counts the runs on each worker by how they affect other runs.
+	RunKinds map[WorkerID]RunKinds
 	// Changes counts the changes of each worker's runs.
 	Changes map[WorkerID]uint64
 	// Stopping holds the runs that their task or job no longer needs, with their
@@ -54,15 +54,15 @@
 	Stopping map[RunRef]WorkerID
 }
 
-// Kinds counts the runs on a worker by how they affect other runs there.
-type Kinds struct {
+// RunKinds counts the runs on a worker by how they affect other runs there.
+type RunKinds struct {
 	// LongRunning counts runs that last until the job is cancelled,
 	// LatencySensitive those with a latency target, BestEffort those that use
 	// what others leave.
 	LongRunning, LatencySensitive, BestEffort int
 }
 
-func (k *Kinds) add(s *StepSpec, n int) {
+func (k *RunKinds) add(s *StepSpec, n int) {
 	if s.LongRunning {
 		k.LongRunning += n
 	}
@@ -76,20 +76,20 @@
 
 // countRun adds a run to the derived counts of a worker, or removes it if n is -1.
 func (t *Tables) countRun(worker WorkerID, spec *StepSpec, n int) {
-	kinds := t.Kinds[worker]
+	kinds := t.RunKinds[worker]
 	kinds.add(spec, n)
-	t.Kinds[worker] = kinds
+	t.RunKinds[worker] = kinds
 	t.Changes[worker]++
 }
 
 func newTables() *Tables {
 	return &Tables{
 		Queues: map[QueueID]*Queue{}, Jobs: map[JobID]*Job{},
-		Workers: map[WorkerID]*Worker{}, Waves: map[int64]*Wave{}, Ordered: map[MachineID]int64{}, OrderAppliedAt: map[MachineID]time.Duration{},
+		Workers: map[WorkerID]*Worker{}, Waves: map[int64]*Wave{}, Ordered: map[VMID]int64{}, OrderAppliedAt: map[VMID]time.Duration{},
 		Sequences: map[WorkerID]uint64{},
 		Losses:    map[WorkerID][]Loss{}, Suspects: map[TaskRef]*Suspect{}, unconfirmedLosses: map[TaskRef]int{},
 		Live: map[QueueID][]*Job{}, Runs: map[WorkerID]map[RunRef]bool{},
-		Used: map[WorkerID]Resources{}, Kinds: map[WorkerID]Kinds{}, Changes: map[WorkerID]uint64{}, Stopping: map[RunRef]WorkerID{},
+		Used: map[WorkerID]Resources{}, RunKinds: map[WorkerID]RunKinds{}, Changes: map[WorkerID]uint64{}, Stopping: map[RunRef]WorkerID{},
 	}
 }
 
--- a/internal/workload/worker.go
+++ b/internal/workload/worker.go
@@ -38,13 +38,13 @@
 	// MaxUnavailable is the number of VMs that may be unavailable for the wave at
 	// once.
 	MaxUnavailable int
-	Machines       []WaveMachine
+	VMs            []WaveVM
 }
 
-// WaveMachine is one VM of a wave.
-type WaveMachine struct {
-	_       struct{} `cbor:",toarray"`
-	Machine MachineID
+// WaveVM is one VM of a wave.
+type WaveVM struct {
+	_  struct{} `cbor:",toarray"`
+	ID VMID
 	// Begun is set when the platform has confirmed the maintenance, or the VM no
 	// longer exists.
 	Begun bool
@@ -53,8 +53,8 @@
 // Completed reports whether the maintenance of every VM that still exists has
 // begun.
 func (w *Wave) Completed() bool {
-	for i := range w.Machines {
-		if !w.Machines[i].Begun {
+	for i := range w.VMs {
+		if !w.VMs[i].Begun {
 			return false
 		}
 	}
