--- a/internal/capacity/decide_test.go
+++ b/internal/capacity/decide_test.go
@@ -36,7 +36,7 @@
 		config.Queues = append(config.Queues, workload.Queue{ID: workload.QueueID{Host: "h", Prefix: "/" + pool + "/"}, Pool: pool, TimeoutMS: 1})
 		for i := range vms[pool] {
 			name := fmt.Sprintf("%s-%d", pool, i)
-			vm := VM{Machine: workload.VMID(name), Pool: pool, State: Up, Capacity: capacity, Worker: workload.WorkerID("i-" + name)}
+			vm := VM{ID: workload.VMID(name), Pool: pool, State: Up, Capacity: capacity, Worker: workload.WorkerID("i-" + name)}
 			if pool == "spare" {
 				vm.State, vm.Worker = Down, ""
 			} else {
@@ -83,7 +83,7 @@
 	is.Equal(len(plan.Orders), 2)
 	for _, o := range plan.Orders {
 		is.Equal(o.Pool, "a")
-		is.Equal(string(o.Machine)[:5], "spare")
+		is.Equal(string(o.VM)[:5], "spare")
 	}
 }
 
@@ -97,9 +97,9 @@
 	plan := s.decide()
 	is.Equal(len(plan.Orders), 0)
 	is.Equal(len(plan.Close), 1)
-	is.Equal(plan.Close[0].Machine, workload.VMID("b-0"))
+	is.Equal(plan.Close[0].VM, workload.VMID("b-0"))
 
-	s.in.Closing[plan.Close[0].Machine] = plan.Close[0]
+	s.in.Closing[plan.Close[0].VM] = plan.Close[0]
 	is.Equal(len(s.decide().Orders), 0) // the task still runs
 	s.apply(&workload.Command{Ends: []workload.End{{Worker: "i-b-0", Number: 1, Kind: workload.EndDone,
 		Run: workload.RunRef{Task: workload.TaskRef{Job: "job-i-b-0"}, Attempt: 1}}}})
@@ -116,7 +116,7 @@
 	s := newTestSite(map[string]int{"a": 1, "b": 2})
 	s.in.Need = map[string]int64{"a": 10_000}
 	s.runOn("i-a-0", workload.StepSpec{Need: workload.Resources{CPU: 10_000}, LongRunning: true})
-	s.in.Closing["a-0"] = Closing{Machine: "a-0", Order: Order{Kind: Maintain, Machine: "a-0", Wave: 1}, Since: s.in.Now}
+	s.in.Closing["a-0"] = Closing{VM: "a-0", Order: Order{Kind: Maintain, VM: "a-0", Wave: 1}, Since: s.in.Now}
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Kind, Move)
@@ -136,11 +136,11 @@
 	is.Equal(len(plan.Orders), 2)
 	for _, o := range plan.Orders {
 		is.Equal(o.Kind, Maintain)
-		s.in.InFlight[o.Machine] = InFlightOrder{Order: o, Sent: s.in.Now}
+		s.in.InFlight[o.VM] = InFlightOrder{Order: o, Sent: s.in.Now}
 	}
 	is.Equal(len(s.decide().Orders), 0) // both are under maintenance
-	delete(s.in.InFlight, plan.Orders[0].Machine)
-	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, VM: plan.Orders[0].Machine}}})
+	delete(s.in.InFlight, plan.Orders[0].VM)
+	s.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: 7, VM: plan.Orders[0].VM}}})
 	is.Equal(len(s.decide().Orders), 1)
 }
 
@@ -168,7 +168,7 @@
 	s.in.NeedByLabel = map[string]map[string]int64{"a": {"fast": 1000}}
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
-	is.Equal(orders[0].Machine, s.in.VMs[3].Machine)
+	is.Equal(orders[0].VM, s.in.VMs[3].ID)
 	is.Equal(orders[0].Pool, "a")
 }
 
@@ -185,7 +185,7 @@
 	orders := s.decide().Orders
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Pool, "a")
-	s.in.InFlight[orders[0].Machine] = InFlightOrder{Order: orders[0], Sent: s.in.Now}
+	s.in.InFlight[orders[0].VM] = InFlightOrder{Order: orders[0], Sent: s.in.Now}
 	is.Equal(len(s.decide().Orders), 0) // one at a time
 
 	s = newTestSite(map[string]int{"a": 1, "b": 2})
--- a/internal/capacity/moves.go
+++ b/internal/capacity/moves.go
@@ -150,10 +150,10 @@
 	}
 	for _, s := range byName {
 		slices.SortFunc(s.busy, func(a, b *VM) int {
-			return cmp.Or(cmp.Compare(p.Tables.Used[a.Worker].CPU, p.Tables.Used[b.Worker].CPU), cmp.Compare(a.Machine, b.Machine))
+			return cmp.Or(cmp.Compare(p.Tables.Used[a.Worker].CPU, p.Tables.Used[b.Worker].CPU), cmp.Compare(a.ID, b.ID))
 		})
 		slices.SortFunc(s.idle, func(a, b *VM) int {
-			return cmp.Or(cmp.Compare(p.Idle(b.Worker), p.Idle(a.Worker)), cmp.Compare(a.Machine, b.Machine))
+			return cmp.Or(cmp.Compare(p.Idle(b.Worker), p.Idle(a.Worker)), cmp.Compare(a.ID, b.ID))
 		})
 	}
 	return pools, standby
@@ -183,10 +183,10 @@
 // countVM adds a VM to the pool that it serves or will serve.
 func (p *planner) countVM(byName map[string]*poolState, vm *VM) {
 	pool := vm.Pool
-	if f, inFlight := p.InFlight[vm.Machine]; inFlight && f.Order.Kind == Move {
+	if f, inFlight := p.InFlight[vm.ID]; inFlight && f.Order.Kind == Move {
 		pool = f.Order.Pool
 	}
-	if c, closing := p.Closing[vm.Machine]; closing && c.Order.Kind == Move {
+	if c, closing := p.Closing[vm.ID]; closing && c.Order.Kind == Move {
 		pool = c.Order.Pool
 	}
 	s := byName[pool]
@@ -194,7 +194,7 @@
 		return
 	}
 	s.add(vm, 1)
-	if p.taken[vm.Machine] || vm.State == Moving || vm.State == Maintained || vm.State == Unclear {
+	if p.taken[vm.ID] || vm.State == Moving || vm.State == Maintained || vm.State == Unclear {
 		return
 	}
 	switch {
@@ -225,9 +225,9 @@
 	best.busy = best.busy[1:]
 	best.add(vm, -1)
 	receiver.add(vm, 1)
-	order := Order{Kind: Move, Machine: vm.Machine, Pool: receiver.name, Why: "the pool needs more"}
-	p.taken[vm.Machine] = true
-	p.plan.Close = append(p.plan.Close, Closing{Machine: vm.Machine, Order: order, Since: p.Now})
+	order := Order{Kind: Move, VM: vm.ID, Pool: receiver.name, Why: "the pool needs more"}
+	p.taken[vm.ID] = true
+	p.plan.Close = append(p.plan.Close, Closing{VM: vm.ID, Order: order, Since: p.Now})
 	return true
 }
 
@@ -236,8 +236,8 @@
 // from it need capacity elsewhere: counted as capacity, it might never become
 // empty.
 func (p *planner) isLeavingForMaintenance(vm *VM) bool {
-	f, inFlight := p.InFlight[vm.Machine]
-	c, closing := p.Closing[vm.Machine]
+	f, inFlight := p.InFlight[vm.ID]
+	c, closing := p.Closing[vm.ID]
 	return inFlight && f.Order.Kind == Maintain || closing && c.Order.Kind == Maintain || vm.State == Maintained
 }
 
@@ -278,8 +278,8 @@
 }
 
 func (p *planner) move(vm *VM, pool, why string) {
-	p.taken[vm.Machine] = true
-	p.plan.Orders = append(p.plan.Orders, Order{Kind: Move, Machine: vm.Machine, Pool: pool, Why: why})
+	p.taken[vm.ID] = true
+	p.plan.Orders = append(p.plan.Orders, Order{Kind: Move, VM: vm.ID, Pool: pool, Why: why})
 }
 
 // park puts VMs on standby that have been idle and are not needed.
@@ -290,7 +290,7 @@
 	for _, s := range pools {
 		for len(s.idle) > 0 {
 			vm := s.idle[0]
-			if !s.canRelease(vm) || p.Idle(vm.Worker) < parkAfter || p.awaitsMaintenance(vm.Machine) {
+			if !s.canRelease(vm) || p.Idle(vm.Worker) < parkAfter || p.awaitsMaintenance(vm.ID) {
 				break
 			}
 			s.takeLongestIdle()
--- a/internal/capacity/vm.go
+++ b/internal/capacity/vm.go
@@ -26,7 +26,7 @@
 
 // VM is a VM as the platform lists it.
 type VM struct {
-	Machine  workload.VMID
+	ID       workload.VMID
 	Pool     string
 	State    State
 	Zone     string
@@ -48,8 +48,8 @@
 
 // Order is one call to the platform.
 type Order struct {
-	Kind    OrderKind
-	Machine workload.VMID
+	Kind OrderKind
+	VM   workload.VMID
 	// Pool is the target of a move, Wave the wave of a maintenance.
 	Pool string
 	Wave int64
@@ -60,9 +60,9 @@
 // Closing is a VM whose worker takes no new work, so that it becomes empty for an
 // order.
 type Closing struct {
-	Machine workload.VMID
-	Order   Order
-	Since   time.Duration
+	VM    workload.VMID
+	Order Order
+	Since time.Duration
 }
 
 // InFlightOrder is an order that was sent and whose VM is not back yet.
--- a/internal/capacity/waves.go
+++ b/internal/capacity/waves.go
@@ -22,7 +22,7 @@
 	in.VMs = withReportedCapacity(in.VMs, in.Tables)
 	p := &planner{Input: in, vms: map[workload.VMID]*VM{}, taken: map[workload.VMID]bool{}}
 	for i := range in.VMs {
-		p.vms[in.VMs[i].Machine] = &in.VMs[i]
+		p.vms[in.VMs[i].ID] = &in.VMs[i]
 	}
 	for id := range in.InFlight {
 		p.taken[id] = true
@@ -114,21 +114,21 @@
 		all = append(all, p.candidateOf(vm))
 	}
 	slices.SortStableFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.runs, b.runs), cmp.Compare(a.longRunning, b.longRunning), cmp.Compare(a.vm.Machine, b.vm.Machine))
+		return cmp.Or(cmp.Compare(a.runs, b.runs), cmp.Compare(a.longRunning, b.longRunning), cmp.Compare(a.vm.ID, b.vm.ID))
 	})
 	for _, v := range all {
 		if remaining <= 0 {
 			return
 		}
-		order := Order{Kind: Maintain, Machine: v.vm.Machine, Wave: w.ID, Why: "wave"}
+		order := Order{Kind: Maintain, VM: v.vm.ID, Wave: w.ID, Why: "wave"}
 		if v.vm.State == Down || v.runs == 0 && p.isEmpty(v.vm) {
 			p.plan.Orders = append(p.plan.Orders, order)
 		} else if v.vm.Worker != "" {
-			p.plan.Close = append(p.plan.Close, Closing{Machine: v.vm.Machine, Order: order, Since: p.Now})
+			p.plan.Close = append(p.plan.Close, Closing{VM: v.vm.ID, Order: order, Since: p.Now})
 		} else {
 			continue
 		}
-		p.taken[v.vm.Machine] = true
+		p.taken[v.vm.ID] = true
 		remaining--
 	}
 }
--- a/internal/dispatch/evict.go
+++ b/internal/dispatch/evict.go
@@ -16,11 +16,11 @@
 	maintenance := map[workload.WorkerID]bool{}
 	for i := range f.vms {
 		vm := &f.vms[i]
-		_, closing := f.closing[vm.Machine]
-		if closing || f.flights[vm.Machine] != nil {
+		_, closing := f.closing[vm.ID]
+		if closing || f.flights[vm.ID] != nil {
 			closed[vm.Worker] = true
 		}
-		maintenance[vm.Worker] = awaiting[vm.Machine]
+		maintenance[vm.Worker] = awaiting[vm.ID]
 	}
 	for id, l := range d.links {
 		l.mu.Lock()
@@ -52,7 +52,7 @@
 	d.fleet.awaitingRestart = d.poolsAwaitingRestart(t, now)
 	for i := range d.fleet.vms {
 		vm := &d.fleet.vms[i]
-		c, closing := d.fleet.closing[vm.Machine]
+		c, closing := d.fleet.closing[vm.ID]
 		if closing && c.Order.Kind == capacity.Maintain {
 			d.evictWorker(t, vm.Worker, now-c.Since > shortTaskGrace)
 		}
--- a/internal/dispatch/fleet.go
+++ b/internal/dispatch/fleet.go
@@ -109,7 +109,7 @@
 		delete(f.closing, id)
 	}
 	for _, c := range plan.Close {
-		f.closing[c.Machine] = c
+		f.closing[c.VM] = c
 		d.logFleet(c.Order, "worker closed")
 	}
 	d.logBalance(plan.Pools, now)
@@ -256,27 +256,27 @@
 func (d *Dispatcher) mergeList(listed []capacity.VM) []capacity.VM {
 	known := make(map[workload.VMID]*capacity.VM, len(d.fleet.vms))
 	for i := range d.fleet.vms {
-		known[d.fleet.vms[i].Machine] = &d.fleet.vms[i]
+		known[d.fleet.vms[i].ID] = &d.fleet.vms[i]
 	}
 	vms := make([]capacity.VM, 0, len(listed))
 	seen := make(map[workload.VMID]bool, len(listed))
 	for i := range listed {
 		if listed[i].State != capacity.Unclear {
-			seen[listed[i].Machine] = true
+			seen[listed[i].ID] = true
 			vms = append(vms, listed[i])
 		}
 	}
 	for i := range listed {
-		old := known[listed[i].Machine]
-		if seen[listed[i].Machine] || old == nil {
+		old := known[listed[i].ID]
+		if seen[listed[i].ID] || old == nil {
 			continue
 		}
-		seen[listed[i].Machine] = true
+		seen[listed[i].ID] = true
 		unclear := *old
 		unclear.State = capacity.Unclear
 		vms = append(vms, unclear)
 		if old.State != capacity.Unclear {
-			d.config.Logger.WithField("vm", string(old.Machine)).WithField("pool", old.Pool).Warn("what the platform lists of a VM can't be read; it gets no order")
+			d.config.Logger.WithField("vm", string(old.ID)).WithField("pool", old.Pool).Warn("what the platform lists of a VM can't be read; it gets no order")
 		}
 	}
 	return vms
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -53,14 +53,14 @@
 func (f *fleetState) completeFlights(now time.Duration) {
 	for i := range f.vms {
 		vm := &f.vms[i]
-		fl := f.flights[vm.Machine]
+		fl := f.flights[vm.ID]
 		if fl == nil || !fl.done || f.listedAt <= fl.Sent {
 			continue
 		}
 		arrived := vm.State == capacity.Up && vm.Worker != "" && vm.Worker != fl.Worker
 		parked := fl.Order.Kind == capacity.Move && vm.Pool == fl.Order.Pool && vm.State != capacity.Moving && vm.State != capacity.Unclear
 		if arrived || parked {
-			delete(f.flights, vm.Machine)
+			delete(f.flights, vm.ID)
 		}
 	}
 	for id, fl := range f.flights {
@@ -73,16 +73,16 @@
 // beginFlight begins an order. The worker stays closed until the VM is back.
 func (d *Dispatcher) beginFlight(ctx context.Context, term uint64, o capacity.Order) {
 	f := d.fleet
-	if f.flights[o.Machine] != nil || !f.takeToken(d.now(), d.config.FleetRate) {
+	if f.flights[o.VM] != nil || !f.takeToken(d.now(), d.config.FleetRate) {
 		return // the next round decides again
 	}
 	fl := &flight{InFlightOrder: capacity.InFlightOrder{Order: o, Sent: d.now()}}
 	for i := range f.vms {
-		if f.vms[i].Machine == o.Machine {
+		if f.vms[i].ID == o.VM {
 			fl.Worker = f.vms[i].Worker
 		}
 	}
-	f.flights[o.Machine] = fl
+	f.flights[o.VM] = fl
 	d.sendFlight(ctx, term, fl)
 }
 
@@ -123,7 +123,7 @@
 // committed before the worker is closed, and then found by the check, or refused.
 func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
 	o := fl.Order
-	intent := &workload.Command{Term: term, Ordered: []workload.VMID{o.Machine}, Close: []workload.WorkerID{fl.Worker}}
+	intent := &workload.Command{Term: term, Ordered: []workload.VMID{o.VM}, Close: []workload.WorkerID{fl.Worker}}
 	if err := d.propose(ctx, intent); err != nil {
 		return FleetRateLimited, nil // nothing was ordered; the next round decides again
 	}
@@ -131,9 +131,9 @@
 		return FleetBusy, nil
 	}
 	if o.Kind == capacity.Move {
-		return d.config.Fleet.Move(ctx, o.Machine, o.Pool, d.config.Self, term)
+		return d.config.Fleet.Move(ctx, o.VM, o.Pool, d.config.Self, term)
 	}
-	return d.config.Fleet.Maintain(ctx, o.Machine, o.Wave, d.config.Self, term)
+	return d.config.Fleet.Maintain(ctx, o.VM, o.Wave, d.config.Self, term)
 }
 
 // hasNoRuns reports whether nothing is committed on a worker.
@@ -158,15 +158,15 @@
 		fl.done, fl.Sent = true, now
 		return
 	}
-	delete(f.flights, fl.Order.Machine)
-	f.blockedUntil[fl.Order.Machine] = now + fleetRetryPause
+	delete(f.flights, fl.Order.VM)
+	f.blockedUntil[fl.Order.VM] = now + fleetRetryPause
 }
 
 // commitFleetReply commits the consequences of the reply to an order.
 func (d *Dispatcher) commitFleetReply(ctx context.Context, term uint64, fl *flight, reply FleetAnswer) {
 	c := &workload.Command{Term: term}
 	if fl.Order.Kind == capacity.Maintain && (reply == FleetDone || reply == FleetUnknown || reply == FleetWrongWave) {
-		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, VM: fl.Order.Machine})
+		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, VM: fl.Order.VM})
 	}
 	switch {
 	case fl.Worker == "":
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -154,7 +154,7 @@
 	if o.Kind == capacity.Maintain {
 		order = "maintain"
 	}
-	return d.config.Logger.WithField("vm", string(o.Machine)).WithField("order", order).
+	return d.config.Logger.WithField("vm", string(o.VM)).WithField("order", order).
 		WithField("pool", o.Pool).WithField("wave", o.Wave).WithField("why", o.Why).
 		WithField("list_age_ms", (d.now() - d.fleet.listedAt).Milliseconds())
 }
--- a/internal/dispatch/malformed_test.go
+++ b/internal/dispatch/malformed_test.go
@@ -40,17 +40,17 @@
 	d := sim.leader
 	d.fleet = newFleetState(sim.now, nil)
 	d.fleet.vms = []capacity.VM{
-		{Machine: "m-1", Pool: "p", State: capacity.Up, Worker: "i-1"},
-		{Machine: "m-2", Pool: "p", State: capacity.Up, Worker: "i-2"},
+		{ID: "m-1", Pool: "p", State: capacity.Up, Worker: "i-1"},
+		{ID: "m-2", Pool: "p", State: capacity.Up, Worker: "i-2"},
 	}
 	vms := d.mergeList([]capacity.VM{
-		{Machine: "m-1", State: capacity.Unclear}, // the same VM listed twice
-		{Machine: "m-2", State: capacity.Unclear},
-		{Machine: "m-1", Pool: "q", State: capacity.Up, Worker: "i-3"},
-		{Machine: "m-9", State: capacity.Unclear}, // never listed before
+		{ID: "m-1", State: capacity.Unclear}, // the same VM listed twice
+		{ID: "m-2", State: capacity.Unclear},
+		{ID: "m-1", Pool: "q", State: capacity.Up, Worker: "i-3"},
+		{ID: "m-9", State: capacity.Unclear}, // never listed before
 	})
 	is.Equal(vms, []capacity.VM{
-		{Machine: "m-1", Pool: "q", State: capacity.Up, Worker: "i-3"},
-		{Machine: "m-2", Pool: "p", State: capacity.Unclear, Worker: "i-2"},
+		{ID: "m-1", Pool: "q", State: capacity.Up, Worker: "i-3"},
+		{ID: "m-2", Pool: "p", State: capacity.Unclear, Worker: "i-2"},
 	})
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -96,7 +96,7 @@
 	d := sim.leader
 	d.config.Fleet, d.group = f, &conc.WaitGroup{}
 	d.fleet = newFleetState(sim.now, &capacity.Demand{})
-	d.sendFlight(t.Context(), sim.term, &flight{InFlightOrder: capacity.InFlightOrder{Order: capacity.Order{Kind: capacity.Move, Machine: "m", Pool: "p"}}})
+	d.sendFlight(t.Context(), sim.term, &flight{InFlightOrder: capacity.InFlightOrder{Order: capacity.Order{Kind: capacity.Move, VM: "m", Pool: "p"}}})
 	d.group.Wait()
 	is.True(f.timeLeft > 0 && f.timeLeft <= fleetTimeout)
 }
--- a/internal/loadmodel/fleet.go
+++ b/internal/loadmodel/fleet.go
@@ -13,7 +13,7 @@
 func (sim *simulation) startWave() {
 	wave := &workload.Wave{ID: waveID, WindowMS: sim.pattern.WaveWindow.Milliseconds(), AcceptedMS: sim.nowMS(), MaxUnavailable: sim.pattern.WaveMaxParallel}
 	for _, vm := range sim.vms[:sim.pattern.WaveVMs] {
-		wave.VMs = append(wave.VMs, workload.WaveVM{ID: vm.Machine})
+		wave.VMs = append(wave.VMs, workload.WaveVM{ID: vm.ID})
 	}
 	sim.apply(&workload.Command{Wave: wave})
 }
@@ -45,7 +45,7 @@
 		delete(sim.closing, machine)
 	}
 	for _, c := range plan.Close {
-		sim.closing[c.Machine] = c
+		sim.closing[c.VM] = c
 	}
 	for _, o := range plan.Orders {
 		sim.execute(o)
@@ -62,7 +62,7 @@
 	for _, vm := range sim.vms {
 		in.VMs = append(in.VMs, vm.VM)
 		if vm.orderInFlight {
-			in.InFlight[vm.Machine] = vm.order
+			in.InFlight[vm.ID] = vm.order
 		}
 	}
 	return in
@@ -86,7 +86,7 @@
 		sim.result.Moves++
 	}
 	for _, vm := range sim.vms {
-		if vm.Machine != o.Machine {
+		if vm.ID != o.VM {
 			continue
 		}
 		vm.order, vm.orderInFlight = capacity.InFlightOrder{Order: o, Sent: sim.now, Worker: vm.Worker}, true
@@ -101,7 +101,7 @@
 func (sim *simulation) takeDown(vm *vmState, o capacity.Order) {
 	if o.Kind == capacity.Maintain {
 		vm.State, vm.backAt = capacity.Maintained, sim.now+maintenanceTime
-		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, VM: vm.Machine}}})
+		sim.apply(&workload.Command{Begun: []workload.WaveBegun{{Wave: waveID, VM: vm.ID}}})
 		sim.result.WaveTime = sim.now - startTime - sim.pattern.WaveStart + maintenanceTime
 		return
 	}
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -148,7 +148,7 @@
 	}
 	sim.apply(&workload.Command{Config: config})
 	for i := range p.VMs + p.Standby {
-		vm := &vmState{VM: capacity.VM{Machine: workload.VMID("m-" + strconv.Itoa(i)), Pool: standbyPool, State: capacity.Down, Capacity: vmCapacity}}
+		vm := &vmState{VM: capacity.VM{ID: workload.VMID("m-" + strconv.Itoa(i)), Pool: standbyPool, State: capacity.Down, Capacity: vmCapacity}}
 		sim.vms = append(sim.vms, vm)
 		if i < p.VMs {
 			vm.Pool = poolName(i % len(p.Kinds))
@@ -183,7 +183,7 @@
 	sim.workerStarts++
 	vm.State, vm.Worker, vm.backAt, vm.endCount, vm.idleSince = capacity.Up, workload.WorkerID(fmt.Sprintf("i-%d", sim.workerStarts)), 0, 0, sim.now
 	sim.byWorker[vm.Worker] = vm
-	sim.apply(&workload.Command{Workers: []workload.Worker{{ID: vm.Worker, Pool: vm.Pool, Address: string(vm.Machine), Capacity: vm.Capacity}}})
+	sim.apply(&workload.Command{Workers: []workload.Worker{{ID: vm.Worker, Pool: vm.Pool, Address: string(vm.ID), Capacity: vm.Capacity}}})
 }
 
 func (sim *simulation) advance() {
@@ -264,7 +264,7 @@
 	sim.machine.Read(func(t *workload.Tables) {
 		soft := make(map[workload.WorkerID]schedule.Worker, len(t.Workers))
 		for id := range t.Workers {
-			_, closing := sim.closing[sim.byWorker[id].Machine]
+			_, closing := sim.closing[sim.byWorker[id].ID]
 			soft[id] = schedule.Worker{Usable: true, Closing: closing}
 		}
 		plan = schedule.Make(schedule.Input{
