--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -66,7 +66,7 @@
 	return metrics.GetOrRegisterCounter("dispatch.refused."+r.String(), c.registry)
 }
 
-func (c *counters) order(a FleetAnswer) metrics.Counter {
+func (c *counters) order(a FleetReply) metrics.Counter {
 	return metrics.GetOrRegisterCounter("dispatch.orders."+a.String(), c.registry)
 }
 
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -13,16 +13,16 @@
 // Fleet makes the calls to the platform.
 type Fleet interface {
 	List(ctx context.Context) ([]capacity.VM, error)
-	Move(ctx context.Context, vm workload.VMID, pool, holder string, fence uint64) (FleetAnswer, error)
-	Maintain(ctx context.Context, vm workload.VMID, wave int64, holder string, fence uint64) (FleetAnswer, error)
+	Move(ctx context.Context, vm workload.VMID, pool, holder string, fence uint64) (FleetReply, error)
+	Maintain(ctx context.Context, vm workload.VMID, wave int64, holder string, fence uint64) (FleetReply, error)
 }
 
-// FleetAnswer is the platform's reply to an order.
-type FleetAnswer uint8
+// FleetReply is the platform's reply to an order.
+type FleetReply uint8
 
 // The replies of the platform.
 const (
-	FleetDone FleetAnswer = iota
+	FleetDone FleetReply = iota
 	// FleetFenced: a later leader has sent orders for the VM.
 	FleetFenced
 	// FleetBusy: the VM is not up, or is leaving.
@@ -36,7 +36,7 @@
 )
 
 // String names the reply for log lines.
-func (a FleetAnswer) String() string {
+func (a FleetReply) String() string {
 	return [...]string{"done", "fence", "busy", "wave", "unknown", "limited"}[a]
 }
 
@@ -121,7 +121,7 @@
 // carryOutOrder commits that the worker is closed, checks again that it has no
 // runs and calls the platform. A start that was decided earlier is either
 // committed before the worker is closed, and then found by the check, or refused.
-func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetAnswer, error) {
+func (d *Dispatcher) carryOutOrder(ctx context.Context, term uint64, fl *flight) (FleetReply, error) {
 	o := fl.Order
 	intent := &workload.Command{Term: term, Ordered: []workload.VMID{o.VM}, Close: []workload.WorkerID{fl.Worker}}
 	if err := d.propose(ctx, intent); err != nil {
@@ -144,7 +144,7 @@
 }
 
 // handleFleetReply updates a flight after its call.
-func (d *Dispatcher) handleFleetReply(fl *flight, reply FleetAnswer, err error) {
+func (d *Dispatcher) handleFleetReply(fl *flight, reply FleetReply, err error) {
 	f, now := d.fleet, d.now()
 	if err != nil {
 		// The order may have been carried out, or may still be. Only a reply to a
@@ -163,7 +163,7 @@
 }
 
 // commitFleetReply commits the consequences of the reply to an order.
-func (d *Dispatcher) commitFleetReply(ctx context.Context, term uint64, fl *flight, reply FleetAnswer) {
+func (d *Dispatcher) commitFleetReply(ctx context.Context, term uint64, fl *flight, reply FleetReply) {
 	c := &workload.Command{Term: term}
 	if fl.Order.Kind == capacity.Maintain && (reply == FleetDone || reply == FleetUnknown || reply == FleetWrongWave) {
 		c.Begun = append(c.Begun, workload.WaveBegun{Wave: fl.Order.Wave, VM: fl.Order.VM})
--- a/internal/dispatch/logs.go
+++ b/internal/dispatch/logs.go
@@ -159,7 +159,7 @@
 		WithField("list_age_ms", (d.now() - d.fleet.listedAt).Milliseconds())
 }
 
-func (d *Dispatcher) logFleetReply(o capacity.Order, a FleetAnswer) {
+func (d *Dispatcher) logFleetReply(o capacity.Order, a FleetReply) {
 	d.counters.order(a).Inc(1)
 	d.fleetLine(o).WithField("answer", a.String()).Info("order to the platform")
 }
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -77,7 +77,7 @@
 	timeLeft time.Duration
 }
 
-func (f *deadlineFleet) Move(ctx context.Context, _ workload.VMID, _, _ string, _ uint64) (FleetAnswer, error) {
+func (f *deadlineFleet) Move(ctx context.Context, _ workload.VMID, _, _ string, _ uint64) (FleetReply, error) {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		f.timeLeft = time.Until(deadline)
 	}
