--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -88,20 +88,20 @@
 	if !holds {
 		return
 	}
-	least := map[platform.CommandKind]model.MaintenancePhase{
+	minPhase := map[platform.CommandKind]model.MaintenancePhase{
 		platform.Drain: model.PhaseDraining, platform.Undrain: model.PhaseDraining,
 		platform.Reboot: model.PhaseRebooting, platform.Return: model.PhaseSoaking,
 	}[c.Kind]
-	k.expect(p.Phase >= least, "commit-before-command", "%s of VM %s in phase %d", c.Kind, c.VM, p.Phase)
+	k.expect(p.Phase >= minPhase, "commit-before-command", "%s of VM %s in phase %d", c.Kind, c.VM, p.Phase)
 	if c.Kind == platform.Reboot {
 		k.expect(c.BootID == p.BootID, "one-reboot-a-permit", "VM %s is to be rebooted from boot %s; its permit is for %s", c.VM, c.BootID, p.BootID)
 	}
 }
 
-// CheckBudgets returns the services that the round's planned actions take
-// below their budgets: the remainder must not be negative for any service that
-// a planned action costs an instance (budget-kept). It computes the budgets
-// again from the snapshot, with every rule on.
+// CheckBudgets returns a violation of budget-kept for each service that loses an
+// available instance to the round's planned actions and whose budget then has a
+// negative remainder. It computes the budgets again from the snapshot, with
+// every rule on.
 func CheckBudgets(snap *fleet.Snapshot, o budget.Options, planned []state.Action) []Violation {
 	o.Rules = budget.Rules{}
 	ix := fleet.NewIndex(snap)
@@ -121,21 +121,21 @@
 	return k.violations
 }
 
-// disruptedVM returns the VM that an action takes out of service, nil for none.
+// disruptedVM returns the VM that an action takes out of service, or nil.
 func disruptedVM(ix *fleet.Index, a *state.Action) *fleet.VM {
 	switch {
 	case a.GrantPermit != nil:
 		return ix.VM(a.GrantPermit.VM)
 	case a.BeginMove != nil && a.BeginMove.Generation > 0:
-		return unlessMoving(ix.VM(a.BeginMove.VM))
+		return nilIfMoving(ix.VM(a.BeginMove.VM))
 	default:
 		return nil
 	}
 }
 
-// unlessMoving returns nil for a VM that was already moving: sending it to
+// nilIfMoving returns the VM, or nil if it was already moving: sending it to
 // another target, or back to its pool, costs no further instances.
-func unlessMoving(v *fleet.VM) *fleet.VM {
+func nilIfMoving(v *fleet.VM) *fleet.VM {
 	if v != nil && v.Moving() {
 		return nil
 	}
--- a/internal/controller/command.go
+++ b/internal/controller/command.go
@@ -66,6 +66,8 @@
 	}
 }
 
+// drain commands the drain of a VM, or its undrain if the wave returns the VM
+// before its reboot.
 func (m *commander) drain(p *model.Permit, v *model.VM) {
 	switch {
 	case m.controller.softState.undrain[v.ID]:
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,14 +121,15 @@
 	violations []Violation
 }
 
-// softState is what each leader learns again: it is not replicated and may be
-// lost at any time.
+// softState is what a new leader has to collect again: it is not replicated and
+// may be lost at any time.
 type softState struct {
-	observed          *observedState
-	sent              map[model.CommandID]sentCommand
-	sizes             *estimate.Estimator
-	runtimes          *runtimes
-	history           *health.History
+	observed *observedState
+	sent     map[model.CommandID]sentCommand
+	sizes    *estimate.Estimator
+	runtimes *runtimes
+	history  *health.History
+	// undrain holds the VMs that the wave returns before their reboot.
 	undrain           map[model.VMID]bool
 	uncommittedGrants []model.VMID
 	rebootAttempts    map[model.VMID]int
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -7,9 +7,9 @@
 	registry metrics.Registry
 	failedRounds, skippedRounds, actions, refusedActions, heldMoves,
 	commands, refusedCommands, commandsNotRun, commandsUnknown, failedObservations metrics.Counter
-	// permits, leastLeft and stale are gauges of the last full round.
-	// leastLeft is the smallest remainder of any service's budget.
-	permits, leastLeft, stale metrics.Gauge
+	// permits, minRemaining and stale are gauges of the last full round.
+	// minRemaining is the smallest remainder of any service's budget.
+	permits, minRemaining, stale metrics.Gauge
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -17,7 +17,7 @@
 	gauge := func(name string) metrics.Gauge { return metrics.GetOrRegisterGauge("controller."+name, r) }
 	return counters{
 		permits:            gauge("permits"),
-		leastLeft:          gauge("budget.least_left"),
+		minRemaining:       gauge("budget.least_left"),
 		stale:              gauge("platform.stale"),
 		registry:           r,
 		failedRounds:       counter("rounds.failed"),
@@ -50,7 +50,7 @@
 // setGauges updates the gauges from a round.
 func (c *counters) setGauges(d *roundDecision) {
 	c.permits.Update(int64(len(d.ix.Snap.View.Permits)))
-	c.leastLeft.Update(int64(d.ledger.MinRemaining()))
+	c.minRemaining.Update(int64(d.ledger.MinRemaining()))
 	c.stale.Update(0)
 	if d.stale {
 		c.stale.Update(1)
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -15,15 +15,16 @@
 
 // roundDecision collects the decisions of one round.
 type roundDecision struct {
-	at      model.Instant
-	term    uint64
-	stale   bool
-	ix      *fleet.Index
-	ledger  *budget.Ledger
-	wave    wave.Decision
-	spared  []health.RejectedQuarantine
-	actions []state.Action
-	stopped map[model.TaskID]bool
+	at     model.Instant
+	term   uint64
+	stale  bool
+	ix     *fleet.Index
+	ledger *budget.Ledger
+	wave   wave.Decision
+	// rejected are the suspect workers that are not put into quarantine.
+	rejected []health.RejectedQuarantine
+	actions  []state.Action
+	stopped  map[model.TaskID]bool
 	// unevenServices are the services of which an instance has to move to even
 	// out their spread.
 	unevenServices map[model.ServiceID]bool
@@ -88,8 +89,8 @@
 }
 
 func (c *Controller) decideHealth(d *roundDecision) {
-	actions, spared := health.Decide(d.ix, c.softState.history, c.config.Health)
-	d.spared = spared
+	actions, rejected := health.Decide(d.ix, c.softState.history, c.config.Health)
+	d.rejected = rejected
 	d.add(actions...)
 }
 
@@ -169,9 +170,10 @@
 	d.add(a)
 }
 
-// mayStart keeps jobs off VMs that the wave has yet to drain: the jobs would be
-// moved, or would delay the drain because they must not be interrupted. They
-// wait, for a limited time, for a VM that is done; urgent jobs never wait.
+// mayStart reports whether a job may start where it was placed. It keeps jobs
+// off VMs that the wave has yet to drain: the jobs would be moved, or would
+// delay the drain because they must not be interrupted. They wait, for a limited
+// time, for a VM that is done; urgent jobs never wait.
 func (c *Controller) mayStart(d *roundDecision, t *model.Task) bool {
 	job := d.ix.Job(t.Job)
 	if job == nil || t.Priority == model.Urgent {
@@ -185,9 +187,9 @@
 	if d.at.Sub(job.Changed) > maxSteerWait(t.Priority) {
 		return true
 	}
-	ideas := c.config.Wave.Features
-	displaced := ideas.DisplaceToDone && job.Moves > 0
-	return !displaced && !(ideas.SteerNew && c.outlastsDrain(d, t, job))
+	features := c.config.Wave.Features
+	displaced := features.DisplaceToDone && job.Moves > 0
+	return !displaced && !(features.SteerNew && c.outlastsDrain(d, t, job))
 }
 
 // outlastsDrain reports whether a batch job, or a job that must not be
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -84,9 +84,9 @@
 		return true
 	}))
 	for _, v := range s.platform.ActualVMs() {
-		is.True(!drained[v.ID] || !v.Drained)                                   // accept work again
-		is.True(!drained[v.ID] || s.platform.Tally().RebootCommands[v.ID] == 0) // were not rebooted
-		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)             // and do not count as done
+		is.True(!drained[v.ID] || !v.Drained)                                   // accepts work again
+		is.True(!drained[v.ID] || s.platform.Tally().RebootCommands[v.ID] == 0) // was not rebooted
+		is.True(!drained[v.ID] || s.view().Maintained[v.ID] == nil)             // does not count as maintained
 	}
 	s.finishWave(t)
 }
--- a/internal/controller/manifest_wave_test.go
+++ b/internal/controller/manifest_wave_test.go
@@ -14,9 +14,9 @@
 // all VMs if only is empty.
 func (s *sim) rebootsCommanded(only model.PoolID) int {
 	n := 0
-	for id, asked := range s.platform.Tally().RebootCommands {
+	for id, commanded := range s.platform.Tally().RebootCommands {
 		if only == "" || s.view().Owners[id].Pool == only {
-			n += asked
+			n += commanded
 		}
 	}
 	return n
--- a/internal/controller/policy_run_test.go
+++ b/internal/controller/policy_run_test.go
@@ -101,7 +101,7 @@
 	generations map[model.VMID]uint64
 }
 
-func newPolicyRun(p policySite, ideas wave.Features, seed uint64) *policyRun {
+func newPolicyRun(p policySite, features wave.Features, seed uint64) *policyRun {
 	r := &policyRun{
 		policySite: p, random: rand.New(rand.NewPCG(seed, 11)),
 		work: map[model.JobID]standin.Work{}, submitted: map[model.JobID]model.Instant{}, moves: map[model.JobID]int{},
@@ -115,7 +115,7 @@
 			Behaviour: func(s platform.TaskSpec) standin.Work { return r.work[s.Job] },
 			OnStop:    r.recordStop,
 		},
-		config: Config{Wave: wave.Options{Features: ideas}},
+		config: Config{Wave: wave.Options{Features: features}},
 	})
 	r.onStart = r.recordStart
 	return r
--- a/internal/controller/policy_test.go
+++ b/internal/controller/policy_test.go
@@ -9,14 +9,14 @@
 )
 
 // jobMoves counts the stops of jobs by the wave, the jobs that were stopped,
-// and the most stops of any one job.
-func (r *policyRun) jobMoves() (total, displaced, most int) {
+// and the maximum number of stops of one job.
+func (r *policyRun) jobMoves() (total, displaced, maxMoves int) {
 	for _, n := range r.moves {
 		total += n
 		displaced++
-		most = max(most, n)
+		maxMoves = max(maxMoves, n)
 	}
-	return total, displaced, most
+	return total, displaced, maxMoves
 }
 
 // vmMoves counts the moves of VMs between pools since the wave began.
@@ -44,8 +44,8 @@
 }
 
 var policyVariants = []struct {
-	name  string
-	ideas wave.Features
+	name     string
+	features wave.Features
 }{
 	{"plain", wave.Features{}},
 	{"SteerNew", wave.Features{SteerNew: true}},
@@ -57,26 +57,26 @@
 }
 
 // BenchmarkPolicy runs a wave through each site under load, with misdeclared
-// sizes, failures and mass cancellations: without any idea, with each idea
-// alone and with the chosen set. Run it with -benchtime 1x.
+// sizes, failures and mass cancellations: without any feature, with each feature
+// alone and with all that production uses ("chosen"). Run it with -benchtime 1x.
 func BenchmarkPolicy(b *testing.B) {
 	const seeds = 2
 	for _, p := range policySites {
 		for _, v := range policyVariants {
 			b.Run(p.name+"/"+v.name, func(b *testing.B) {
 				for range b.N {
-					reportPolicy(b, p, v.ideas, seeds)
+					reportPolicy(b, p, v.features, seeds)
 				}
 			})
 		}
 	}
 }
 
-func reportPolicy(b *testing.B, p policySite, ideas wave.Features, seeds uint64) {
-	var ratio, minutes, reserved, maxReserved, wait, total, most, vmMoves, jobs, preemptions float64
+func reportPolicy(b *testing.B, p policySite, features wave.Features, seeds uint64) {
+	var ratio, minutes, reserved, maxReserved, wait, total, maxMoves, vmMoves, jobs, preemptions float64
 	violations, shortfall, wrong := 0, 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
-		r := newPolicyRun(p, ideas, seed)
+		r := newPolicyRun(p, features, seed)
 		r.run()
 		took := r.end.Sub(simStart.Add(policyWarmup))
 		minutes += took.Minutes() / float64(seeds)
@@ -87,7 +87,7 @@
 		n, displaced, worst := r.jobMoves()
 		total += float64(n) / float64(seeds)
 		jobs += float64(displaced) / float64(seeds)
-		most = max(most, float64(worst))
+		maxMoves = max(maxMoves, float64(worst))
 		vmMoves += float64(r.vmMoves()) / float64(seeds)
 		preemptions += float64(r.preemptions) / float64(seeds)
 		violations += r.violations
@@ -101,7 +101,7 @@
 	b.ReportMetric(maxReserved, "held-worst")
 	b.ReportMetric(total, "job-moves")
 	b.ReportMetric(jobs, "jobs-moved")
-	b.ReportMetric(most, "moves-a-job")
+	b.ReportMetric(maxMoves, "moves-a-job")
 	b.ReportMetric(vmMoves, "vm-moves")
 	b.ReportMetric(preemptions, "yields")
 	b.ReportMetric(wait, "urgent-p99-s")
@@ -110,9 +110,9 @@
 	b.ReportMetric(float64(wrong), "lost-or-doubled")
 }
 
-// BenchmarkPolicyWithoutFailures runs the chosen set without failures, seed by
-// seed: the lower bound then depends only on the load, or on a job that must
-// not be interrupted.
+// BenchmarkPolicyWithoutFailures runs a wave with all features and without
+// failures, seed by seed: the lower bound then depends only on the load, or on a
+// job that must not be interrupted.
 func BenchmarkPolicyWithoutFailures(b *testing.B) {
 	for _, p := range policySites {
 		for seed := uint64(1); seed <= 6; seed++ {
@@ -121,14 +121,14 @@
 					r := newPolicyRun(p, wave.AllFeatures(), seed)
 					r.withoutFailures = true
 					r.run()
-					moves, _, most := r.jobMoves()
+					moves, _, maxMoves := r.jobMoves()
 					took := r.end.Sub(simStart.Add(policyWarmup))
 					b.ReportMetric(0, "ns/op")
 					b.ReportMetric(took.Minutes(), "rollout-min")
 					b.ReportMetric(float64(took)/float64(r.lowerBound()), "rollout-ratio")
 					b.ReportMetric(r.uninterruptible.Minutes(), "uncuttable-min")
 					b.ReportMetric(float64(moves), "job-moves")
-					b.ReportMetric(float64(most), "moves-a-job")
+					b.ReportMetric(float64(maxMoves), "moves-a-job")
 					b.ReportMetric(quantile(r.waits, 0.99), "urgent-p99-s")
 					b.ReportMetric(float64(r.violations), "violations")
 				}
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -45,9 +45,10 @@
 	return &faultInjection{sim: smallSim(seed, o), draw: draw, site: smallSite()}
 }
 
+// vm returns a random VM.
 func (c *faultInjection) vm() standin.ActualVM {
-	truth := c.platform.ActualVMs()
-	return truth[c.draw(len(truth))]
+	vms := c.platform.ActualVMs()
+	return vms[c.draw(len(vms))]
 }
 
 // randomAction takes one random action and runs a few rounds.
@@ -262,7 +263,7 @@
 		"soak after repair":     {config: Config{Rules: Rules{Budget: budget.Rules{SkipSoak: true}}}},
 		"unknown counts":        {config: Config{Rules: Rules{Budget: budget.Rules{TrustUnknown: true}}}},
 		"reserve":               {config: Config{Rules: Rules{Budget: budget.Rules{SkipReserve: true}}}},
-		"ask the budgets":       {config: Config{Rules: Rules{Wave: wave.Rules{IgnoreBudget: true}}}},
+		"check the budgets":     {config: Config{Rules: Rules{Wave: wave.Rules{IgnoreBudget: true}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/controller/send.go
+++ b/internal/controller/send.go
@@ -8,12 +8,12 @@
 	"github.com/comfreyloom/comfreyloom/internal/platform"
 )
 
-// sentCommand records a command that was sent and whether it was accepted.
+// sentCommand records a command that was sent and whether it was answered.
 type sentCommand struct {
 	at model.Instant
-	// accepted is set when the platform answered; otherwise the outcome is
-	// unknown.
-	accepted bool
+	// answered is set when the platform accepted or refused the command;
+	// otherwise the outcome is unknown.
+	answered bool
 	command  platform.Command
 }
 
@@ -22,8 +22,8 @@
 	maxCommands = 2000
 	// maxQueries bounds the queries for single tasks in one round.
 	maxQueries = 50
-	// effectTimeout is how long the platform may take to show the effect of an
-	// accepted command before the command is sent again.
+	// effectTimeout is how long the platform may take to show the effect of a
+	// command that it answered before the command is sent again.
 	effectTimeout = 10 * time.Second
 	// sentRetention is how long sent commands are remembered.
 	sentRetention = 10 * time.Minute
@@ -60,10 +60,10 @@
 	switch {
 	case !known:
 		return true
-	case sent.accepted && command.Kind == platform.Reboot:
+	case sent.answered && command.Kind == platform.Reboot:
 		c.countLostReboot(command, sent, now)
 		return false
-	case sent.accepted:
+	case sent.answered:
 		return now.Sub(sent.at) > effectTimeout
 	case command.Kind.ForVM():
 		return observed.vmsRequestedAt > sent.at
@@ -72,10 +72,10 @@
 	}
 }
 
-// countLostReboot counts an attempt when an accepted reboot had no effect
-// within RebootTimeout: the next round then commands it under a new ID. The
-// platform may have rebooted another VM by mistake. The boot ID in the command
-// prevents a second reboot of this VM.
+// countLostReboot counts an attempt when a reboot command that was answered had
+// no effect within RebootTimeout: the next round then commands it under a new
+// ID. The platform may have rebooted another VM by mistake. The boot ID in the
+// command prevents a second reboot of this VM.
 func (c *Controller) countLostReboot(command platform.Command, sent sentCommand, now model.Instant) {
 	if now.Sub(sent.at) > c.config.RebootTimeout {
 		c.softState.rebootAttempts[command.VM]++
@@ -106,10 +106,10 @@
 		if command.Kind == platform.Start {
 			observed.confirmedLeases[command.Task] = command.LeaseUntil
 		}
-		c.softState.sent[command.ID] = sentCommand{at: now, accepted: true, command: command}
+		c.softState.sent[command.ID] = sentCommand{at: now, answered: true, command: command}
 	case platform.Refused, platform.Stale:
 		c.counters.refusedCommands.Inc(1)
-		c.softState.sent[command.ID] = sentCommand{at: now, accepted: true, command: command}
+		c.softState.sent[command.ID] = sentCommand{at: now, answered: true, command: command}
 		if command.Kind == platform.Start {
 			// The platform guarantees that the task never runs.
 			observed.applyTaskReport(platform.TaskReport{Task: command.Task, Ended: platform.NeverStarted, Revision: observed.tasks[command.Task].Revision})
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -49,7 +49,7 @@
 }
 
 // vmInEmptiestDomain returns an open VM with enough free capacity in the domain
-// with the fewest instances, nil for none.
+// with the fewest instances, or nil.
 func (d *roundDecision) vmInEmptiestDomain(s *fleet.Service, counts map[string]int) *fleet.VM {
 	return d.vmInEmptiestDomainExcept(s, counts, nil)
 }
@@ -89,7 +89,7 @@
 func (c *Controller) rebalance(d *roundDecision) {
 	for _, s := range d.ix.Services {
 		waveActive := d.wave.KeepSurge[s.Spec.Pool] && d.ledger.Remaining(s.Spec.ID) >= 0
-		if d.leaveQuarantined(s) || waveActive {
+		if d.stopOneQuarantined(s) || waveActive {
 			continue
 		}
 		counts := d.instancesByDomain(s)
@@ -97,17 +97,17 @@
 		if t == nil || !d.isUneven(s, t, counts) {
 			continue
 		}
-		place := d.vmInEmptiestDomain(s, counts)
-		if place == nil {
+		dest := d.vmInEmptiestDomain(s, counts)
+		if dest == nil {
 			continue
 		}
-		from, to := d.ledger.Domain(s.Spec.ID, d.ix.VM(t.VM)), d.ledger.Domain(s.Spec.ID, place)
+		from, to := d.ledger.Domain(s.Spec.ID, d.ix.VM(t.VM)), d.ledger.Domain(s.Spec.ID, dest)
 		if counts[from] < counts[to]+2 {
 			continue
 		}
 		d.unevenServices[s.Spec.ID] = true
 		if d.ledger.AllAvailable(s.Spec.ID) {
-			d.rebalanceOne(s, t, place)
+			d.rebalanceOne(s, t, dest)
 		}
 	}
 }
@@ -115,20 +115,21 @@
 // isUneven reports whether a failure domain of the pool has at least two
 // instances fewer than the fullest. It does not check free capacity there.
 func (d *roundDecision) isUneven(s *fleet.Service, fullest *model.Task, counts map[string]int) bool {
-	most := counts[d.ledger.Domain(s.Spec.ID, d.ix.VM(fullest.VM))]
-	if most < 2 {
+	highest := counts[d.ledger.Domain(s.Spec.ID, d.ix.VM(fullest.VM))]
+	if highest < 2 {
 		return false
 	}
 	p := d.ix.Pool(s.Spec.Pool)
 	return p != nil && slices.ContainsFunc(p.VMs, func(v *fleet.VM) bool {
-		return v.Block == fleet.Open && counts[d.ledger.Domain(s.Spec.ID, v)]+2 <= most
+		return v.Block == fleet.Open && counts[d.ledger.Domain(s.Spec.ID, v)]+2 <= highest
 	})
 }
 
-// leaveQuarantined stops one instance on a quarantined worker, where it does
-// not count as available, if another VM has free capacity for it and enough
-// other instances are available. It reports whether it stopped one.
-func (d *roundDecision) leaveQuarantined(s *fleet.Service) bool {
+// stopOneQuarantined stops one instance on a quarantined worker, where it does
+// not count as available, if enough other instances are available and another VM
+// has free capacity for it; a surge instance needs no other VM. It reports
+// whether it stopped one.
+func (d *roundDecision) stopOneQuarantined(s *fleet.Service) bool {
 	if len(d.ix.Snap.View.Quarantines) == 0 || d.ledger.Available(s.Spec.ID) < s.Spec.MinAvailable {
 		return false
 	}
@@ -145,15 +146,15 @@
 	return false
 }
 
-func (d *roundDecision) rebalanceOne(s *fleet.Service, t *model.Task, place *fleet.VM) {
+func (d *roundDecision) rebalanceOne(s *fleet.Service, t *model.Task, dest *fleet.VM) {
 	if d.mayStopForSpread(s, t) {
 		d.ledger.Stop(t)
 		d.stop(t, fmt.Sprintf("instances of service %s lie too close together", s.Spec.ID))
 		return
 	}
 	for i := range s.Spec.MaxSurge() {
-		if ordinal := s.Spec.Instances + i; !hasOrdinal(s, ordinal) && d.ledger.ImprovesBudget(s.Spec.ID, nil, place) {
-			d.startSurgeOn(s, ordinal, place, "its instances lie too close together")
+		if ordinal := s.Spec.Instances + i; !hasOrdinal(s, ordinal) && d.ledger.ImprovesBudget(s.Spec.ID, nil, dest) {
+			d.startSurgeOn(s, ordinal, dest, "its instances lie too close together")
 			return
 		}
 	}
@@ -168,10 +169,11 @@
 	return d.ledger.Redundant(t, nil) && d.ledger.Available(s.Spec.ID) > s.Spec.MinAvailable
 }
 
-// taskInFullestDomain returns an instance in the domain with the most.
+// taskInFullestDomain returns an instance in the domain with the most
+// instances.
 func (d *roundDecision) taskInFullestDomain(s *fleet.Service, counts map[string]int) *model.Task {
 	var found *model.Task
-	most := 0
+	highest := 0
 	for _, t := range s.Tasks {
 		if t == nil {
 			continue
@@ -180,8 +182,8 @@
 		if v == nil {
 			continue
 		}
-		if n := counts[d.ledger.Domain(s.Spec.ID, v)]; n > most {
-			found, most = t, n
+		if n := counts[d.ledger.Domain(s.Spec.ID, v)]; n > highest {
+			found, highest = t, n
 		}
 	}
 	return found
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,8 +19,9 @@
 	Budgets budget.Report   `json:"budgets"`
 	Waves   []wave.Progress `json:"waves,omitempty"`
 	// Spares describes how the number of shared spares is computed.
-	Spares     string                      `json:"spares,omitempty"`
-	Pools      []PoolStatus                `json:"pools"`
+	Spares string       `json:"spares,omitempty"`
+	Pools  []PoolStatus `json:"pools"`
+	// Spared are the suspect workers that are not put into quarantine.
 	Spared     []health.RejectedQuarantine `json:"spared,omitempty"`
 	Violations []Violation                 `json:"broken,omitempty"`
 }
@@ -46,7 +47,7 @@
 	s.Budgets = d.ledger.Report()
 	s.Waves = wave.ProgressOf(d.ix, d.wave.Waiting, c.config.Wave)
 	s.Spares = fleet.SparesNeeded(d.ix, c.config.Fleet).Describe()
-	s.Spared = d.spared
+	s.Spared = d.rejected
 	for _, demand := range fleet.Demands(d.ix, c.config.Fleet) {
 		s.Pools = append(s.Pools, PoolStatus{demand.Pool.Spec.ID, len(demand.Pool.VMs), demand.Describe()})
 	}
--- a/internal/controller/surge.go
+++ b/internal/controller/surge.go
@@ -69,12 +69,12 @@
 		if hasOrdinal(s, ordinal) {
 			continue
 		}
-		place := d.vmInEmptiestDomainExcept(s, counts, excluded)
-		if place == nil {
+		dest := d.vmInEmptiestDomainExcept(s, counts, excluded)
+		if dest == nil {
 			return
 		}
-		counts[d.ledger.Domain(s.Spec.ID, place)]++
-		d.startSurgeOn(s, ordinal, place, why)
+		counts[d.ledger.Domain(s.Spec.ID, dest)]++
+		d.startSurgeOn(s, ordinal, dest, why)
 		n--
 	}
 }
@@ -167,8 +167,8 @@
 }
 
 // surgeVM returns the open VM with enough free capacity where an instance helps
-// to drain the target and that is least close to the service's instances; VMs
-// that are done with the wave come first among equals. It returns nil for none.
+// to drain the target and that is least close to the service's instances, or
+// nil. VMs that are done with the wave come first among equals.
 func surgeVM(d *roundDecision, p *fleet.Pool, s *fleet.Service, target *fleet.VM) *fleet.VM {
 	if p == nil {
 		return nil
