--- a/internal/placement/blocks.go
+++ b/internal/placement/blocks.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/fleet"
 )
 
-// formatBlocks counts the VMs of a pool by the reason why they accept no new
-// work.
+// formatBlocks describes how many VMs of a pool accept new work, and why the
+// others accept none.
 func formatBlocks(p *fleet.Pool) string {
 	if len(p.VMs) == 0 {
 		return "it has none"
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -159,7 +159,7 @@
 }
 
 // A VM full of jobs that use what they were placed with is not overloaded:
-// relief would stop and start the same jobs for ever.
+// relief would stop and start the same jobs forever.
 func TestNoReliefForPlannedUsage(t *testing.T) {
 	is := is.New(t)
 	s := emptySite(1)
@@ -179,7 +179,7 @@
 }
 
 // A large job that failed on every VM, all of which run instances, must have
-// one of these VMs held for its next attempt, or it waits for ever.
+// one of these VMs held for its next attempt, or it waits forever.
 func TestVMIsHeldForLargeJobThatFailedEverywhere(t *testing.T) {
 	is := is.New(t)
 	s := emptySite(2)
--- a/internal/placement/evacuate.go
+++ b/internal/placement/evacuate.go
@@ -8,9 +8,8 @@
 )
 
 // Evacuate plans the end of tasks that may not stay where they are: tasks of
-// cancelled jobs, tasks on VMs that move to another pool, instances that the
-// manifest no longer asks for, and instances that are too concentrated on one
-// VM. An instance is stopped only while its service stays above its budget
+// cancelled jobs, tasks on VMs that move to another pool, instances that differ
+// from the manifest, and instances that are too concentrated on one VM. An instance is stopped only while its service stays above its budget
 // without it.
 func Evacuate(ix *fleet.Index, o Options) []PlannedAction {
 	return evacuate(ix, newHolds(ix, o.withDefaults()))
@@ -51,6 +50,7 @@
 	return false
 }
 
+// notAsSpecified reports whether an instance differs from the manifest.
 func notAsSpecified(ix *fleet.Index, v *fleet.VM, t *model.Task) bool {
 	s := ix.Service(t.Service)
 	return s == nil || t.Ordinal >= s.Spec.Instances || s.Spec.Pool != v.Pool() || s.Spec.Size != t.Size
--- a/internal/placement/guard.go
+++ b/internal/placement/guard.go
@@ -7,8 +7,8 @@
 
 // Names of the invariants that guardPlanned checks.
 const (
-	// InvariantNoUrgentPreemption: urgent jobs and instances are never
-	// preempted.
+	// InvariantNoUrgentPreemption: the task of an urgent job is stopped only
+	// when the job was cancelled.
 	InvariantNoUrgentPreemption = "urgent-yields-last"
 	// InvariantNoLostRun: a job that can't run again is stopped only when it
 	// was cancelled.
--- a/internal/placement/hold.go
+++ b/internal/placement/hold.go
@@ -8,14 +8,14 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// holdAfter is how long a normal job finds no free capacity before a VM is held
-// for it.
+// holdAfter is how long after its submission a VM may be held for a normal job
+// that is still queued.
 const holdAfter = 10 * time.Minute
 
 // hold is a VM that is reserved for a job for which no VM had enough free
 // capacity.
 //
-// Without it a large job could wait for ever although the pool has enough free
+// Without it a large job could wait forever although the pool has enough free
 // capacity in total: smaller jobs would take whatever becomes free, and
 // instances, which never end by themselves, may run on every VM of the pool.
 type hold struct {
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -107,8 +107,8 @@
 }
 
 // reserveCapacity reserves capacity for a job that found none: an urgent job
-// preempts batch work, a normal job gets what becomes free on the VM held for
-// it.
+// preempts batch work. If that is not possible, or the job is not urgent, it
+// gets what becomes free on the VM held for it, if any.
 func (p *planner) reserveCapacity(ps *poolState, j *model.Job, size model.Resources, urgent bool) bool {
 	if urgent && p.reserveForJob(ps, j, size) {
 		return true
--- a/internal/placement/lease.go
+++ b/internal/placement/lease.go
@@ -89,7 +89,7 @@
 // and tasks on a VM that is lost.
 //
 // A lease that has already ended is not renewed either: its worker stopped the
-// task, so a renewal would keep the record for ever while nothing runs.
+// task, so a renewal would keep the record forever while nothing runs.
 func renewable(ix *fleet.Index, v *fleet.VM, r *fleet.RunningTask) bool {
 	t := r.Task
 	if ix.Now() >= t.LeaseUntil || t.State == model.TaskStopping || r.Cancelled() || ix.Snap.NotRunning[t.ID] {
--- a/internal/placement/policy_bench_test.go
+++ b/internal/placement/policy_bench_test.go
@@ -19,7 +19,7 @@
 	name     string
 	zones    int
 	capacity model.Resources
-	// moves is the default share of the weight of moves.
+	// moves is the site's share of the weight of moves.
 	moves float64
 }
 
@@ -39,8 +39,9 @@
 	return s
 }
 
-// dedicatedPools is the baseline: each pool has what it needs and one rack more
-// for itself, and no VM ever moves.
+// dedicatedPools is the baseline: it assigns new VMs to the five pools in turn,
+// and no VM ever moves. BenchmarkPolicyBuffer gives it enough VMs for what each
+// pool needs and one rack more.
 func dedicatedPools(ix *fleet.Index) []state.Action {
 	var actions []state.Action
 	for _, v := range ix.VMs {
@@ -83,10 +84,10 @@
 // simulateWeeks simulates four weeks of failures: 0.9 VMs a day, 4.6 restarts a
 // day, and losses of a rack and of an availability zone twice as often as
 // expected today.
-func (p policySite) simulateWeeks(seed uint64, n int, moves float64, plain bool) (*simulation, shortfall) {
+func (p policySite) simulateWeeks(seed uint64, n int, moves float64, dedicated bool) (*simulation, shortfall) {
 	sim := newSimulation(seed, p.site(moves), siteVMs(n, p.zones, p.capacity))
 	sim.lease, sim.singleDecision = 15*time.Minute, true
-	if plain {
+	if dedicated {
 		sim.noFleet, sim.extraDecision = true, dedicatedPools
 	}
 	var s shortfall
@@ -107,8 +108,8 @@
 
 func (p policySite) injectFailures(sim *simulation, n int) {
 	chance := func(perDay float64) bool { return sim.random.Float64() < perDay*policyStep.Hours()/24 }
-	hours := func(least, most int) time.Duration {
-		return time.Duration(least*60+sim.random.IntN((most-least)*60)) * time.Minute
+	hours := func(from, to int) time.Duration {
+		return time.Duration(from*60+sim.random.IntN((to-from)*60)) * time.Minute
 	}
 	victim := fmt.Sprintf("vm%04d", sim.random.IntN(n))
 	v := sim.vms[model.VMID(victim)]
@@ -146,7 +147,7 @@
 	}
 }
 
-// requiredVMs is the sum of what the pools need when nothing fails.
+// requiredVMs returns the sum of what the pools need when nothing fails.
 func (p policySite) requiredVMs() int {
 	sim := newSimulation(1, p.site(0), siteVMs(60, p.zones, p.capacity))
 	sim.round(time.Minute)
@@ -157,15 +158,15 @@
 	return sum
 }
 
-func (p policySite) report(b *testing.B, n int, moves float64, plain bool) {
+func (p policySite) report(b *testing.B, n int, moves float64, dedicated bool) {
 	const seeds = 3
 	for b.Loop() {
 		var vmMoves, restarts int
 		var short shortfall
 		for seed := range uint64(seeds) {
-			sim, s := p.simulateWeeks(seed+1, n, moves, plain)
-			if len(sim.broken) > 0 {
-				b.Fatal(sim.broken)
+			sim, s := p.simulateWeeks(seed+1, n, moves, dedicated)
+			if len(sim.violations) > 0 {
+				b.Fatal(sim.violations)
 			}
 			vmMoves += sim.stats.vmMoves
 			restarts += sim.stats.jobMoves
@@ -241,8 +242,9 @@
 	return n
 }
 
-// BenchmarkPolicyAttribution compares attribution by both margins with raw
-// rates: 3 of 40 workers fail all tasks, 5 of 100 jobs fail everywhere.
+// BenchmarkPolicyAttribution compares the attribution of failures by package
+// health with raw failure rates: 3 of 40 workers fail all tasks, 5 of 100 jobs
+// fail everywhere.
 func BenchmarkPolicyAttribution(b *testing.B) {
 	for _, raw := range []bool{true, false} {
 		b.Run(fmt.Sprintf("raw=%v", raw), func(b *testing.B) {
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -23,8 +23,8 @@
 // and three teams, one with a small quota.
 func smallSite(moves, buffer float64) *model.Site {
 	size := model.Resources{MilliCPU: 3000, MemoryMB: 9000}
-	pool := func(id model.PoolID, least, most int, zones ...model.ZoneID) model.Pool {
-		return model.Pool{ID: id, MinVMs: least, MaxVMs: most, Shape: shape, Zones: zones}
+	pool := func(id model.PoolID, minVMs, maxVMs int, zones ...model.ZoneID) model.Pool {
+		return model.Pool{ID: id, MinVMs: minVMs, MaxVMs: maxVMs, Shape: shape, Zones: zones}
 	}
 	service := func(id model.ServiceID, p model.PoolID, n, available int) model.Service {
 		return model.Service{ID: id, Pool: p, Instances: n, Size: size, MinAvailable: available}
@@ -76,7 +76,7 @@
 		sim.fail(down, model.VMUnknown, func(o *model.VM) bool { return o.Zone == v.Zone && o.Rack == v.Rack })
 	case 2:
 		v := anyVM("zone of")
-		if rapid.IntRange(0, 3).Draw(t, "zone goes") == 0 {
+		if rapid.IntRange(0, 3).Draw(t, "zone fails") == 0 {
 			sim.fail(down, model.VMDown, func(o *model.VM) bool { return o.Zone == v.Zone })
 		}
 	case 3:
@@ -120,7 +120,7 @@
 	if rapid.IntRange(0, 4).Draw(t, "drop") == 0 {
 		next.Pools, next.Services = next.Pools[:2], next.Services[:2]
 	}
-	sim.accept(next)
+	sim.applyManifest(next)
 }
 
 func cancelAllJobs(t *rapid.T, sim *simulation) {
@@ -151,7 +151,7 @@
 	for range events {
 		randomEvent(t, sim, &jobs)
 		sim.round(time.Duration(rapid.IntRange(10, 90).Draw(t, "seconds")) * time.Second)
-		if len(sim.broken) > 0 {
+		if len(sim.violations) > 0 {
 			return sim
 		}
 	}
@@ -164,8 +164,8 @@
 func TestDecisionsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := randomRun(t, eventCount(), nil)
-		if len(sim.broken) > 0 {
-			t.Fatalf("invariants broken: %v", sim.broken)
+		if len(sim.violations) > 0 {
+			t.Fatalf("invariants violated: %v", sim.violations)
 		}
 		for _, b := range sim.machine.Check() {
 			t.Fatalf("state: %s: %s", b.Invariant, b.Detail)
@@ -184,7 +184,7 @@
 	clear(sim.faultyWorkers)
 	last := smallSite(1, 1)
 	last.Revision = sim.machine.View().Site.Revision + 1
-	sim.accept(last)
+	sim.applyManifest(last)
 	for id := range sim.vms {
 		sim.upAt[id] = sim.now
 	}
@@ -195,8 +195,8 @@
 			break
 		}
 	}
-	if len(sim.broken) > 0 {
-		t.Fatalf("invariants broken: %v", sim.broken)
+	if len(sim.violations) > 0 {
+		t.Fatalf("invariants violated: %v", sim.violations)
 	}
 	for _, s := range sim.lastIndex.Services {
 		if s.Available < s.Spec.Instances {
@@ -244,7 +244,7 @@
 		found := 0
 		rapid.Custom(func(rt *rapid.T) int {
 			sim := randomRun(rt, 60, set)
-			if len(sim.broken) > 0 {
+			if len(sim.violations) > 0 {
 				found = sim.stats.rounds
 			}
 			return 0
--- a/internal/placement/relieve.go
+++ b/internal/placement/relieve.go
@@ -137,9 +137,9 @@
 // stopForPressure checkpoints, then stops, work of each priority in order until
 // the excess is gone. Tasks that are throttled in this round are left alone.
 func stopForPressure(ix *fleet.Index, v *fleet.VM, excess int64, amount func(model.Resources) int64, why string, throttled []PlannedAction, order ...model.Priority) []PlannedAction {
-	left := make(map[model.TaskID]bool, len(throttled))
-	for _, w := range throttled {
-		left[w.Task.ID] = true
+	skipped := make(map[model.TaskID]bool, len(throttled))
+	for _, a := range throttled {
+		skipped[a.Task.ID] = true
 	}
 	var actions []PlannedAction
 	for _, priority := range order {
@@ -149,7 +149,7 @@
 				if excess <= 0 {
 					return actions
 				}
-				if left[c.task.ID] || !mayStop(c.job, kind) || amount(c.charge) <= 0 {
+				if skipped[c.task.ID] || !mayStop(c.job, kind) || amount(c.charge) <= 0 {
 					continue
 				}
 				actions = append(actions, PlannedAction{kind, ForPressure, c.task, why})
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -36,7 +36,8 @@
 	// capacities are the distinct capacities of the pool's VMs, up or not.
 	capacities []model.Resources
 	// partial is set when the platform lists none, or not all, of the VMs.
-	partial   bool
+	partial bool
+	// scanStart is the index of the VM with which the next scan starts.
 	scanStart int
 }
 
@@ -130,7 +131,8 @@
 	}
 }
 
-// impliedBy reports whether one of the sizes is within size.
+// impliedBy reports whether one of the sizes is within size. If a size within
+// it fits on no VM, size does not fit either.
 func impliedBy(sizes []model.Resources, size model.Resources) bool {
 	for _, s := range sizes {
 		if s.Fits(size) {
@@ -140,7 +142,7 @@
 	return false
 }
 
-// addMinimal adds a size and drops those that it is within.
+// addMinimal adds a size and drops the sizes that contain it, which it implies.
 func addMinimal(sizes []model.Resources, size model.Resources) []model.Resources {
 	kept := sizes[:0]
 	for _, s := range sizes {
--- a/internal/placement/world_load_test.go
+++ b/internal/placement/world_load_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// usageByVM is what the tasks of each VM really use.
+// usageByVM returns what the tasks of each VM really use.
 func (sim *simulation) usageByVM() map[model.VMID]model.Resources {
 	busy := make(map[model.VMID]model.Resources)
 	for _, r := range sim.runs {
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -44,10 +44,10 @@
 	lease          time.Duration
 	extraDecision  func(*fleet.Index) []state.Action
 
-	index     uint64
-	broken    []string
-	stats     stats
-	lastIndex *fleet.Index
+	index      uint64
+	violations []string
+	stats      stats
+	lastIndex  *fleet.Index
 }
 
 // jobBehaviour is what a job really needs and does.
@@ -93,12 +93,12 @@
 		sim.vms[v.ID] = v
 	}
 	sim.fleet.Sizes, sim.placing.Sizes = sim.sizes, sim.sizes
-	sim.accept(site)
+	sim.applyManifest(site)
 	return sim
 }
 
-// accept makes a manifest the desired state.
-func (sim *simulation) accept(site *model.Site) {
+// applyManifest makes a manifest the desired state.
+func (sim *simulation) applyManifest(site *model.Site) {
 	text := fmt.Appendf(nil, "revision %d", site.Revision)
 	sum := sha256.Sum256(text)
 	m := &state.ApplyManifest{Revision: site.Revision, Digest: hex.EncodeToString(sum[:]), Text: text, Site: site}
@@ -118,8 +118,8 @@
 }
 
 func (sim *simulation) violation(format string, args ...any) {
-	if len(sim.broken) < 20 {
-		sim.broken = append(sim.broken, fmt.Sprintf(format, args...))
+	if len(sim.violations) < 20 {
+		sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 }
 
-// snapshot is the leader's view of the site.
+// snapshot returns the leader's view of the site.
 func (sim *simulation) snapshot() *fleet.Snapshot {
 	view := sim.machine.View()
 	s := &fleet.Snapshot{Now: sim.now, View: view, VMs: make(map[model.VMID]*model.VM), Region: "r1", Lease: sim.lease,
@@ -175,7 +175,7 @@
 	sim.stats.rounds++
 	sim.advance(step)
 	s := sim.snapshot()
-	sim.learn(s)
+	sim.observeUsage(s)
 	actions, planned := sim.decide(s)
 	if !sim.singleDecision {
 		again, _ := sim.decide(s)
@@ -208,7 +208,8 @@
 	return append(actions, result.Actions...), result.Planned
 }
 
-func (sim *simulation) learn(s *fleet.Snapshot) {
+// observeUsage adds the measured usage to the size estimates.
+func (sim *simulation) observeUsage(s *fleet.Snapshot) {
 	for _, id := range sim.sortedRuns() {
 		u := s.Usage[id]
 		task := s.View.Tasks[id]
--- a/internal/placement/yield.go
+++ b/internal/placement/yield.go
@@ -83,9 +83,9 @@
 	return best != nil
 }
 
-// cheapestPreemption finds the VM where freeing capacity for the size costs the
-// least, and leaves the preemption in p.best. Avoided reports that a VM was
-// skipped because the job failed there.
+// cheapestPreemption finds, among the first scanLimit candidates, the VM where
+// freeing capacity for the size costs the least, and leaves the preemption in
+// p.best. Avoided reports that a VM was skipped because the job failed there.
 func (p *planner) cheapestPreemption(ps *poolState, j *model.Job, size model.Resources) (best *vmState, avoided bool) {
 	scanned := 0
 	for _, vs := range ps.vms {
