--- a/internal/fleet/decide.go
+++ b/internal/fleet/decide.go
@@ -44,10 +44,10 @@
 // same plan.
 func (d *decider) move(v *VM, target model.PoolID, reason string) {
 	generation, idle := v.Generation(), v.Idle()
-	entered := v.Owner == nil
+	isNew := v.Owner == nil
 	d.add(state.Action{Reason: reason, BeginMove: &state.BeginMove{VM: v.ID, Target: target, Generation: generation}})
 	switch {
-	case entered:
+	case isNew:
 	case idle:
 		d.add(state.Action{Reason: reason, FinishMove: &state.FinishMove{VM: v.ID, Generation: generation + 1}})
 	default:
@@ -111,8 +111,8 @@
 			return
 		}
 		since, known := d.ix.Snap.Absent[v.ID]
-		gone := known && v.Listed == nil && v.Owner != nil && d.ix.Snap.Now.Sub(since) >= d.o.ForgetAfter
-		if !gone || !v.Idle() || v.Permit != nil {
+		expired := known && v.Listed == nil && v.Owner != nil && d.ix.Snap.Now.Sub(since) >= d.o.ForgetAfter
+		if !expired || !v.Idle() || v.Permit != nil {
 			continue
 		}
 		reason := fmt.Sprintf("the platform has not listed the VM for %s", d.o.ForgetAfter)
--- a/internal/fleet/decide_test.go
+++ b/internal/fleet/decide_test.go
@@ -21,8 +21,8 @@
 // over two zones. An owner is the VM's pool, "-" for a shared spare and "" for
 // no entry. Pools a and b need three and two VMs for one instance on each.
 func newSnapshot(owners ...string) *fleet.Snapshot {
-	pool := func(id model.PoolID, most int) model.Pool {
-		return model.Pool{ID: id, MinVMs: 1, MaxVMs: most, Shape: unit}
+	pool := func(id model.PoolID, maxVMs int) model.Pool {
+		return model.Pool{ID: id, MinVMs: 1, MaxVMs: maxVMs, Shape: unit}
 	}
 	service := func(id model.ServiceID, p model.PoolID, n int) model.Service {
 		return model.Service{ID: id, Pool: p, Instances: n, Size: model.Resources{MilliCPU: 9000, MemoryMB: 9000}}
@@ -137,6 +137,8 @@
 	is.Equal(describe(fleet.Decide(fleet.NewIndex(s), fleet.Options{})), "vm02!@7")
 }
 
+// The spares must cover the loss of the worst rack, and the status shows how
+// their number is computed. A spare in that rack does not count.
 func TestSparesNeededShowsArithmetic(t *testing.T) {
 	is := is.New(t)
 	// The worst rack, k0, takes two of the three VMs of pool a; the spares
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -220,13 +220,13 @@
 }
 
 // minSpread returns the number of VMs over which the services must be spread
-// so that no VM carries more instances of a service than it can lose.
+// so that no VM carries more instances of a service than the service can lose.
 func (d *Demand) minSpread() int {
 	need := 0
 	for _, s := range d.Pool.Services {
-		spare := s.Spec.Instances - s.Spec.MinAvailable
-		if spare > 0 {
-			need = max(need, (s.Spec.Instances+spare-1)/spare)
+		maxUnavailable := s.Spec.Instances - s.Spec.MinAvailable
+		if maxUnavailable > 0 {
+			need = max(need, (s.Spec.Instances+maxUnavailable-1)/maxUnavailable)
 		}
 	}
 	return need
--- a/internal/fleet/fill.go
+++ b/internal/fleet/fill.go
@@ -24,14 +24,14 @@
 
 // shortage returns how many VMs the pool is short of, and how severe that is.
 func (d *Demand) shortage() (int, level) {
-	here := d.Ready + d.Incoming
-	expected := here + d.Returning
+	current := d.Ready + d.Incoming
+	expected := current + d.Returning
 	if d.canWait() {
-		here += d.ReturningSoon
+		current += d.ReturningSoon
 	}
 	switch {
-	case here < d.Hard:
-		return d.Hard - here, levelHard
+	case current < d.Hard:
+		return d.Hard - current, levelHard
 	case expected < d.Floor:
 		return d.Floor - expected, levelFloor
 	case expected < d.Want:
@@ -190,9 +190,8 @@
 // instanceMoveCost is the cost of relocating an instance; that of a job is 1.
 const instanceMoveCost = 3
 
-// donorCost returns the cost of relocating the tasks of a VM. It is not ok when
+// donorCost returns the cost of relocating the tasks of a VM. Ok is false when
 // the VM can't be moved to the pool.
-
 func (d *decider) donorCost(v *VM, from *Demand, to *model.Pool) (cost int, ok bool) {
 	settled := d.ix.Snap.Now.Sub(v.Owner.Since) >= d.o.MoveHold
 	if v.Block != Open || !settled || !Eligible(to, v.Listed) {
@@ -248,13 +247,13 @@
 		return fmt.Sprintf("the manifest has no pool %s", v.Owner.Pool)
 	}
 	spec := demand.Pool.Spec
-	spared := v.Block != Open || demand.Ready > demand.Hard
+	dispensable := v.Block != Open || demand.Ready > demand.Hard
 	switch {
 	case !Eligible(spec, v.Listed):
-		if spared || demand.Ready == demand.Hard && replacementAvailable(d.ix, spec) {
+		if dispensable || demand.Ready == demand.Hard && replacementAvailable(d.ix, spec) {
 			return fmt.Sprintf("pool %s no longer allows the VM's shape or availability zone", spec.ID)
 		}
-	case spared && demand.staying > spec.MaxVMs:
+	case dispensable && demand.staying > spec.MaxVMs:
 		return fmt.Sprintf("pool %s has %d VMs; its largest size is %d", spec.ID, demand.staying, spec.MaxVMs)
 	}
 	return ""
@@ -264,7 +263,7 @@
 // the pool now.
 func replacementAvailable(ix *Index, p *model.Pool) bool {
 	return slices.ContainsFunc(ix.VMs, func(v *VM) bool {
-		fresh := v.Owner == nil && v.Healthy() && usable(v)
-		return (fresh || SpareReady(v)) && Eligible(p, v.Listed)
+		isNew := v.Owner == nil && v.Healthy() && usable(v)
+		return (isNew || SpareReady(v)) && Eligible(p, v.Listed)
 	})
 }
--- a/internal/fleet/guard.go
+++ b/internal/fleet/guard.go
@@ -24,7 +24,8 @@
 	InvariantQuota = "quota-kept"
 	// InvariantOneTask: a job or an instance has at most one task.
 	InvariantOneTask = "one-task"
-	// InvariantPoolFit: a VM joins only pools that its shape and availability zone allow.
+	// InvariantPoolFit: a VM joins only pools that allow its capacity and
+	// availability zone.
 	InvariantPoolFit = "pool-fits-vm"
 	// InvariantPoolMax: no move takes a pool beyond its maximum size.
 	InvariantPoolMax = "pool-max"
@@ -134,6 +135,6 @@
 	long := known && ix.Snap.Now.Sub(since) >= defaultForgetAfter/2
 	ix.Guard(v != nil && v.Listed == nil && v.Idle() && long, InvariantForget, "the entry of VM %s is dropped", id)
 	ix.planned.forgotten++
-	most := max(1, len(ix.Snap.View.Owners)/50)
-	ix.Guard(ix.planned.forgotten <= most, InvariantForget, "%d of %d entries are dropped in one round", ix.planned.forgotten, len(ix.Snap.View.Owners))
+	maxForgotten := max(1, len(ix.Snap.View.Owners)/50)
+	ix.Guard(ix.planned.forgotten <= maxForgotten, InvariantForget, "%d of %d entries are dropped in one round", ix.planned.forgotten, len(ix.Snap.View.Owners))
 }
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -165,7 +165,8 @@
 	return 0
 }
 
-// StartPlanned reports whether an action planned in this round starts the job.
+// StartPlanned reports whether an action planned in this round starts the job
+// or takes it out of the queue in another way.
 func (ix *Index) StartPlanned(id model.JobID) bool { return ix.planned.jobs[id] }
 
 // InstanceAvailable reports whether a task counts as an available instance.
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -41,7 +41,8 @@
 // and is the only one used in production; tests switch a rule off to check
 // that the guards detect it.
 type Rules struct {
-	// SkipShape gives pools VMs that their shape or zones do not allow.
+	// SkipShape gives pools VMs that their shape or availability zones do not
+	// allow.
 	SkipShape bool
 	// SkipMax lets pools grow beyond their maximum size.
 	SkipMax bool
@@ -64,8 +65,8 @@
 	defaultAbsentLimit = 0.1
 	defaultMaxMoving   = 0.05
 	// minReturnWaitShare is the least share of LostAfter to wait for a VM to
-	// return, whatever the weight of moves. Measured without it, restarts alone
-	// moved four times as many VMs.
+	// return, whatever the weight of moves. Without this minimum, restarts alone
+	// moved four times as many VMs in a measurement.
 	minReturnWaitShare = 0.6
 	// defaultMoveShare is the share of moves when the manifest has no weights.
 	defaultMoveShare = 0.5
@@ -99,9 +100,9 @@
 	return p.MoveWeight / total
 }
 
-// returnWait returns how long a pool that can wait, waits for a VM that is down
-// or rebooting before another VM replaces it. A reboot takes minutes and there
-// are many. The wait grows with the weight of moves.
+// returnWait returns how long a pool that can wait (see Demand.canWait) waits
+// for a VM that is down or rebooting before another VM replaces it: reboots are
+// frequent and take only minutes. The wait grows with the weight of moves.
 func (o Options) returnWait(ix *Index) time.Duration {
 	return time.Duration(float64(o.LostAfter) * max(minReturnWaitShare, o.moveShare(ix)))
 }
