--- a/internal/wave/decide.go
+++ b/internal/wave/decide.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyloom/comfreyloom/internal/state"
 )
 
-// Stop asks for the end of a task on a VM that is drained.
+// Stop requests the end of a task on a VM that is being drained.
 type Stop struct {
 	Task   *model.Task
 	Reason string
@@ -23,10 +23,10 @@
 	Stops []Stop
 	// Undrain holds the VMs to be returned before their reboot.
 	Undrain []model.VMID
-	// Surge holds the extra instances that must run elsewhere before the next
+	// Surge holds the surge instances that must run elsewhere before the next
 	// VM can be drained, with at most one entry for each service.
 	Surge []Surge
-	// KeepSurge holds the pools in which VMs are yet to be drained. Extra
+	// KeepSurge holds the pools in which VMs are yet to be drained. Surge
 	// instances stay there, because they will be needed again.
 	KeepSurge map[model.PoolID]bool
 	// Borrow holds the pools that can spare no VM now, so that a shared spare
@@ -34,13 +34,13 @@
 	Borrow map[model.PoolID]bool
 	// SoonDrained holds when VMs are expected to be drained.
 	SoonDrained map[model.VMID]model.Instant
-	// Waiting holds, by wave, why no further VM is granted a permit; empty when
-	// one was.
+	// Waiting holds, by wave, why the first VM that is refused a permit in this
+	// round is refused; it is empty when every VM that is left gets one.
 	Waiting map[model.WaveID]string
 }
 
-// Surge requests instances of a service beyond its wanted number, so that the
-// target can be drained.
+// Surge requests surge instances: instances beyond the number in the service's
+// spec, which run so that the target can be drained.
 type Surge struct {
 	Service model.ServiceID
 	Target  model.VMID
@@ -53,9 +53,11 @@
 	facts  Facts
 	o      Options
 
-	actions        []state.Action
-	stops          []Stop
-	undrain        []model.VMID
+	actions []state.Action
+	stops   []Stop
+	undrain []model.VMID
+	// returned holds the VMs that are returned in this round; Facts.Returned
+	// holds those whose return the platform has accepted.
 	returned       map[model.VMID]bool
 	surge          map[model.ServiceID]Surge
 	keepSurge      map[model.PoolID]bool
--- a/internal/wave/grant.go
+++ b/internal/wave/grant.go
@@ -92,7 +92,7 @@
 		if reason := d.mayGrant(r, v, accounts); reason != "" {
 			if why == "" {
 				why = reason
-				d.wantSurge(r.next[i:], accounts)
+				d.requestSurge(r.next[i:], accounts)
 			}
 			continue
 		}
@@ -162,7 +162,7 @@
 	for _, v := range r.next {
 		ranks[v.Zone]--
 	}
-	if _, some := ranks[r.zone]; some {
+	if _, found := ranks[r.zone]; found {
 		ranks[r.zone] -= len(r.next) + 1
 	}
 	return ranks
--- a/internal/wave/hold.go
+++ b/internal/wave/hold.go
@@ -9,7 +9,7 @@
 )
 
 // Numbers of VMs of one rack, or of one availability zone, that must fail within
-// the hold time to count as a correlated failure.
+// Options.Hold to count as a correlated failure.
 const (
 	rackFailures = 2
 	zoneFailures = 3
@@ -40,14 +40,14 @@
 	return ""
 }
 
-// failedRecently reports whether a VM failed within the hold time. A VM that
+// failedRecently reports whether a VM failed within Options.Hold. A VM that
 // reboots under its permit has not failed.
 func (d *decider) failedRecently(v *fleet.VM) bool {
 	if v.Listed == nil || v.Listed.HealthSince == 0 {
 		return false
 	}
-	ours := v.Permit != nil && v.Permit.Phase >= model.PhaseRebooting && v.Listed.Health == model.VMRebooting
-	return !ours && v.Listed.Health != model.VMUp && d.ix.Now().Sub(v.Listed.HealthSince) < d.o.Hold
+	plannedReboot := v.Permit != nil && v.Permit.Phase >= model.PhaseRebooting && v.Listed.Health == model.VMRebooting
+	return !plannedReboot && v.Listed.Health != model.VMUp && d.ix.Now().Sub(v.Listed.HealthSince) < d.o.Hold
 }
 
 // inBusyWindow reports whether the pool is in a busy window, or will be when
--- a/internal/wave/options.go
+++ b/internal/wave/options.go
@@ -8,9 +8,8 @@
 	"github.com/comfreyloom/comfreyloom/internal/model"
 )
 
-// Features switches on what waves do beyond the basic way. The zero value is
-// the basic way: racks in fixed order, one VM at a time, its work stopped at
-// once.
+// Features switches on single features of waves. With none, a wave drains the
+// racks in a fixed order, one VM at a time, and stops the VM's work at once.
 type Features struct {
 	// SteerNew keeps new work off VMs that are yet to be drained.
 	SteerNew bool
@@ -58,8 +57,9 @@
 	// MaxWait bounds how long a drain waits for tasks that could be run again
 	// elsewhere, unless the wave takes longer anyway. Default 20 min.
 	MaxWait time.Duration
-	// Hold is how long no permit is granted after several VMs of one rack or
-	// availability zone failed together. Default 5 min.
+	// Hold is the period before now in which failures are counted: while several
+	// VMs of one rack or availability zone failed in it, no permit is granted.
+	// Default 5 min.
 	Hold time.Duration
 	// MaxShare bounds the VMs of a pool under maintenance, as a share of its
 	// members; at least one is allowed. Default 0.5.
--- a/internal/wave/phase.go
+++ b/internal/wave/phase.go
@@ -54,7 +54,7 @@
 		d.release(v, false, waveWithdrawn)
 		return
 	}
-	d.phase(v, model.PhaseDraining, "the permit is committed; the drain begins")
+	d.setPhase(v, model.PhaseDraining, "the permit is committed; the drain begins")
 }
 
 // advanceDraining waits until the platform has drained the VM and nothing runs
@@ -64,11 +64,11 @@
 	case d.facts.Returned[v.ID] && !v.Listed.Drained:
 		d.release(v, false, "the VM was given back before its reboot")
 	case d.rebooted(v):
-		d.phase(v, model.PhaseSoaking, "the VM rebooted while it was drained")
+		d.setPhase(v, model.PhaseSoaking, "the VM rebooted while it was drained")
 	case !d.stillRequested(v):
 		d.undrain = append(d.undrain, v.ID)
 	case v.Listed.Drained && v.Idle() && v.Healthy() && !d.belowBudget(v):
-		d.phase(v, model.PhaseRebooting, "nothing is left on the VM")
+		d.setPhase(v, model.PhaseRebooting, "nothing is left on the VM")
 	default:
 		d.drainTasks(v)
 	}
@@ -77,7 +77,7 @@
 func (d *decider) advanceRebooting(v *fleet.VM) {
 	switch {
 	case d.rebooted(v):
-		d.phase(v, model.PhaseSoaking, "the VM is back under another boot ID")
+		d.setPhase(v, model.PhaseSoaking, "the VM is back under another boot ID")
 	case v.Healthy() && d.facts.Returned[v.ID] && !v.Listed.Drained:
 		// A delayed undrain can arrive after the reboot was accepted. If the
 		// permit ended while the VM is down, the VM would count as not rebooted,
@@ -122,7 +122,7 @@
 	return min(now.Sub(vm.HealthSince), now.Sub(permit.Since)) >= soak
 }
 
-func (d *decider) phase(v *fleet.VM, to model.MaintenancePhase, reason string) {
+func (d *decider) setPhase(v *fleet.VM, to model.MaintenancePhase, reason string) {
 	d.add(state.Action{Reason: reason, SetPhase: &state.SetPhase{VM: v.ID, Generation: v.Permit.Generation, Phase: to}})
 }
 
@@ -219,13 +219,13 @@
 // task: NearEnd at equal weights, more when moves weigh more, and at least the
 // time that the wave takes anyway.
 func (d *decider) waitThreshold(id model.WaveID) time.Duration {
-	w := min(d.moveWeight(), maxMoveWeight)
+	w := min(d.moveShare(), maxMoveShare)
 	threshold := time.Duration(float64(d.o.NearEnd) * w / (1 - w))
 	return max(threshold, d.timeLeft[id]-d.o.Cycle)
 }
 
-// maxMoveWeight bounds the weight of moves: at 1 a drain would wait forever.
-const maxMoveWeight = 0.9
+// maxMoveShare bounds the share of moves: at 1 a drain would wait forever.
+const maxMoveShare = 0.9
 
 // estimateTimeLeft estimates how long each wave still takes: the time for all
 // VMs not done, at the present number of VMs under maintenance, and at least
@@ -268,16 +268,16 @@
 	return d.facts.Remaining(job, t)
 }
 
-// moveWeight returns the weight of moves as a share of the weights of moves and
-// buffer, from 0 to 1.
-func (d *decider) moveWeight() float64 {
+// moveShare returns the share of the weight of moves in the sum of the weights
+// of moves and buffer, from 0 to 1.
+func (d *decider) moveShare() float64 {
 	p := d.ix.Policy()
 	total := p.MoveWeight + p.BufferWeight
 	if total <= 0 {
-		return defaultMoveWeight
+		return defaultMoveShare
 	}
 	return p.MoveWeight / total
 }
 
-// defaultMoveWeight applies when the manifest has no weights.
-const defaultMoveWeight = 0.5
+// defaultMoveShare is the share of moves when the manifest has no weights.
+const defaultMoveShare = 0.5
--- a/internal/wave/progress.go
+++ b/internal/wave/progress.go
@@ -18,7 +18,7 @@
 	// of each.
 	Active int           `json:"active"`
 	VMs    []Maintenance `json:"vms,omitempty"`
-	// Waiting is the reason why no further VM is drained; empty when one was.
+	// Waiting is why a VM is refused a permit now; see Decision.Waiting.
 	Waiting string `json:"waiting,omitempty"`
 	// End is when the wave is expected to be done; 0 once it is done.
 	End model.Instant `json:"end_ms,omitempty"`
@@ -53,23 +53,23 @@
 }
 
 // taskWaitReason describes the tasks that a drain waits for. It names one of
-// their jobs, preferably one that must not be interrupted.
+// their jobs, preferably one that is not idempotent.
 func (d *decider) taskWaitReason(v *fleet.VM) string {
-	var longest *model.Job
+	var named *model.Job
 	for _, t := range v.SortedTasks() {
 		job := d.ix.Job(t.Job)
-		if job != nil && (longest == nil || !job.Spec.Idempotent) {
-			longest = job
+		if job != nil && (named == nil || !job.Spec.Idempotent) {
+			named = job
 		}
 	}
-	if longest == nil {
+	if named == nil {
 		return fmt.Sprintf("%d instances to stop", len(v.Tasks))
 	}
 	why := "it may still end by itself"
-	if !longest.Spec.Idempotent || longest.Spec.Priority == model.Urgent {
+	if !named.Spec.Idempotent || named.Spec.Priority == model.Urgent {
 		why = "it must not be cut"
 	}
-	return fmt.Sprintf("%d tasks to end, among them job %s: %s", len(v.Tasks), longest.Spec.ID, why)
+	return fmt.Sprintf("%d tasks to end, among them job %s: %s", len(v.Tasks), named.Spec.ID, why)
 }
 
 // ProgressOf reports on the waves that have started. The end is estimated from
--- a/internal/wave/room.go
+++ b/internal/wave/room.go
@@ -76,8 +76,8 @@
 	if account == nil {
 		return ""
 	}
-	most := max(1, int(float64(account.members)*r.d.o.MaxShare))
-	if account.unavailable >= most {
+	maxUnavailable := max(1, int(float64(account.members)*r.d.o.MaxShare))
+	if account.unavailable >= maxUnavailable {
 		return fmt.Sprintf("%d of %d VMs of pool %q are under maintenance", account.unavailable, account.members, v.Pool())
 	}
 	if v.Block == fleet.Open && account.ready <= account.minReady {
@@ -105,10 +105,10 @@
 	}
 }
 
-// wantSurge requests extra instances where only a budget keeps the next VM from
-// being drained. They start elsewhere first, and the instances on the VM can
-// then be stopped.
-func (d *decider) wantSurge(next []*fleet.VM, accounts *poolAccounts) {
+// requestSurge requests surge instances where only a budget keeps the next VM
+// from being drained. They start elsewhere first, and the instances on the VM
+// can then be stopped.
+func (d *decider) requestSurge(next []*fleet.VM, accounts *poolAccounts) {
 	if !d.o.Features.LargestSet {
 		next = next[:1]
 	}
