--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -18,11 +18,11 @@
 
 // newSnapshot returns a snapshot of a pool of VMs, one to a rack, spread over
 // zones, with one instance of service s on each of the first VMs.
-func newSnapshot(vms, zones, instances, least int) *fleet.Snapshot {
+func newSnapshot(vms, zones, instances, minAvailable int) *fleet.Snapshot {
 	size := model.Resources{MilliCPU: 1000, MemoryMB: 1000}
 	site := &model.Site{
 		Pools:    []model.Pool{{ID: "p", MaxVMs: vms}},
-		Services: []model.Service{{ID: "s", Pool: "p", Instances: instances, MinAvailable: least, Size: size}},
+		Services: []model.Service{{ID: "s", Pool: "p", Instances: instances, MinAvailable: minAvailable, Size: size}},
 	}
 	view := &state.View{
 		Site: site, Owners: map[model.VMID]*model.Ownership{}, Permits: map[model.VMID]*model.Permit{},
@@ -95,8 +95,8 @@
 // numbers of instances allow.
 func TestRemainingBudget(t *testing.T) {
 	cases := []struct {
-		vms, zones, instances, least, reserve, left int
-		domain                                      string
+		vms, zones, instances, minAvailable, reserve, left int
+		domain                                             string
 	}{
 		{8, 4, 8, 5, 2, 1, "z"},   // a zone holds 2 of 8
 		{8, 4, 8, 7, 1, 0, "z0/"}, // only a rack can be lost
@@ -106,7 +106,7 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			l, ix := newLedger(newSnapshot(c.vms, c.zones, c.instances, c.least), Options{})
+			l, ix := newLedger(newSnapshot(c.vms, c.zones, c.instances, c.minAvailable), Options{})
 			r := l.Report().Services[0]
 			is.Equal([]int{r.Reserve, r.Left}, []int{c.reserve, c.left})
 			is.True(strings.HasPrefix(r.Domain, c.domain))
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -8,8 +8,8 @@
 //
 // where available counts the instances that serve on a healthy VM which is
 // neither under a permit, soaking, quarantined nor moving; reserve is how many
-// of them the loss of the worst failure domain would take; and least is the
-// service's min_available. A VM whose heartbeat is late counts as lost. Nothing
+// of them the loss of the worst failure domain would take; and least, as status
+// calls it, is the service's min_available. A VM whose heartbeat is late counts as lost. Nothing
 // may be taken out on purpose that would bring the remaining budget below 0.
 //
 // The package is pure: it reads a fleet.Index and keeps counts.
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -88,23 +88,23 @@
 }
 
 // coverOf returns the largest domain whose loss leaves the service its minimum
-// of available instances, provided that they are spread evenly and nothing else
-// is out.
+// of available instances, provided that they are spread evenly and all were
+// available before.
 func coverOf(s *model.Service, d domains) Cover {
-	spare := s.Instances - s.MinAvailable
+	maxUnavailable := s.Instances - s.MinAvailable
 	switch {
-	case spare <= 0:
+	case maxUnavailable <= 0:
 		return CoverNothing
-	case d.zones > 1 && maxPerDomain(s.Instances, d.zones) <= spare:
+	case d.zones > 1 && maxPerDomain(s.Instances, d.zones) <= maxUnavailable:
 		return CoverZone
-	case d.racks > 1 && maxPerDomain(s.Instances, d.racks) <= spare:
+	case d.racks > 1 && maxPerDomain(s.Instances, d.racks) <= maxUnavailable:
 		return CoverRack
 	default:
 		return CoverVM
 	}
 }
 
-// maxPerDomain returns the number of instances on the fullest of n domains when
+// maxPerDomain returns the number of instances in the fullest of n domains when
 // they are spread evenly.
 func maxPerDomain(instances, n int) int { return (instances + n - 1) / n }
 
@@ -223,13 +223,13 @@
 
 // MinRemaining returns the smallest remaining budget; 0 without services.
 func (l *Ledger) MinRemaining() int {
-	least := 0
+	lowest := 0
 	for i, e := range l.accounts {
-		if left := e.remaining(l.options.Rules); i == 0 || left < least {
-			least = left
+		if left := e.remaining(l.options.Rules); i == 0 || left < lowest {
+			lowest = left
 		}
 	}
-	return least
+	return lowest
 }
 
 // BelowBudget reports whether the remaining budget of a service of the pool is
--- a/internal/budget/take.go
+++ b/internal/budget/take.go
@@ -11,7 +11,7 @@
 // describes the budget that forbids it.
 func (l *Ledger) MayTake(v *fleet.VM) (ok bool, why string) {
 	if p := l.ix.Pool(v.Pool()); p != nil {
-		if short := l.shortAccount(p); short != nil {
+		if short := l.firstBelowBudget(p); short != nil {
 			return false, l.describe(short)
 		}
 	}
@@ -96,19 +96,19 @@
 	return max(-l.Remaining(id), 0)
 }
 
-// ImprovesBudget reports whether one more instance of a service on the VM place would
-// increase the service's remaining budget once the target, which may be nil, is
-// taken out. An instance in what is then the fullest failure domain does not,
-// because the reserve grows with it.
-func (l *Ledger) ImprovesBudget(id model.ServiceID, target, place *fleet.VM) bool {
+// ImprovesBudget reports whether one more instance of a service on the VM dest
+// would increase the service's remaining budget once the target, which may be
+// nil, is taken out. An instance in what is then the fullest failure domain does
+// not, because the reserve grows with it.
+func (l *Ledger) ImprovesBudget(id model.ServiceID, target, dest *fleet.VM) bool {
 	e := l.byID[id]
-	if e == nil || place.Listed == nil || place == target {
+	if e == nil || dest.Listed == nil || dest == target {
 		return false
 	}
 	defer l.without(target)()
 	before := e.remaining(l.options.Rules)
-	l.count(e, place, 1)
-	defer l.count(e, place, -1)
+	l.count(e, dest, 1)
+	defer l.count(e, dest, -1)
 	return e.remaining(l.options.Rules) > before
 }
 
@@ -128,9 +128,9 @@
 	return e.remaining(l.options.Rules) >= before
 }
 
-// RestoredInstances returns how many instances on a VM under a permit would be available
-// again if the VM were returned now, of services whose remaining budget is
-// negative.
+// RestoredInstances returns how many instances on a VM under a permit would be
+// available again if the VM were returned now. It counts only services whose
+// remaining budget is negative.
 func (l *Ledger) RestoredInstances(v *fleet.VM) int {
 	if v.Listed == nil || v.Listed.Health != model.VMUp {
 		return 0
@@ -162,7 +162,9 @@
 	}
 }
 
-func (l *Ledger) shortAccount(p *fleet.Pool) *serviceAccount {
+// firstBelowBudget returns the first service of the pool whose remaining budget
+// is negative, or nil.
+func (l *Ledger) firstBelowBudget(p *fleet.Pool) *serviceAccount {
 	for _, s := range p.Services {
 		if e := l.byID[s.Spec.ID]; e != nil && e.remaining(l.options.Rules) < 0 {
 			return e
