--- a/internal/health/decide_test.go
+++ b/internal/health/decide_test.go
@@ -63,9 +63,9 @@
 	return strings.Join(out, ", ")
 }
 
-// Good workers were quarantined and good jobs held, when one worker failed all
-// its tasks while one job failed everywhere. Raw failure rates can't distinguish
-// the two.
+// Guards against quarantining good workers and holding good jobs when one worker
+// fails all its tasks while one job fails everywhere. Raw failure rates can't
+// distinguish the two.
 func TestBadWorkerAndBadJobAreDistinguished(t *testing.T) {
 	is := is.New(t)
 	s, h := site(), health.NewHistory()
@@ -83,9 +83,9 @@
 	is.Equal(len(rejected), 0)
 }
 
-// All jobs were held because of a fault that was not theirs: shared storage
-// failed, and every task failed on every worker. Three failures on three workers
-// were enough to hold a job, regardless of what else failed there.
+// Guards against holding all jobs because of a shared fault, such as failed
+// storage, that makes every task fail on every worker. Three failures on three
+// workers must not be enough to hold a job, whatever else failed there.
 func TestSharedFaultHoldsAndQuarantinesNothing(t *testing.T) {
 	is := is.New(t)
 	s, h := site(), health.NewHistory()
@@ -99,8 +99,8 @@
 	is.Equal(formatActions(actions), "")
 }
 
-// Half of the pool was in quarantine, when many workers failed jobs that
-// succeeded elsewhere. The number of workers in quarantine had no bound.
+// Guards against an unbounded quarantine: half of a pool was in it after many
+// workers had failed jobs that succeeded elsewhere.
 func TestQuarantineIsCapped(t *testing.T) {
 	is := is.New(t)
 	s, h := site(), health.NewHistory()
@@ -117,8 +117,8 @@
 	is.Equal(rejected[0].Reject, health.SiteCap)
 }
 
-// A repaired worker stayed in quarantine, or a broken one was released at once:
-// the release did not depend on the probes that ran on the worker.
+// Guards against keeping a repaired worker in quarantine and against releasing a
+// bad one at once: the release must depend on the probes that ran on the worker.
 func TestProbesDecideRelease(t *testing.T) {
 	is := is.New(t)
 	s, h := site(), health.NewHistory()
@@ -144,8 +144,8 @@
 	is.Equal(formatActions(actions), "") // old failures don't lead to another quarantine
 }
 
-// A bad worker failed three more jobs after each change of leader: a new leader
-// has no history, and the records of the jobs were not used.
+// Guards against a bad worker failing three more jobs after each change of
+// leader: a new leader has no history and must use the records of the jobs.
 func TestNewLeaderUsesJobRecords(t *testing.T) {
 	is := is.New(t)
 	s := site()
--- a/internal/health/history.go
+++ b/internal/health/history.go
@@ -3,9 +3,9 @@
 // latter.
 //
 // Raw failure rates can't distinguish them: a worker that happened to get three
-// bad jobs looks broken, and a job that happened to run on a broken worker looks
-// bad. So each failure is judged by both sides: what else succeeded on the
-// worker, and whether the job succeeded elsewhere.
+// bad jobs looks bad, and so does a job that happened to run on a bad worker. So
+// each failure is attributed by two facts: what else succeeded on the worker,
+// and whether the job succeeded elsewhere.
 package health
 
 import (
