--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -82,30 +82,33 @@
 // NoEjectionCap) every instance is ejected.
 func TestBadCallerEjectsNoInstance(t *testing.T) {
 	is := is.New(t)
-	worst := func(o Options, share int) int {
+	// ejectedAt returns the most instances ejected at once when this percentage
+	// of the requests fails.
+	ejectedAt := func(o Options, percent int) int {
 		s := setOf(9, 8, o)
-		now, n, most := model.Instant(0), 0, 0
+		now, n, maxEjected := model.Instant(0), 0, 0
 		random := seededRandom()
 		for range 4000 {
 			serve(s, 1, &now, func(model.InstanceID) Outcome {
 				n++
-				if random(100) < share {
+				if random(100) < percent {
 					return Failed
 				}
 				return Answered
 			})
-			most = max(most, len(s.Ejected()))
+			maxEjected = max(maxEjected, len(s.Ejected()))
 		}
-		return most
+		return maxEjected
 	}
-	is.Equal(worst(Options{}, 100), 0)
-	is.Equal(worst(Options{}, 70), 0)
-	is.True(worst(Options{IgnoreOthers: true}, 90) <= 3) // The cap works alone.
-	is.Equal(worst(Options{IgnoreOthers: true, NoEjectionCap: true}, 100), 9)
+	is.Equal(ejectedAt(Options{}, 100), 0)
+	is.Equal(ejectedAt(Options{}, 70), 0)
+	is.True(ejectedAt(Options{IgnoreOthers: true}, 90) <= 3) // The cap works alone.
+	is.Equal(ejectedAt(Options{IgnoreOthers: true, NoEjectionCap: true}, 100), 9)
 }
 
-// TestRandomOperations runs any mix of requests, outcomes and changes of the
-// list.
+// After any mix of requests, outcomes and changes of the list, the invariants
+// hold, and no request exceeds the slots allowed at an instance or goes to the
+// instance to avoid while others are listed.
 func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -146,16 +149,15 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if broken := s.Check(); len(broken) > 0 || s.InUse() != len(uses) {
-					t.Fatalf("%v, %d in use of %d", broken, s.InUse(), len(uses))
+				if violations := s.Check(); len(violations) > 0 || s.InUse() != len(uses) {
+					t.Fatalf("%v, %d in use of %d", violations, s.InUse(), len(uses))
 				}
 			},
 		})
 	})
 }
 
-// TestSharesAddUp: the static shares of all entry VMs add up to the limit
-// exactly.
+// The static shares of all entry VMs must add up to the limit exactly.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []model.NodeID
@@ -178,6 +180,8 @@
 	})
 }
 
+// On equal load the instance in the same availability zone must be chosen, and a
+// new instance must get few requests at first.
 func TestZoneAndSlowStart(t *testing.T) {
 	is := is.New(t)
 	s := New(Options{}, "1", seededRandom())
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -20,7 +20,8 @@
 	// twice as long, up to EjectMax.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// NoEjectionCap lifts the cap of a third; only for tests of the cap.
+	// NoEjectionCap allows more than a third of the instances to be ejected; only
+	// for tests of this cap.
 	NoEjectionCap bool
 	// IgnoreOthers ignores the failures of the other instances; only for tests.
 	IgnoreOthers bool
@@ -69,7 +70,8 @@
 	return o
 }
 
-// health is what an entry VM learned from the outcomes at one instance.
+// health is the state of one instance that an entry VM derives from the
+// outcomes of its requests there.
 type health struct {
 	joinedAt model.Instant
 	// failuresInRow counts the failures since the last answer.
--- a/internal/balance/set.go
+++ b/internal/balance/set.go
@@ -264,24 +264,24 @@
 	return free
 }
 
-// Check returns the invariants that are broken, if any.
+// Check returns the invariants that are violated, if any.
 func (s *Set) Check() []string {
-	var broken []string
+	var violations []string
 	sum, ejected := 0, 0
 	for id, i := range s.byID {
 		sum += i.InUse
 		if i.InUse < 0 {
-			broken = append(broken, fmt.Sprintf("instance %s has %d slots in use", id, i.InUse))
+			violations = append(violations, fmt.Sprintf("instance %s has %d slots in use", id, i.InUse))
 		}
 		if i.health.ejected {
 			ejected++
 		}
 	}
 	if sum != s.inUse {
-		broken = append(broken, fmt.Sprintf("%d slots in use, but the instances have %d", s.inUse, sum))
+		violations = append(violations, fmt.Sprintf("%d slots in use, but the instances have %d", s.inUse, sum))
 	}
 	if ejected != s.ejected || ejected > s.maxEjected() {
-		broken = append(broken, fmt.Sprintf("%d instances ejected of %d", ejected, len(s.listed)))
+		violations = append(violations, fmt.Sprintf("%d instances ejected of %d", ejected, len(s.listed)))
 	}
-	return broken
+	return violations
 }
