--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -21,9 +21,9 @@
 	// Spares describes how the number of shared spares is computed.
 	Spares string       `json:"spares,omitempty"`
 	Pools  []PoolStatus `json:"pools"`
-	// Spared are the suspect workers that are not put into quarantine.
-	Spared     []health.RejectedQuarantine `json:"spared,omitempty"`
-	Violations []Violation                 `json:"broken,omitempty"`
+	// RejectedQuarantines are the suspect workers that are not put into quarantine.
+	RejectedQuarantines []health.RejectedQuarantine `json:"spared,omitempty"`
+	Violations          []Violation                 `json:"broken,omitempty"`
 }
 
 // PoolStatus describes a pool's demand.
@@ -47,7 +47,7 @@
 	s.Budgets = d.ledger.Report()
 	s.Waves = wave.ProgressOf(d.ix, d.wave.Waiting, c.config.Wave)
 	s.Spares = fleet.SparesNeeded(d.ix, c.config.Fleet).Describe()
-	s.Spared = d.rejected
+	s.RejectedQuarantines = d.rejected
 	for _, demand := range fleet.Demands(d.ix, c.config.Fleet) {
 		s.Pools = append(s.Pools, PoolStatus{demand.Pool.Spec.ID, len(demand.Pool.VMs), demand.Describe()})
 	}
