--- a/internal/agent/operators.go
+++ b/internal/agent/operators.go
@@ -58,8 +58,8 @@
 	var statuses []operator.BudgetStatus
 	for _, s := range status.Budgets.Services {
 		statuses = append(statuses, operator.BudgetStatus{
-			Service: s.Service, Pool: s.Pool, Instances: s.Wanted, MinAvailable: s.Least,
-			Available: s.Available, Reserve: s.Reserve, Remaining: s.Left, Reason: s.Description,
+			Service: s.Service, Pool: s.Pool, Instances: s.Wanted, MinAvailable: s.MinAvailable,
+			Available: s.Available, Reserve: s.Reserve, Remaining: s.Remaining, Reason: s.Description,
 		})
 	}
 	return statuses
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -108,7 +108,7 @@
 			is := is.New(t)
 			l, ix := newLedger(newSnapshot(c.vms, c.zones, c.instances, c.minAvailable), Options{})
 			r := l.Report().Services[0]
-			is.Equal([]int{r.Reserve, r.Left}, []int{c.reserve, c.left})
+			is.Equal([]int{r.Reserve, r.Remaining}, []int{c.reserve, c.left})
 			is.True(strings.HasPrefix(r.Domain, c.domain))
 			ok, why := l.MayTake(ix.VM("v0"))
 			is.Equal(ok, c.left > 0)
--- a/internal/budget/report.go
+++ b/internal/budget/report.go
@@ -16,9 +16,9 @@
 type ServiceReport struct {
 	Service model.ServiceID `json:"service"`
 	Pool    model.PoolID    `json:"pool"`
-	// Wanted and Least are the manifest's instances and min_available.
-	Wanted int `json:"wanted"`
-	Least  int `json:"least"`
+	// Wanted and MinAvailable are the manifest's instances and min_available.
+	Wanted       int `json:"wanted"`
+	MinAvailable int `json:"least"`
 	// Available is the number of available instances; Lost counts the others by
 	// cause.
 	Available int            `json:"available"`
@@ -27,8 +27,8 @@
 	// would take.
 	Reserve int    `json:"reserve"`
 	Domain  string `json:"domain,omitempty"`
-	// Left is the remaining budget, Available - Reserve - Least.
-	Left int `json:"left"`
+	// Remaining is the remaining budget, Available - Reserve - MinAvailable.
+	Remaining int `json:"left"`
 	// Description describes the calculation.
 	Description string `json:"words"`
 }
@@ -46,8 +46,8 @@
 	reserve, domain := e.worstFailure()
 	spec := e.service.Spec
 	report := ServiceReport{
-		Service: spec.ID, Pool: spec.Pool, Wanted: spec.Instances, Least: spec.MinAvailable,
-		Available: e.available, Reserve: reserve, Domain: domain, Left: e.remaining(l.options.Rules),
+		Service: spec.ID, Pool: spec.Pool, Wanted: spec.Instances, MinAvailable: spec.MinAvailable,
+		Available: e.available, Reserve: reserve, Domain: domain, Remaining: e.remaining(l.options.Rules),
 		Description: l.describe(e),
 	}
 	var causes []string
--- a/internal/controller/failure_test.go
+++ b/internal/controller/failure_test.go
@@ -253,7 +253,7 @@
 	is.NoErr(s.node("a").Step(context.Background()))
 	status := s.node("a").Status()
 	is.Equal(len(status.Budgets.Services), 3)
-	is.Equal(status.Budgets.Services[0].Left, status.Budgets.Services[0].Available-status.Budgets.Services[0].Reserve-4)
+	is.Equal(status.Budgets.Services[0].Remaining, status.Budgets.Services[0].Available-status.Budgets.Services[0].Reserve-4)
 	is.Equal(len(status.Waves), 1)
 	is.True(status.Waves[0].Active > 0 && status.Waves[0].Total > status.Waves[0].Done)
 	is.True(status.Waves[0].End > status.At)
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -88,6 +88,4 @@
 	return time.Duration(overdueShare * float64(ran))
 }
 
-func usageSample(u platform.Usage) estimate.Usage {
-	return estimate.Usage{Used: u.Used, At: u.At}
-}
+func usageSample(u platform.Usage) estimate.Usage { return estimate.Usage{Used: u.Used, At: u.At} }
