--- a/internal/platform/standin/command.go
+++ b/internal/platform/standin/command.go
@@ -21,7 +21,8 @@
 	return answers
 }
 
-// accept executes a command once. A repeated ID yields the first answer.
+// accept executes a command once. A repeated ID yields the first answer unless
+// that was Busy; the command is then executed again.
 func (p *Platform) accept(c platform.Command) platform.Answer {
 	if first, known := p.answers[c.ID]; known {
 		return first
--- a/internal/platform/standin/config.go
+++ b/internal/platform/standin/config.go
@@ -74,11 +74,11 @@
 }
 
 const (
-	defaultRebootTime = 90 * time.Second
-	defaultUsageEvery = 15 * time.Second
-	defaultUsageLag   = 30 * time.Second
-	defaultRetention  = time.Hour
-	defaultRuntime    = 10 * time.Second
+	defaultRebootTime    = 90 * time.Second
+	defaultUsageInterval = 15 * time.Second
+	defaultUsageLag      = 30 * time.Second
+	defaultRetention     = time.Hour
+	defaultRuntime       = 10 * time.Second
 	// faultyWorkerRuntime is how soon a task fails on a faulty worker.
 	faultyWorkerRuntime = 2 * time.Second
 	// advanceInterval is the time resolution in real time.
@@ -90,7 +90,7 @@
 		c.RebootTime = defaultRebootTime
 	}
 	if c.UsageInterval <= 0 {
-		c.UsageInterval = defaultUsageEvery
+		c.UsageInterval = defaultUsageInterval
 	}
 	if c.UsageLag <= 0 {
 		c.UsageLag = defaultUsageLag
--- a/internal/platform/standin/list.go
+++ b/internal/platform/standin/list.go
@@ -112,7 +112,7 @@
 
 // compact removes stale entries once they are more than half of the list.
 func (p *Platform) compact() {
-	const slack = 1024
+	const slack = 1024 // entries; shorter lists are not worth compacting
 	if len(p.changes) < 2*len(p.tasks)+slack {
 		return
 	}
--- a/internal/platform/standin/platform.go
+++ b/internal/platform/standin/platform.go
@@ -75,7 +75,8 @@
 	ended    platform.TaskEnd
 	endedAt  model.Instant
 	revision uint64
-	// hidden withholds the end from reports while the VM is disconnected or down.
+	// hidden withholds the end from reports: while the VM is disconnected, or until
+	// the lease expires if the VM failed.
 	hidden    bool
 	throttled bool
 	stopping  bool
