--- a/cmd/comfreyloom/audit.go
+++ b/cmd/comfreyloom/audit.go
@@ -29,7 +29,7 @@
 			return code
 		}
 		printRecords(c, page.Records)
-		if printBreaks(c, page.Violations) {
+		if printViolations(c, page.Violations) {
 			result = exitFailed
 		}
 		next = page.Next
@@ -67,9 +67,9 @@
 	}
 }
 
-func printBreaks(c console, breaks []audit.Violation) bool {
-	for _, b := range breaks {
-		fmt.Fprintf(c.err, "comfreyloom audit: the trail is broken at %d (%s): %s\n", b.Sequence, b.Kind, b.Detail)
+func printViolations(c console, violations []audit.Violation) bool {
+	for _, v := range violations {
+		fmt.Fprintf(c.err, "comfreyloom audit: the trail is broken at %d (%s): %s\n", v.Sequence, v.Kind, v.Detail)
 	}
-	return len(breaks) > 0
+	return len(violations) > 0
 }
--- a/cmd/comfreyloom/capacity_test.go
+++ b/cmd/comfreyloom/capacity_test.go
@@ -63,7 +63,7 @@
 	processes                     []*exec.Cmd
 	platform                      *standin.Platform
 	fits                          *capacityFits
-	// idle is the usage of each process without load.
+	// idle is the usage of each process in the last measurement without events.
 	idle []rate
 	// waveStart is the start of the wave in the manifest.
 	waveStart string
@@ -87,7 +87,7 @@
 	return r
 }
 
-// sockets returns loopback addresses that have just been free.
+// sockets returns loopback addresses that were free a moment ago.
 func (r *capacityRun) sockets() []string {
 	var all []string
 	for range r.nodes*4 + 1 {
--- a/cmd/comfreyloom/capacity_usage_test.go
+++ b/cmd/comfreyloom/capacity_usage_test.go
@@ -74,8 +74,8 @@
 }
 
 // reportUsage prints the usage of each process over a span during which work ran. With
-// events it records the cost of one event, which is the usage above that without
-// load.
+// events it records the cost of one event, which is the usage above that of the
+// last measurement without events.
 func (r *capacityRun) reportUsage(load string, span time.Duration, events int, work func()) {
 	began := time.Now()
 	before := r.usages()
--- a/cmd/comfreyloom/client.go
+++ b/cmd/comfreyloom/client.go
@@ -92,8 +92,8 @@
 	return strings.TrimSpace(first), nil
 }
 
-// send distinguishes by the verdict of its error whether the request can have
-// arrived: without a connection nothing was sent.
+// send sends a request and reads the response. The verdict of its error is NotRun
+// if no connection could be opened and MayHaveRun otherwise.
 func send(request *http.Request) (apiResponse, error) {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableKeepAlives: true,
--- a/cmd/comfreyloom/explain.go
+++ b/cmd/comfreyloom/explain.go
@@ -21,23 +21,23 @@
 		fmt.Fprintln(c.err, "comfreyloom explain:", err)
 		return exitUsage
 	}
-	story := explain.Timeline(lines, k.ID)
+	entries := explain.Timeline(lines, k.ID)
 	if skipped > 0 {
 		fmt.Fprintf(c.err, "comfreyloom explain: %d lines are no log lines\n", skipped)
 	}
-	if len(story) == 0 {
+	if len(entries) == 0 {
 		fmt.Fprintf(c.err, "comfreyloom explain: no line names %s\n", k.ID)
 		return exitFailed
 	}
-	first := story[0].Time
-	for i := range story {
-		if !story[i].Context {
-			first = story[i].Time
+	first := entries[0].Time
+	for i := range entries {
+		if !entries[i].Context {
+			first = entries[i].Time
 			break
 		}
 	}
-	for i := range story {
-		e := &story[i]
+	for i := range entries {
+		e := &entries[i]
 		mark := " "
 		if e.Context {
 			mark = "|"
--- a/cmd/comfreyloom/member_test.go
+++ b/cmd/comfreyloom/member_test.go
@@ -216,10 +216,10 @@
 }
 
 func (s *memberSite) awaitState(id, state string) {
-	turn := 0
+	attempt := 0
 	s.waitFor("job "+id+" is "+state, func() bool {
-		turn++
-		status, text := s.call(http.MethodGet, s.address(fmt.Sprintf("entry%d", turn%memberEntries), 2), standin.JobPath(id), "")
+		attempt++
+		status, text := s.call(http.MethodGet, s.address(fmt.Sprintf("entry%d", attempt%memberEntries), 2), standin.JobPath(id), "")
 		return status == http.StatusOK && strings.Contains(text, state)
 	})
 }
@@ -263,10 +263,10 @@
 	status, _ := s.call(http.MethodPost, operators[0], standin.ConfigPath, standin.ConfigBody(1, 3000)[:12])
 	is.True(status == 0 || status == http.StatusBadRequest) // not listening yet, or refused; never accepted
 	config := standin.ConfigBody(3, 3000)
-	turn := 0
+	attempt := 0
 	s.waitFor("the configuration is accepted", func() bool {
-		turn++
-		status, _ := s.call(http.MethodPost, operators[turn%memberCores], standin.ConfigPath, config)
+		attempt++
+		status, _ := s.call(http.MethodPost, operators[attempt%memberCores], standin.ConfigPath, config)
 		return status == http.StatusOK
 	})
 	for i := range 2 {
@@ -300,8 +300,8 @@
 	s.awaitState("00000000000000c1", "completed")
 	s.awaitState("00000000000000a1", "completed")
 	s.waitFor("the configuration is read back", func() bool {
-		turn++
-		status, text := s.call(http.MethodGet, operators[turn%memberCores], "/config/get", "")
+		attempt++
+		status, text := s.call(http.MethodGet, operators[attempt%memberCores], "/config/get", "")
 		return status == http.StatusOK && text == config
 	})
 	s.checkStarts()
--- a/cmd/comfreyloom/script_load_test.go
+++ b/cmd/comfreyloom/script_load_test.go
@@ -34,7 +34,7 @@
 	flag.StringVar(&l.path, "path", "/s/drafts/previews?n={n}", "")
 	flag.StringVar(&l.body, "d", "draft-{n}", "body")
 	flag.StringVar(&l.want, "want", "draft-{n}", "what a successful answer holds")
-	flag.StringVar(&l.runs, "runs", "", "where to ask which requests ran, see mostRuns")
+	flag.StringVar(&l.runs, "runs", "", "where to ask which requests ran, see countRuns")
 	flag.Var(&l.headers, "H", "header")
 	flag.Parse()
 	for _, node := range flag.Args() {
@@ -219,8 +219,8 @@
 	}
 	fmt.Printf("sent %d: %v, cut or lost: %d; connections refused: %d, slowest answer %v\n",
 		sent, l.counts, len(l.failures), l.refusedConnections.Load(), l.slowest.Round(time.Millisecond))
-	for _, fault := range l.failures[:min(len(l.failures), 20)] {
-		fmt.Fprintln(os.Stderr, fault)
+	for _, failure := range l.failures[:min(len(l.failures), 20)] {
+		fmt.Fprintln(os.Stderr, failure)
 	}
 	return min(len(l.failures), 1)
 }
--- a/cmd/comfreyloom/script_platform_test.go
+++ b/cmd/comfreyloom/script_platform_test.go
@@ -42,7 +42,8 @@
 	serveOrExit(*listen, platformControl(p, host, running))
 }
 
-// instanceCounter counts the running instances and their minimum since the mark.
+// instanceCounter counts the running instances and their minimum since the last call
+// of mark.
 type instanceCounter struct {
 	mu               sync.Mutex
 	running, minimum int
@@ -102,13 +103,13 @@
 	mux.HandleFunc("GET /control/runs/{key}", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "runs: %d\n", host.Runs(r.PathValue("key")))
 	})
-	mux.HandleFunc("GET /control/most/{prefix}/{n}", mostRuns(host.Runs))
+	mux.HandleFunc("GET /control/most/{prefix}/{n}", countRuns(host.Runs))
 	return mux
 }
 
-// mostRuns reports how many of the requests with the keys PREFIX0 to PREFIXn-1
+// countRuns reports how many of the requests with the keys PREFIX0 to PREFIXn-1
 // ran, and the maximum number of runs of a single one.
-func mostRuns(runsOf func(key string) int) http.HandlerFunc {
+func countRuns(runsOf func(key string) int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ran, maxRuns, prefix := 0, 0, r.PathValue("prefix")
 		n, _ := strconv.Atoi(r.PathValue("n"))
--- a/cmd/comfreyloom/script_relay_test.go
+++ b/cmd/comfreyloom/script_relay_test.go
@@ -140,11 +140,12 @@
 	return mux
 }
 
+// accept is serve for a relay process, which exits if the listener fails.
 func (r *relay) accept(l link, listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		exitOn(err)
-		go r.forward(l, near)
+		go r.forward(l, client)
 	}
 }
 
--- a/cmd/comfreyloom/script_revise_test.go
+++ b/cmd/comfreyloom/script_revise_test.go
@@ -57,18 +57,18 @@
 	var last error
 	for try := 0; time.Since(start) < scriptTimeout; try++ {
 		address := os.Getenv("OPERATORS" + p.nodes[(revision+try)%len(p.nodes)])
-		var answer operator.ManifestResponse
-		answer, last = putManifest(address, text)
+		var decision operator.ManifestResponse
+		decision, last = putManifest(address, text)
 		switch {
 		case last != nil:
 			p.resent++
 			time.Sleep(10 * time.Millisecond)
-		case answer.Digest == manifest.Digest(text):
-			p.accepted, p.digest = revision, answer.Digest
+		case decision.Digest == manifest.Digest(text):
+			p.accepted, p.digest = revision, decision.Digest
 			p.slowest = max(p.slowest, time.Since(start))
 			return nil
 		default:
-			return fmt.Errorf("revision %d: %s: %s", revision, answer.Outcome, answer.Message)
+			return fmt.Errorf("revision %d: %s: %s", revision, decision.Outcome, decision.Message)
 		}
 	}
 	return fmt.Errorf("revision %d was not accepted: %w", revision, last)
@@ -76,24 +76,24 @@
 
 // putManifest returns the decision, or an error when there was none or it is unknown.
 func putManifest(address string, text []byte) (operator.ManifestResponse, error) {
-	var answer operator.ManifestResponse
+	var decision operator.ManifestResponse
 	r, err := http.NewRequest(http.MethodPut, "http://"+address+"/manifest", bytes.NewReader(text))
 	if err != nil {
-		return answer, err
+		return decision, err
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
-		return answer, err
+		return decision, err
 	}
 	defer response.Body.Close()
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
-		return answer, err
+	if err := json.NewDecoder(response.Body).Decode(&decision); err != nil {
+		return decision, err
 	}
-	if answer.Outcome == "" {
-		return answer, fmt.Errorf("status %d, %s", response.StatusCode, response.Header.Get(model.VerdictHeader))
+	if decision.Outcome == "" {
+		return decision, fmt.Errorf("status %d, %s", response.StatusCode, response.Header.Get(model.VerdictHeader))
 	}
-	return answer, nil
+	return decision, nil
 }
 
 func (p *pipeline) awaitInForce() error {
--- a/cmd/comfreyloom/script_upstream_test.go
+++ b/cmd/comfreyloom/script_upstream_test.go
@@ -49,6 +49,6 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /leave", func(_ http.ResponseWriter, r *http.Request) { _ = u.Leave(r.Context()) })
 	mux.HandleFunc("GET /total", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "total: %d\n", u.Total()) })
-	mux.HandleFunc("GET /most/{prefix}/{n}", mostRuns(u.Runs))
+	mux.HandleFunc("GET /most/{prefix}/{n}", countRuns(u.Runs))
 	return mux
 }
--- a/cmd/comfreyloom/script_watch_test.go
+++ b/cmd/comfreyloom/script_watch_test.go
@@ -123,8 +123,8 @@
 	}
 	polling.Wait()
 	fmt.Printf("watched: %d looks, revisions %v, faults: %d\n", monitor.polls, monitor.revisions, len(monitor.violations))
-	for _, fault := range monitor.violations {
-		fmt.Fprintln(os.Stderr, fault)
+	for _, violation := range monitor.violations {
+		fmt.Fprintln(os.Stderr, violation)
 	}
 	os.Exit(min(len(monitor.violations), 1))
 }
--- a/cmd/comfreyloom/soak_test.go
+++ b/cmd/comfreyloom/soak_test.go
@@ -345,8 +345,8 @@
 			return true
 		})
 	}
-	if broken := s.ledger.firstViolation(); broken != "" {
-		s.t.Fatalf("%s\n%s", broken, s.logTails())
+	if violation := s.ledger.firstViolation(); violation != "" {
+		s.t.Fatalf("%s\n%s", violation, s.logTails())
 	}
 	races, _ := filepath.Glob(filepath.Join(s.folder, "race.*"))
 	if len(races) > 0 {
--- a/cmd/comfreyloom/waits.go
+++ b/cmd/comfreyloom/waits.go
@@ -23,10 +23,10 @@
 	if skipped > 0 {
 		fmt.Fprintf(c.err, "comfreyloom waits: %d lines are no log lines\n", skipped)
 	}
-	waits, moments := explain.Waits(lines)
+	waits, samples := explain.Waits(lines)
 	switch {
 	case k.Pools:
-		return k.showPools(c, moments)
+		return k.showPools(c, samples)
 	case len(waits) == 0:
 		fmt.Fprintln(c.err, "comfreyloom waits: no line tells of a job that was accepted and started; give the logs of entry and core VMs")
 		return exitFailed
@@ -69,22 +69,23 @@
 	return exitDone
 }
 
-// showPools prints a line a moment: have / need in cores, and idle VMs, by pool.
-func (k *waitsCommand) showPools(c console, moments []explain.BalanceSample) exitCode {
-	if len(moments) == 0 {
+// showPools prints a line per sample with the cores that each pool has and needs
+// and its idle VMs.
+func (k *waitsCommand) showPools(c console, samples []explain.BalanceSample) exitCode {
+	if len(samples) == 0 {
 		fmt.Fprintln(c.err, "comfreyloom waits: no line tells of the balance of pools; give the logs of core VMs")
 		return exitFailed
 	}
-	pools := explain.Pools(moments)
+	pools := explain.Pools(samples)
 	fmt.Fprintf(c.out, "%-12s %-20s", "time", "leader")
 	for _, pool := range pools {
 		fmt.Fprintf(c.out, " %18s", pool)
 	}
 	fmt.Fprintln(c.out)
-	for _, m := range moments {
-		fmt.Fprintf(c.out, "%-12s %-20s", m.Time.Format("15:04:05.000"), m.Source)
+	for _, sample := range samples {
+		fmt.Fprintf(c.out, "%-12s %-20s", sample.Time.Format("15:04:05.000"), sample.Source)
 		for _, pool := range pools {
-			b := m.Pools[pool]
+			b := sample.Pools[pool]
 			fmt.Fprintf(c.out, " %5.0f/%-5.0f idle %2d", float64(b.Have)/1000, float64(b.Need)/1000, b.IdleVMs)
 		}
 		fmt.Fprintln(c.out)
