--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -15,8 +15,8 @@
 	Line
 	// Description states what the line means in plain text.
 	Description string
-	// Context reports whether the line doesn't mention the id, but a change that
-	// affects it.
+	// Context is true for a line that doesn't mention the id but describes a change
+	// that affects it.
 	Context bool
 }
 
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -131,8 +131,8 @@
 }
 
 // recordLeaderLoss records that a process stopped leading. A killed leader logs
-// nothing: its span without a leader lasts from its last balance to the first
-// line of its successor, see recordBalance.
+// nothing: the span without a leader then lasts from half of maxSampleGap after its
+// last balance to the first balance of its successor, see recordBalance.
 func (t *waitTracker) recordLeaderLoss(l *Line) {
 	if delete(t.leaders, l.Source); len(t.leaders) == 0 {
 		t.leaderless = append(t.leaderless, span{from: l.Time})
@@ -143,6 +143,8 @@
 // leader; a leader logs the balance once a second.
 const maxSampleGap = 1500 * time.Millisecond
 
+// recordBalance records the balance of one pool. Lines of one leader that follow
+// each other within a tenth of maxSampleGap belong to one sample.
 func (t *waitTracker) recordBalance(l *Line) {
 	n := len(t.samples)
 	if n > 0 && t.samples[n-1].Source != l.Source && l.Time.Sub(t.samples[n-1].Time) > maxSampleGap {
