--- a/internal/manifest/keys.go
+++ b/internal/manifest/keys.go
@@ -61,7 +61,7 @@
 	Meaning   string
 }
 
-// The bounds of values, in the unit that the name gives.
+// The bounds of values, in the base units of Key.Low: memory is in bytes.
 const (
 	// MaxRevision is the largest revision that a JSON parser which stores numbers
 	// as 64-bit floats reads exactly.
