--- a/internal/model/instant.go
+++ b/internal/model/instant.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Instant is a point in time in milliseconds since the Unix epoch. The
-// replicated state and the pure cores use it so that time is an argument and
-// encodes the same on every VM.
+// Instant is a point in time in milliseconds since the Unix epoch. The replicated
+// state and the code that decides on it get the time as an argument of this type
+// instead of reading a clock; it encodes the same on every VM.
 type Instant int64
 
 // InstantOf converts a time and truncates it to milliseconds.
