--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -27,6 +27,8 @@
 	start, finish                operator.Status
 	manifestTime                 time.Duration
 	waveTime                     time.Duration
+	// heldVMs sums up the VMs that were spare or under maintenance in each sample of
+	// the wave; maxHeldVMs is the largest number in one sample.
 	samples, heldVMs, maxHeldVMs int
 }
 
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -90,15 +90,15 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer struct {
+	var result struct {
 		InForce bool     `json:"in_force"`
 		Behind  []string `json:"behind"`
 	}
-	if err := json.Unmarshal(response.body, &answer); err != nil {
+	if err := json.Unmarshal(response.body, &result); err != nil {
 		return 0, err
 	}
-	if !answer.InForce {
-		return 0, fmt.Errorf("not in force at %v", answer.Behind)
+	if !result.InForce {
+		return 0, fmt.Errorf("not in force at %v", result.Behind)
 	}
 	return response.took, nil
 }
