--- a/internal/loadmodel/lab_test.go
+++ b/internal/loadmodel/lab_test.go
@@ -24,7 +24,7 @@
 
 // patterns returns the loads under which policies are compared: rotating peak
 // periods of several lengths, peaks in random order, no peaks, a single pool, and
-// a maintenance wave during a peak.
+// a maintenance wave during a peak. In the names a turn is a peak period.
 func patterns() []namedPattern {
 	return []namedPattern{
 		{"turns 4.5 s", RotatingPeaks(4500 * time.Millisecond)},
--- a/internal/loadmodel/world.go
+++ b/internal/loadmodel/world.go
@@ -262,13 +262,13 @@
 func (sim *simulation) schedule() {
 	var plan schedule.Plan
 	sim.machine.Read(func(t *workload.Tables) {
-		soft := make(map[workload.WorkerID]schedule.Worker, len(t.Workers))
+		workers := make(map[workload.WorkerID]schedule.Worker, len(t.Workers))
 		for id := range t.Workers {
 			_, closing := sim.closing[sim.byWorker[id].ID]
-			soft[id] = schedule.Worker{Usable: true, Closing: closing}
+			workers[id] = schedule.Worker{Usable: true, Closing: closing}
 		}
 		plan = schedule.Make(schedule.Input{
-			Tables: t, Workers: soft, NowMS: sim.nowMS(), MaxStarts: 1000,
+			Tables: t, Workers: workers, NowMS: sim.nowMS(), MaxStarts: 1000,
 			Advice: func(schedule.StepRef) *schedule.Advice { return nil },
 		})
 	})
